--- a/hemlockswitch/request/engine_model.py
+++ b/hemlockswitch/request/engine_model.py
@@ -1,14 +1,15 @@
-"""How long a model engine takes to a first event: a model that is fitted to what was observed.
+"""Latency model of an engine: predicts the time to the first event, fitted to observations.
 
-An engine reads the prompts that wait before a request, then the request's own; the requests in its
-batch and the attention over long prompts slow it down. So the time is
+An engine processes the prompts queued before a request, then the request's own prompt; the requests in
+its batch and the attention over long prompts slow it down. The time is
 
     base + (waiting + own tokens) / rate + per running request + per pair of tokens,
 
-which is linear in its four coefficients. `ModelFitter` fits them to the latest sends by least
-absolute deviations: what a send did not know (a queue that nobody has told, a prompt that was cached
-after all, a server that stood still) is far off and must not count by its square. In replayed sends
-of two kinds of engine half of the predictions are within 6 ms, where one fixed rate left 31 and 106.
+which is linear in its four coefficients. `ModelFitter` fits them to the latest attempts by least
+absolute deviations. Conditions that a prediction could not include (an unreported queue, a prompt that
+turned out to be cached, a stalled server) cause outliers, which least squares would overweight.
+On replayed attempts with two kinds of engines, half of the predictions are within 6 ms; with a single
+fixed rate the median error was 31 ms and 106 ms.
 """
 
 import math
@@ -20,34 +21,34 @@
 TOKENS_PER_UNIT = 1_000.0
 PAIRS_PER_UNIT = 1_000_000.0
 MOST_OBSERVATIONS = 240
-"""Sends that are remembered: half a minute of a busy service at a gateway of a small site."""
+"""Equals half a minute of a busy service at a gateway of a small site."""
 OLDEST_MS = 40_000.0
-"""An older send may have met another release of the engine."""
+"""An older attempt may have been answered by a different release of the engine."""
 LEAST_MS = 4.0
-"""Deviations below this count alike: the network alone varies by as much."""
+"""Smaller deviations are weighted equally: network latency alone varies by this much."""
 PASSES = 4
-"""Steps of reweighted least squares for one fit; each begins at the last fit."""
+"""Iterations of reweighted least squares per fit; each starts from the previous result."""
 PRIOR_WEIGHT = 12.0
-"""How many sends the model that is in force counts for in a fit: the first few sends of a process
-may all be of one kind and say nothing of the other coefficients."""
+"""Number of attempts that the current model is weighted as in a fit: the first attempts of a process
+may be uniform and provide no information on some coefficients."""
 FEWEST_TOLD = 30
-"""Sends behind a model that other gateways take into account."""
+"""Number of attempts that a model must be fitted to before other gateways use it."""
 HIGHEST_BASE_MS = 2_000.0
 TOKENS_PER_MS_BOUNDS = (1.0, 5_000.0)
 HIGHEST_RUNNING_MS = 20.0
 HIGHEST_PAIRS_MS = 20.0
-"""Bounds of what any engine does; a report beyond them is a mistake."""
+"""Upper bound for any engine; a reported model outside the bounds is invalid."""
 
 
 @dataclass(frozen=True)
 class EngineWork:
-    """What a send asks of an engine.
+    """The work that one attempt causes on an engine.
 
     Parameters
     ==========
 
-    waiting_tokens : prompt tokens that wait before it.
-    uncached_tokens : tokens of its own prompt that must be read.
+    waiting_tokens : prompt tokens queued before it.
+    uncached_tokens : tokens of its own prompt that the engine must process.
     input_tokens : all tokens of its prompt.
     running : requests in progress on the engine.
     """
@@ -59,7 +60,7 @@
 
     @property
     def features(self) -> tuple[float, float, float, float]:
-        """What the coefficients of a model are multiplied with."""
+        """The regression features, one for each coefficient of an `EngineModel`."""
         return (
             1.0,
             (self.waiting_tokens + self.uncached_tokens) / TOKENS_PER_UNIT,
@@ -70,15 +71,15 @@
 
 @dataclass(frozen=True)
 class EngineModel:
-    """The time to a first event.
+    """Linear model of the time to the first event.
 
     Parameters
     ==========
 
-    base_ms : of the smallest prompt on an idle engine, with the way there and back.
-    ms_per_1k_tokens : reading of a thousand prompt tokens.
-    ms_per_running : what each request in progress adds.
-    ms_per_1m_pairs : what a million pairs of a read and an attended token add.
+    base_ms : time of the smallest prompt on an idle engine, including the round trip.
+    ms_per_1k_tokens : time to process a thousand prompt tokens.
+    ms_per_running : time added by each request in progress.
+    ms_per_1m_pairs : time added by a million pairs of a processed and an attended token.
 
     Examples
     ========
@@ -97,19 +98,19 @@
 
     def __post_init__(self) -> None:
         if not all(math.isfinite(value) for value in self.coefficients):
-            raise ValueError("a coefficient is not finite")
+            raise ValueError("a coefficient of the engine model is not finite")
         slowest_ms, fastest_ms = (TOKENS_PER_UNIT / bound for bound in TOKENS_PER_MS_BOUNDS)
         if not fastest_ms <= self.ms_per_1k_tokens <= slowest_ms:
-            raise ValueError("the reading rate is out of bounds")
+            raise ValueError("the prompt processing rate of the engine model is out of bounds")
         highest = (HIGHEST_BASE_MS, slowest_ms, HIGHEST_RUNNING_MS, HIGHEST_PAIRS_MS)
         if not all(
             0 <= value <= most for value, most in zip(self.coefficients, highest, strict=True)
         ):
-            raise ValueError("a coefficient is out of bounds")
+            raise ValueError("a coefficient of the engine model is out of bounds")
 
     @classmethod
     def from_coefficients(cls, coefficients: Sequence[float]) -> Self:
-        """Return the model nearest to these coefficients within the bounds."""
+        """Return the model with these coefficients clamped to the bounds."""
         slowest_ms, fastest_ms = (TOKENS_PER_UNIT / bound for bound in TOKENS_PER_MS_BOUNDS)
         lowest = (0.0, fastest_ms, 0.0, 0.0)
         highest = (HIGHEST_BASE_MS, slowest_ms, HIGHEST_RUNNING_MS, HIGHEST_PAIRS_MS)
@@ -126,25 +127,25 @@
 
     @property
     def tokens_per_ms(self) -> float:
-        """How fast prompts are read."""
+        """Rate at which an engine processes prompts."""
         return TOKENS_PER_UNIT / self.ms_per_1k_tokens
 
     def predict_ms(self, work: EngineWork) -> float:
-        """Return the expected time to the first event."""
+        """Return the predicted time to the first event."""
         return _multiply(self.coefficients, work.features)
 
     def estimate_reading_ms(self, uncached_tokens: float) -> float:
-        """Return how long an engine reads a number of prompt tokens."""
+        """Return the time to process a number of uncached prompt tokens."""
         return uncached_tokens / self.tokens_per_ms
 
 
 PRIOR = EngineModel(base_ms=60.0, ms_per_1k_tokens=20.0, ms_per_running=0.4, ms_per_1m_pairs=0.25)
-"""What is assumed of an engine of which nothing was observed yet: a large model on a current
-accelerator. Some thirty sends take its place."""
+"""Assumed before any observation: a large model on a current accelerator. About thirty attempts
+outweigh it."""
 
 
 class ModelFitter:
-    """Fits a model to the latest sends of a service.
+    """Fits an `EngineModel` to the latest attempts of a service.
 
     Examples
     ========
@@ -164,20 +165,20 @@
 
     @property
     def count(self) -> int:
-        """How many sends the model rests on."""
+        """Number of attempts that the model is fitted to."""
         return len(self._observed)
 
     def note(self, now_ms: float, work: EngineWork, took_ms: float) -> None:
-        """Note how long a send took to its first event."""
+        """Record the time from an attempt to its first event."""
         self._observed.append((now_ms, work, took_ms))
 
     def fit(self, now_ms: float, before: EngineModel | None = None) -> EngineModel:
-        """Fit the model anew.
+        """Fit the model to the recorded attempts.
 
         Parameters
         ==========
 
-        before : the model in force, to which few sends should not add much.
+        before : the current model, used as the prior; few attempts change it only slightly.
         """
         while self._observed and self._observed[0][0] < now_ms - OLDEST_MS:
             self._observed.popleft()
@@ -191,7 +192,7 @@
         return self.model
 
     def _improve(self, coefficients: Sequence[float], prior: EngineModel) -> tuple[float, ...]:
-        """Return the weighted least squares with the weights of the last deviations."""
+        """Return the weighted least squares fit, with weights from the deviations of `coefficients`."""
         size = len(coefficients)
         matrix = [[0.0] * size for _ in range(size)]
         right = [0.0] * size
@@ -205,7 +206,7 @@
                 for column in range(size):
                     matrix[row][column] += scaled * features[column]
         for row, expected in enumerate(prior.coefficients):
-            # The prior's weight for a coefficient is that of so many sends of a usual size.
+            # The prior of a coefficient is weighted as `PRIOR_WEIGHT` attempts of typical size.
             pull = PRIOR_WEIGHT / LEAST_MS * _USUAL[row] ** 2
             pull *= PRIOR_WEIGHT / (PRIOR_WEIGHT + self.count)
             matrix[row][row] += pull
@@ -214,7 +215,7 @@
 
 
 _USUAL = (0.3, 1.0, 3.0, 3.0)
-"""Features of a usual send; the base is the one that few sends already show."""
+"""Features of a typical attempt. The base has a small value because few attempts determine it."""
 
 
 def _multiply(left: Sequence[float], right: Sequence[float]) -> float:
@@ -222,7 +223,7 @@
 
 
 def _keep_positive(matrix: list[list[float]], right: list[float]) -> tuple[float, ...]:
-    """Solve for coefficients of which none is negative: those that would be are left out."""
+    """Solve for non-negative coefficients: those that would be negative are set to 0."""
     kept = list(range(len(right)))
     while True:
         solved = _solve(
