--- a/hemlockswitch/request/homes.py
+++ b/hemlockswitch/request/homes.py
@@ -1,7 +1,7 @@
-"""Homes of shared prompt parts among the servers of a service: rendezvous hashing.
+"""Preferred servers of shared prompt parts, assigned by rendezvous hashing.
 
-All daemons that know the same servers find the same homes without a word, and a server that comes or
-goes changes the homes of few parts.
+All daemons with identical server lists compute identical assignments without communication, and adding
+or removing a server changes the assignments of few parts.
 """
 
 from collections import OrderedDict
@@ -11,16 +11,16 @@
 import xxhash
 
 HOMES = 3
-"""How many homes a shared part has; a server beyond them is as good as any other."""
+"""Number of preferred servers of a shared part; all lower-ranked servers are equivalent."""
 NO_HOME = HOMES
-"""The rank of a server that is no home."""
+"""Rank of a server that is not preferred."""
 KEPT_HOMES = 12
-"""How many servers are remembered for a part, so that some may be away for a while."""
+"""Number of servers cached for a part, which allows for some that are temporarily absent."""
 MOST_PARTS = 4_096
 
 
 def rank_homes(key: str, names: Iterable[str], most: int = HOMES) -> list[str]:
-    """Return the first homes of `key`, the best one first.
+    """Return the `most` preferred servers of `key`, in descending order of preference.
 
     Examples
     ========
@@ -35,7 +35,7 @@
 
 
 class Homes:
-    """The homes of many parts, remembered while the servers stay the same.
+    """Cache of the preferred servers of prompt parts, cleared when new servers appear.
 
     Examples
     ========
@@ -51,14 +51,14 @@
         self._parts: OrderedDict[str, list[str]] = OrderedDict()
 
     def rank(self, key: str, names: Sequence[str]) -> dict[str, int]:
-        """Return the ranks of the first homes of `key` among `names`; 0 is the first."""
+        """Return the ranks of the preferred servers of `key` among `names`; 0 is the most preferred."""
         present = set(names)
         if not self._known.issuperset(present):
             self._known |= present
             self._parts.clear()
         homes = self._pick(key, present)
         if len(homes) < min(HOMES, len(present)):
-            # Most of those that are remembered are gone.
+            # Too few of the cached servers are present: rank the present ones only.
             self._known = present
             self._parts.clear()
             homes = self._pick(key, present)
