--- a/hemlockswitch/request/overload.py
+++ b/hemlockswitch/request/overload.py
@@ -1,9 +1,9 @@
-"""Which model requests are refused at once, because they would wait too long for a first event.
+"""Immediate refusal of model requests that would wait too long for their first event.
 
-After a reclaim the copies that are left get more prompts than they can read. Engines read prompts
-about in the order of their arrival, so without a bound every caller waits until all are late. With
-the queue bounded, those who are admitted are served in time and the others learn at once when to
-come back.
+After a reclaim the remaining copies receive more prompts than they can process. Engines process prompts
+roughly in order of arrival, so with an unbounded queue every request misses its objective. With a
+bounded queue, admitted requests are served in time and the remaining callers are told at once when to
+retry.
 """
 
 import random
@@ -12,31 +12,31 @@
 from hemlockswitch.request.placement import Placement
 
 QUEUE_SHARE = 0.9
-"""Part of the objective that the predicted time may take. The rest allows for predictions that are too
-low; more would refuse requests that may still be in time."""
+"""Fraction of the objective that the predicted time may use. The remaining fraction allows for
+predictions that are too low; a larger margin would refuse requests that may still be in time."""
 URGENCY_STEP = 0.1
-"""How much less of it each lower rank may take, so that the less urgent are refused first."""
+"""Amount by which each lower rank reduces that fraction, so that less urgent requests are refused
+first."""
 LOWEST_RANK = 4
 LEAST_QUEUE_SHARE = 0.25
-"""A request is always admitted behind a queue of this part of its objective, however long its own
-prompt: large requests must not be left out."""
+"""Fraction of the objective that a request may always queue, however long its own prompt: large
+requests must not be starved."""
 SHORTEST_RETURN_MS = 150.0
 LONGEST_RETURN_MS = 2_000.0
-"""Bounds of the time to come back; copies that were ordered in place of lost ones serve after some
-four seconds, and callers come back once or twice."""
+"""Copies that replace lost ones serve after about four seconds, and callers retry once or twice."""
 RETURN_SPREAD = (0.8, 1.4)
-"""Factors by which the time to come back varies, so that callers do not return together."""
+"""Range of the random factor on the retry delay, which prevents simultaneous retries."""
 
 
 @dataclass(frozen=True)
 class QueueBound:
-    """How long a request may queue.
+    """Bound on the queueing time of a request.
 
     Parameters
     ==========
 
     objective_ms : the strictest objective among the service's requests that are at least as urgent;
-        0 where none is known, and nothing is refused.
+        0 if there is none, in which case nothing is refused.
     rank : 0 is the most urgent.
     """
 
@@ -44,7 +44,7 @@
     rank: int
 
     def find_longest_queue_ms(self, reading_ms: float) -> float:
-        """Return the bound for a request whose own prompt takes `reading_ms`.
+        """Return the bound for a request whose own prompt takes `reading_ms` to process.
 
         Examples
         ========
@@ -59,12 +59,13 @@
 
 
 def find_return_ms(placement: Placement, bound: QueueBound) -> float | None:
-    """Return when a caller should come back, or None if its request is to be admitted.
+    """Return the delay after which a refused caller should retry, or None to admit its request.
 
     Parameters
     ==========
 
-    placement : where it would go, with the predicted time of its first event.
+    placement : the chosen server, with the predicted time to the first event.
+    bound : the bound on the request's queueing time.
     """
     if bound.objective_ms <= 0:
         return None
