--- a/hemlockswitch/request/placement.py
+++ b/hemlockswitch/request/placement.py
@@ -1,10 +1,10 @@
-"""Where a forwarded request goes: pure functions of what is known of the backend servers.
+"""Selection of a backend server for a forwarded request, as pure functions of the servers' state.
 
-A model request waits for the prompts before it, then for the part of its own prompt that is not
-cached. Both are estimated in tokens, over all daemons, and turned into time by the model of the
-service's engines (`request.engine_model`).
-A shared prompt part has homes among the servers of a service (`request.homes`); a busy home gives way
-to the next.
+A model request waits until the engine has processed the prompts queued before it, and then the
+uncached part of its own prompt. Both are estimated in tokens, summed over all daemons, and converted
+to time by the latency model of the service's engines (`request.engine_model`).
+Each shared prompt part has preferred servers in its service (`request.homes`); when the first one is
+busy, the next one is used.
 """
 
 import random
@@ -17,40 +17,41 @@
 from hemlockswitch.version.backend import BackendServer
 
 HOME_HIT_SHARES = (0.95, 0.5, 0.1)
-"""How much of a shared part to expect in the cache of its first, second and third home while this
-daemon has not heard yet what others sent there."""
+"""Expected cached fraction of a shared part on its first, second and third preferred server, as long
+as this daemon has not received what its peers sent there."""
 HOME_PREFERENCE = 0.3
-"""Part of the same that a home counts for while no server has the shared part: daemons that get it
-at the same moment then send it to one server, before they hear of one another."""
+"""Fraction of `HOME_HIT_SHARES` credited to a preferred server while no server has cached the shared
+part: daemons that receive the part simultaneously then choose one server before they exchange reports."""
 READ_COST_FACTOR = 3.0
-"""How much a token that must be read weighs beside a token that waits: reading it delays all that
-come after it on that engine, and takes memory. With 0, busy engines read everything anew."""
+"""Weight of an uncached prompt token relative to a queued one: processing it delays all later requests
+on that engine and takes memory. With 0, busy engines would recompute every prompt."""
 HOMES_CONSIDERED = 2
 OTHERS_CONSIDERED = 4
-"""How many servers to compare that are no home of the prompt and are not known to have it in their
-cache, drawn at random. If all gateways compared all servers, the one that looks idle would get work
-from each of them before any had heard of the others'."""
+"""Number of randomly sampled servers to compare that are neither preferred for the prompt nor recorded
+as caching it. If every gateway compared all servers, each would choose the one that appears idle before
+it had received the load that its peers sent there."""
 PRIOR_CALL_MS = 50.0
-"""How long a plain service's call is assumed to take before one was seen."""
+"""Assumed duration of a plain service's call before one has been observed."""
 FAILURE_PENALTY_MS = 3_000.0
-"""Added in proportion to the recent failures of a server; a sure failure weighs as much as the
-longest wait that callers accept."""
+"""Cost of a server with a failure rate of 1, added in proportion to the rate. It equals the longest
+wait that callers accept."""
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """A backend server with what is known of its load, over all daemons.
+    """A backend server with the estimate of its load from all daemons.
 
     Parameters
     ==========
 
     running : requests in progress.
-    waiting_tokens : prompt tokens of requests whose first event has not come.
-    cached_tokens : tokens at the beginning of this request's prompt that are known to be cached
-        there; None while this daemon may not have heard of them.
-    home_rank : place of the server among the homes of the prompt's shared part; 0 is the first.
-    failure_rate : part of the recent sends that failed, 0 to 1.
-    distance_ms : what the way there and back takes longer than to a server beside this daemon.
+    waiting_tokens : prompt tokens of requests that have not produced their first event.
+    cached_tokens : length of the prefix of this request's prompt that is recorded as cached there;
+        None while this daemon may not have received the records.
+    home_rank : rank of the server among the preferred ones of the prompt's shared part; 0 is the
+        most preferred.
+    failure_rate : fraction of recent attempts that failed, 0 to 1.
+    distance_ms : round-trip time in excess of that to a server next to this daemon.
     """
 
     server: BackendServer
@@ -64,14 +65,14 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """The chosen server and what was expected of it.
+    """The chosen server and its predicted latency.
 
     Parameters
     ==========
 
-    expected_ms : the time to the first event.
-    queue_ms : the part of it in which prompts before this one are read.
-    list_age_ms : how long ago the list of servers was known to be complete.
+    expected_ms : predicted time to the first event.
+    queue_ms : the portion of it spent on prompts queued before this one.
+    list_age_ms : time since the list of servers was last confirmed to be complete.
     """
 
     candidate: Candidate
@@ -83,13 +84,13 @@
 
 @dataclass(frozen=True)
 class ServiceSpeed:
-    """How fast the servers of a service are, as far as was observed.
+    """Observed speed of the servers of a service.
 
     Parameters
     ==========
 
-    engine : the model of its engines.
-    call_ms : the usual time of a call, for a plain service.
+    engine : latency model of its engines.
+    call_ms : typical duration of a call, for a plain service.
     """
 
     engine: EngineModel = PRIOR
@@ -97,21 +98,21 @@
 
 
 def estimate_uncached_tokens(prompt: Prompt, candidate: Candidate) -> float:
-    """Return how much of a prompt the server must read."""
+    """Return the expected number of prompt tokens that the server must process."""
     if candidate.cached_tokens is not None:
         return max(prompt.input_tokens - candidate.cached_tokens, 0.0)
     return max(prompt.input_tokens - _count_home_tokens(prompt, candidate), 0.0)
 
 
 def _count_home_tokens(prompt: Prompt, candidate: Candidate) -> float:
-    """Return the shared tokens to expect on the server for being one of their homes."""
+    """Return the number of shared tokens expected in the cache of a preferred server."""
     shared = sum(part.tokens for part in prompt.shared_parts)
     rank = candidate.home_rank
     return shared * HOME_HIT_SHARES[rank] if rank < HOMES else 0.0
 
 
 def describe_work(prompt: Prompt, candidate: Candidate) -> EngineWork:
-    """Return what a prompt asks of an engine."""
+    """Return the work that a prompt causes on a candidate's engine."""
     return EngineWork(
         waiting_tokens=candidate.waiting_tokens,
         uncached_tokens=estimate_uncached_tokens(prompt, candidate),
@@ -123,18 +124,18 @@
 def predict_first_event_ms(
     prompt: Prompt, candidate: Candidate, engine: EngineModel = PRIOR
 ) -> float:
-    """Return the expected time to the first event on a server, without failures."""
+    """Return the predicted time to the first event on a server, ignoring failures."""
     return engine.predict_ms(describe_work(prompt, candidate))
 
 
 def predict_call_ms(candidate: Candidate, call_ms: float) -> float:
-    """Return the expected time of a plain service's call on a server, without failures."""
+    """Return the predicted duration of a plain service's call on a server, ignoring failures."""
     slots = max(candidate.server.slots, 1)
     return call_ms * (1 + max(candidate.running + 1 - slots, 0) / slots)
 
 
 def keep_least_running(candidates: Sequence[Candidate]) -> list[Candidate]:
-    """Return the servers on which least is in progress.
+    """Return the candidates with the fewest requests in progress.
 
     Examples
     ========
@@ -152,13 +153,13 @@
     is_likely: Callable[[BackendServer], bool],
     chance: random.Random,
 ) -> list[BackendServer]:
-    """Return the servers to compare for a prompt: the likely ones, and a few others.
+    """Return the servers to compare for a prompt: all likely ones and a random sample of the remaining.
 
     Parameters
     ==========
 
-    is_likely : returns whether a server has or should have the prompt's shared parts.
-    chance : source of random numbers.
+    is_likely : returns whether a server caches, or is preferred for, the prompt's shared parts.
+    chance : random number generator.
     """
     likely: list[BackendServer] = []
     others: list[BackendServer] = []
@@ -178,7 +179,7 @@
     ==========
 
     prompt : None for plain services.
-    speed : how fast the service's servers are.
+    speed : observed speed of the service's servers.
 
     Examples
     ========
