--- a/hemlockswitch/request/routing.py
+++ b/hemlockswitch/request/routing.py
@@ -1,4 +1,4 @@
-"""The choice of a backend server for one request, by predicted time to the first token."""
+"""Selection of a backend server for a request by predicted time to the first token."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -20,18 +20,18 @@
 
 @dataclass(frozen=True)
 class Need:
-    """What one request asks of a backend server.
+    """Properties of a request that the choice of a backend server depends on.
 
     Parameters
     ==========
 
     target : name of the model or service.
     prefix_blocks : hashes of the prompt's leading blocks; empty for a plain service.
-    prompt_tokens : tokens that must be computed before the first one, cache aside.
-    max_tokens : most tokens of the answer.
-    priority : 0 is first.
-    exclude : names of servers that were tried already.
-    deadline_ms : milliseconds that the caller still gives; None when not known.
+    prompt_tokens : length of the prompt, including tokens that a server may have cached.
+    max_tokens : maximum length of the answer.
+    priority : 0 is the most urgent.
+    exclude : names of servers that have already been tried.
+    deadline_ms : milliseconds left until the caller's deadline; None if it has none.
     """
 
     target: str
@@ -45,13 +45,13 @@
 
 @dataclass(frozen=True)
 class TargetTraits:
-    """What the configuration in force wants of a model or service.
+    """Properties of a model or service in the active configuration.
 
     Parameters
     ==========
 
-    first_token_ms : wanted time to the first token, or to the answer of a service.
-    slots : requests that one copy works on at once, where it reports no number itself.
+    first_token_ms : target time to the first token, or to the answer of a service.
+    slots : concurrent requests of one copy, used if the copy does not report a number.
     """
 
     first_token_ms: float = 830.0
@@ -60,20 +60,20 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A backend server that may get new work, with what is known of its load.
+    """A backend server that accepts new requests, with the estimate of its load.
 
     Parameters
     ==========
 
     server : the backend server.
     own_requests : requests of this daemon in progress there.
-    other_requests : estimate of the requests of all others there.
-    reported_requests : all requests as the server last said.
-    prefill_tokens : estimate of the prompt tokens that it has still to compute.
-    slots : requests that it works on at once; 0 when it did not say.
-    prefill_tokens_per_s : speed of computing prompt tokens.
-    service_ms : mean time that a request holds its slot.
-    distance_ms : one way to it.
+    other_requests : estimated requests of all other daemons in progress there.
+    reported_requests : requests in progress as last reported by the server.
+    prefill_tokens : estimated prompt tokens that it has not processed yet.
+    slots : number of concurrent requests; 0 if the server has not reported it.
+    prefill_tokens_per_s : prompt tokens processed per second.
+    service_ms : mean time that a request occupies a slot.
+    distance_ms : one-way network latency.
     """
 
     server: BackendServer
@@ -88,16 +88,16 @@
 
 
 class CandidateSource(Protocol):
-    """Who knows the backend servers; the process's directory."""
+    """Source of the backend servers and their load; implemented by the process's directory."""
 
     def list_candidates(self, target: str) -> Sequence[Candidate]:
-        """Return the servers for `target` that may get new work."""
+        """Return the servers for `target` that accept new requests."""
 
     def count_waiting(self) -> int:
         """Return the number of this daemon's requests without a first token."""
 
     def note_overflow(self) -> None:
-        """Note that the servers in use are too busy."""
+        """Record that the servers in use are overloaded."""
 
 
 class Router:
@@ -106,13 +106,14 @@
     Parameters
     ==========
 
-    source : who knows the backend servers.
-    find_traits : gives what is wanted of a model or service.
-    queue_length : most requests of this daemon that may wait for a first token at once.
+    source : provides the backend servers and their load.
+    find_traits : returns the configured properties of a model or service.
+    queue_length : maximum number of this daemon's requests that wait for a first token.
     choice : the rule that picks one of the scored candidates.
-    await_facts : called before each choice; waits, bounded, when the facts are known to be old.
-    chance : source of random numbers.
-    clock : for the times to come back.
+    await_facts : called before each choice; if the cluster state is stale, waits for a bounded time
+        until it is up to date.
+    chance : random number generator.
+    clock : clock from which retry times are computed.
     """
 
     def __init__(
@@ -141,8 +142,8 @@
         Raises
         ======
 
-        RequestError : `NO_BACKEND` when no server may take it, `OVERLOADED` with a time to come
-            back when every server would start it too late. Nothing was sent.
+        RequestError : `NO_BACKEND` if no server accepts it; `OVERLOADED`, with a retry time, if every
+            server would start it too late. Nothing has been sent.
         """
         self._await_facts()
         traits = self._find_traits(need.target)
@@ -154,12 +155,12 @@
         return pick(self._choice, scored, need, self._chance).server
 
     def count_uncached(self, server_name: str, need: Need) -> int:
-        """Return the prompt tokens that the server would probably have to compute."""
+        """Return the estimated number of prompt tokens that the server would have to process."""
         cached = self.memory.count_cached(server_name, need.prefix_blocks)
         return max(need.prompt_tokens - cached, 0)
 
     def note_dispatch(self, server_name: str, need: Need) -> int:
-        """Remember that the request goes to the server; return the tokens it has to compute."""
+        """Record that the request is sent to the server; return its estimated uncached tokens."""
         uncached = self.count_uncached(server_name, need)
         self.memory.remember(server_name, need.prefix_blocks)
         return uncached
@@ -194,7 +195,7 @@
         )
 
     def _refuse_late(self, need: Need, scored: Sequence[Scored], traits: TargetTraits) -> None:
-        """Refuse a request that would begin too late, saying when the queue will have shrunk."""
+        """Refuse a request that would start too late, with the time until the queue has shrunk."""
         best_ms = min(one.first_token_ms for one in scored)
         step = min(max(need.priority, 0), len(PATIENCE_BY_PRIORITY) - 1)
         allowed_ms = traits.first_token_ms * PATIENCE_BY_PRIORITY[step]
@@ -209,27 +210,27 @@
         spread = 1 + RETRY_SPREAD * self._chance.random()
         raise RequestError(
             ErrorKind.OVERLOADED,
-            f"every backend server for {need.target} would begin too late",
+            f"every backend server for {need.target} would start the request too late",
             retry_after_ms=int(promised_ms * spread) + 1,
         )
 
 
 def predict_first_token_ms(candidate: Candidate, uncached_tokens: int, slots: int) -> float:
-    """Return the time until the first token if a request went to `candidate` now.
+    """Return the predicted time to the first token of a request sent to `candidate` now.
 
     Explanation
     ===========
 
-    With all slots taken, a slot becomes free every ``service_ms / slots``, and the request is
-    behind those that wait already. Then its prompt is computed behind the prompts that are being
-    computed. The way there and back comes on top.
+    If all slots are occupied, one becomes free every ``service_ms / slots``, and the request waits
+    behind those already queued. Its prompt is then processed after the prompts in progress. The
+    round-trip time is added.
 
     Parameters
     ==========
 
     candidate : the server and its load.
-    uncached_tokens : prompt tokens of the request that are not in its cache.
-    slots : slots to assume when the server did not say.
+    uncached_tokens : prompt tokens of the request that are not in the server's cache.
+    slots : slots to assume if the server has not reported them.
 
     Examples
     ========
