--- a/hemlockswitch/request/admission.py
+++ b/hemlockswitch/request/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether a request may begin here, decided before anything is sent."""
+"""Admission control: decides whether a request may start here, before anything is sent."""
 
 import random
 from collections.abc import Callable
@@ -19,14 +19,14 @@
 
 
 class Permit:
-    """The right to run one admitted request; closing it settles the account.
+    """Permission to run one admitted request; closing it settles the client account's charges.
 
     Explanation
     ===========
 
-    Use it as a context manager, or call `close` once the request has ended. Closing twice does
-    nothing. A request that was refused later, before it was sent, is closed with `cancel`, which
-    gives back everything.
+    Use it as a context manager, or call `close` when the request has ended. Closing it again has no
+    effect. For a request that is refused after admission but before it is sent, call `cancel`, which
+    refunds all charges.
     """
 
     def __init__(
@@ -39,15 +39,15 @@
         self._open = True
 
     def record_tokens(self, count: int) -> None:
-        """Add `count` tokens to what the request used."""
+        """Add `count` to the number of tokens that the request has used."""
         self._tokens_used += count
 
     def close(self) -> None:
-        """End the request: settle its tokens and free its place."""
+        """End the request: settle its tokens and release its place."""
         self._end(refund_request=False)
 
     def cancel(self) -> None:
-        """Give everything back: the request was not sent."""
+        """Refund all charges of a request that was not sent."""
         self._tokens_used = 0
         self._end(refund_request=True)
 
@@ -76,20 +76,20 @@
     Explanation
     ===========
 
-    A request that lacks allowance may wait up to `seek_wait_ms` while more is sought from other
-    daemons or the buckets fill; every other refusal is at once. A refusal has an error kind of
-    the closed list; the request was not sent (``ran: no``). It says when the bucket will have
-    enough, jittered upwards so that callers do not return together.
+    A request that exceeds the allowance may wait up to `seek_wait_ms` while more allowance is requested
+    from the peers or the buckets refill; all other refusals are immediate. A refusal has an
+    `ErrorKind`, and the request was not sent (``ran: no``). Its retry time is when the bucket will be
+    sufficiently full, with upward jitter so that callers do not retry simultaneously.
 
     Parameters
     ==========
 
-    allowances : where the daemon's allowance for an account comes from.
+    allowances : source of the daemon's allowance for an account.
     clock : the process's clock.
-    capacity : the daemon's own bound on requests in progress.
-    seek_wait_ms : how long a request may wait for an allowance to grow.
-    starts_full : whether an account's buckets begin full; not where the allowance may have been
-        used by another daemon a moment ago.
+    capacity : the daemon's limit on requests in progress.
+    seek_wait_ms : how long a request may wait for its account's allowance to grow.
+    starts_full : whether an account's buckets are initially full; False if another daemon may have
+        used the allowance immediately before.
     """
 
     def __init__(
@@ -122,15 +122,16 @@
         ==========
 
         account : name of the client account.
-        tokens_wanted : the tokens to charge until the request ends: its prompt and the most
-            it may generate.
-        priority : 0 goes first when the daemon is at its capacity.
-        deadline_ms : the clock's reading at which the caller gives up.
+        tokens_wanted : the tokens to charge until the request ends: its prompt and the maximum
+            that it may generate.
+        priority : order in the queue when the daemon is at its capacity; 0 is first.
+        deadline_ms : clock time at which the caller gives up.
 
         Raises
         ======
 
-        RequestError : one of the limits, ``overloaded``, or the deadline; nothing was sent.
+        RequestError : a limit is reached, the daemon is ``overloaded``, or the deadline has passed;
+            nothing was sent.
         """
         ledger = self._charge(account, tokens_wanted, deadline_ms)
         try:
@@ -141,35 +142,35 @@
         return Permit(ledger, self._capacity.leave, tokens_wanted)
 
     def readmit(self, account: str, tokens_charged: int) -> Permit:
-        """Admit a request that another daemon had admitted, without a refusal.
+        """Admit unconditionally a request that another daemon had admitted.
 
         Explanation
         ===========
 
-        It takes a place and may exceed the allowance until it ends, so that new requests wait
-        for it; of its tokens those beyond `tokens_charged` are charged here when it ends.
+        The request counts as in progress and may exceed the allowance until it ends, so that new
+        requests wait for it. When it ends, the tokens used beyond `tokens_charged` are charged here.
         """
         ledger = self._find_ledger(account)
         ledger.start()
         return Permit(ledger, lambda: None, tokens_charged)
 
     def refresh(self, account: str) -> None:
-        """Take note that the allowance of `account` changed just now."""
+        """Apply a change of the allowance of `account`."""
         if self._allowances.find_allowance(account) is not None:
             self._find_ledger(account)
 
     def measure_demand(self, account: str) -> Allowance:
-        """Return the rates asked for lately, refused ones too, and the requests in progress."""
+        """Return the recent request and token rates, including refusals, and the requests in progress."""
         ledger = self._ledgers.get(account)
         return Allowance(0, 0, 0) if ledger is None else ledger.measure_demand()
 
     def take_credit(self, account: str, most: Credit) -> Credit:
-        """Take at most `most` out of the account's buckets and return what was taken."""
+        """Remove at most `most` from the account's buckets and return the amount removed."""
         ledger = self._ledgers.get(account)
         return Credit() if ledger is None else ledger.take_credit(most)
 
     def add_credit(self, account: str, credit: Credit) -> None:
-        """Put `credit` into the account's buckets."""
+        """Add `credit` to the account's buckets."""
         self._find_ledger(account).add_credit(credit)
 
     def count_running(self, account: str) -> int:
@@ -183,7 +184,8 @@
         end_ms = self._clock.now_ms() + self._seek_wait_ms
         if deadline_ms is not None:
             end_ms = min(end_ms, deadline_ms)
-        # A request may lack each resource in turn, and another may take what came for it.
+        # A request may lack each resource in turn, and another request may consume what was granted
+        # for this one.
         seeks = 0
         while (refusal := ledger.charge(tokens, deadline_ms)) is not None:
             seeks += 1
@@ -196,7 +198,7 @@
         raise refusal.build_error(self._jitter(refusal.wait_ms))
 
     def _wait(self, ledger: AccountLedger, refusal: LimitRefusal, end_ms: float) -> bool:
-        """Wait for the buckets when they have enough very soon; return whether that was so."""
+        """Wait until the buckets suffice, if that is before `end_ms`; return whether it waited."""
         now_ms = self._clock.now_ms()
         by_slots = refusal.kind is ErrorKind.CONCURRENCY_LIMIT
         if by_slots or now_ms + refusal.wait_ms > end_ms or ledger.waiting >= MOST_WAITING:
