--- a/hemlockswitch/request/choices.py
+++ b/hemlockswitch/request/choices.py
@@ -1,4 +1,4 @@
-"""Rules that pick one of the backend servers that could take a request."""
+"""Rules that pick a backend server from the scored candidates for a request."""
 
 import random
 from collections.abc import Sequence
@@ -12,20 +12,20 @@
 
 @dataclass(frozen=True)
 class Scored:
-    """A candidate with its prediction.
+    """A candidate with its predicted latency.
 
     Parameters
     ==========
 
     server : the backend server.
     first_token_ms : predicted time to the first token.
-    requests : estimate of all requests in progress there.
-    uncached_tokens : prompt tokens that it would have to compute.
-    reported_requests : requests in progress there as it last said itself.
-    prompt_tokens : tokens of the whole prompt.
-    seen_tokens : leading tokens of the prompt that this daemon sent anywhere before.
-    ms_per_token : time to compute one prompt token there.
-    slot_ms : time between two of its slots that become free.
+    requests : estimated number of all requests in progress there.
+    uncached_tokens : prompt tokens that it would have to process.
+    reported_requests : requests in progress as last reported by the server.
+    prompt_tokens : length of the complete prompt.
+    seen_tokens : length of the prompt's prefix that this daemon has sent to any server before.
+    ms_per_token : time in which the server processes one prompt token.
+    slot_ms : mean interval at which one of its slots becomes free.
     """
 
     server: BackendServer
@@ -40,7 +40,7 @@
 
 
 class Wanted(Protocol):
-    """What a rule needs to know of the request."""
+    """The properties of a request that the rules use."""
 
     @property
     def target(self) -> str:
@@ -52,25 +52,25 @@
 
 
 class Choice:
-    """Base of the rules; each holds its numbers."""
+    """Base class of the rules; a subclass stores the parameters of its rule."""
 
 
 @dataclass(frozen=True)
 class PredictedTime(Choice):
-    """The earliest predicted first token; among near ones the cheaper, then the prefix's home.
+    """Picks the earliest predicted first token; ties go to the cheaper, then the preferred server.
 
     Parameters
     ==========
 
-    margin_share : predictions within this share of the best count as equal,
-    margin_ms : and so do those within this time.
-    affinity_blocks : leading blocks that decide a prefix's home.
-    recompute_weight : a token to compute costs this share of its time once more, for the work
-        that it takes from others.
-    home_trust : how surely the home of a prefix that was seen before has it in its cache, though
-        this daemon sent it elsewhere; other daemons use the same home.
-    most_over_mean : a server with more than this many times the mean number of requests is
-        taken only when all others are far later, so that a popular prefix does not swamp it.
+    margin_share : relative margin within which a prediction counts as equal to the best one.
+    margin_ms : absolute margin, added to the relative one.
+    affinity_blocks : number of leading prompt blocks that determine the preferred server.
+    recompute_weight : fraction of the time to process an uncached token that is added to its cost,
+        since it delays other requests.
+    home_trust : probability that the preferred server caches a prefix that this daemon has sent before,
+        if only to another server: all daemons prefer the same server.
+    most_over_mean : a server with more than this multiple of the mean number of requests (plus one) is
+        not picked, which prevents a popular prefix from overloading its preferred server.
     """
 
     margin_share: float = 0.1
@@ -83,7 +83,7 @@
 
 @singledispatch
 def pick(choice: Choice, scored: Sequence[Scored], wanted: Wanted, chance: random.Random) -> Scored:
-    """Return the candidate that the rule `choice` takes.
+    """Return the candidate that the rule `choice` picks.
 
     Parameters
     ==========
@@ -91,7 +91,7 @@
     choice : the rule.
     scored : at least one candidate.
     wanted : the request.
-    chance : source of random numbers.
+    chance : random number generator.
     """
     raise NotImplementedError(type(choice).__name__)
 
@@ -116,7 +116,7 @@
 
 
 def weigh(choice: PredictedTime, one: Scored, is_home: bool) -> float:
-    """Return the cost of taking a candidate, in milliseconds.
+    """Return the cost of picking a candidate, in milliseconds.
 
     Examples
     ========
@@ -137,7 +137,7 @@
 
 
 def drop_swamped(scored: Sequence[Scored], most_over_mean: float) -> list[Scored]:
-    """Return the candidates whose requests are not far over the mean; never none.
+    """Return the candidates whose request count is not far above the mean; always at least one.
 
     Examples
     ========
@@ -154,7 +154,7 @@
 
 
 def find_home(scored: Sequence[Scored], wanted: Wanted, affinity_blocks: int) -> Scored:
-    """Return the candidate that every daemon prefers for the request's leading blocks."""
+    """Return the preferred server for the request's leading blocks; all daemons agree on it."""
     by_name = {one.server.name: one for one in scored}
     leading = wanted.prefix_blocks[:affinity_blocks]
     key = f"{wanted.target}:{leading[-1] if leading else 0}"
