--- a/hemlockswitch/request/clearance.py
+++ b/hemlockswitch/request/clearance.py
@@ -1,4 +1,4 @@
-"""Whether and how a request may be sent, as whoever sends it asks before each send."""
+"""Clearance of requests against the quarantine, obtained before each send attempt."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -8,7 +8,7 @@
 
 
 class Clearance(StrEnum):
-    """How a request may be sent."""
+    """The manner in which a request may be sent."""
 
     FREE = "free"
     CAREFUL = "careful"
@@ -16,60 +16,66 @@
 
     @property
     def is_trial(self) -> bool:
-        """Whether it was held back and is sent once to see what becomes of it."""
+        """Whether the request is quarantined and is sent once as a trial."""
         return self is Clearance.TRIAL
 
     @property
     def is_careful(self) -> bool:
-        """Whether it goes to the server on which least is in progress."""
+        """Whether to send the request to the server with the fewest requests in progress."""
         return self is not Clearance.FREE
 
 
 class Content(Protocol):
-    """A request, by what it asks for."""
+    """A request, identified by its content."""
 
     @property
     def fingerprint(self) -> str:
-        """The name of it, the same for each attempt at any daemon (`request.fingerprint`)."""
+        """Hash of the content, identical for each attempt at any daemon (`request.fingerprint`)."""
 
 
 class RequestGuard(Protocol):
-    """Holds back the requests under which backend servers end (`request.quarantine`)."""
+    """Refuses requests that crash backend servers (`request.quarantine`)."""
 
     def clear(self, content: Content, *, may_try: bool) -> Clearance:
-        """Return how a request may be sent now.
+        """Return the clearance of a request.
 
         Parameters
         ==========
 
-        may_try : whether a request that is held back may be sent as a trial, once.
+        may_try : whether a quarantined request may be sent once as a trial.
 
         Raises
         ======
 
-        RequestError : it is held back; the error says when it may be tried.
+        RequestError : the request is quarantined; the error has the time until the next trial.
         """
 
     def note_broken(self, content: Content, server: BackendServer) -> bool:
-        """A server's connection ended before the answer did; return whether the server has ended."""
+        """Record a connection closed before the end of the answer; return whether the server crashed."""
 
     def note_answered(self, content: Content, server: BackendServer, sent_ms: float) -> None:
-        """A server has answered completely what was sent to it at `sent_ms`."""
+        """Record a complete answer of a server to a request sent at `sent_ms`."""
 
 
 def clear_request(
     guard: RequestGuard, content: Content, last: Clearance, *, is_first: bool, ran: Ran
 ) -> Clearance:
-    """Return how a request may be sent, or raise with what is known of whether it ran.
+    """Return the clearance of a request for its next send attempt.
 
     Parameters
     ==========
 
-    last : how it might be sent when a server was chosen for it before.
-    is_first : whether nothing of it was sent yet, so that it may be sent as a trial.
+    last : the clearance when a server was last chosen for the request.
+    is_first : whether nothing of the request has been sent, so that it may be sent as a trial.
+    ran : whether an earlier attempt may have run the request.
+
+    Raises
+    ======
+
+    RequestError : the request is quarantined; `OUTCOME_UNKNOWN` if an earlier attempt may have run it.
     """
     if is_first and last.is_trial:
-        return last  # The trial that was granted has reached no server yet.
+        return last  # The granted trial has not reached a server yet.
     try:
         return guard.clear(content, may_try=is_first)
     except RequestError as held:
