--- a/hemlockswitch/request/forward_admission.py
+++ b/hemlockswitch/request/forward_admission.py
@@ -1,4 +1,4 @@
-"""Admission of forwarded requests: route, client account, limit and time left, before any send."""
+"""Admission of forwarded requests: determines route, client account, limit and deadline."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -13,22 +13,27 @@
 
 
 class AccountLimiter(Protocol):
-    """The limits of client accounts, over all daemons."""
+    """Enforces the limits of client accounts over all daemons."""
 
     def take(self, account: ForwardedAccount, amount: float) -> float | None:
-        """Spend `amount`; return None, or how long to wait (in ms) when it is over the limit."""
+        """Spend `amount`; return None, or the time to wait in ms if it would exceed the limit."""
 
 
 @dataclass(frozen=True)
 class AdmittedRequest:
-    """A request with what the configuration in force says of it.
+    """A request with its properties from the active configuration.
 
     Parameters
     ==========
 
-    revision : the configuration revision that decided.
-    deadline_ms : clock reading at which its answer is of no use any more.
-    queue_bound : how long it may queue for its first event.
+    request : the request as received.
+    facts : the properties parsed from the request.
+    route : the route that matches its host and path.
+    service : name of the service that it is forwarded to.
+    account : the client account; None if the route does not need one.
+    revision : the configuration revision under which it was admitted.
+    deadline_ms : clock time after which the caller no longer waits for the answer.
+    queue_bound : limit on the time that it may queue for its first event.
     """
 
     request: ReceivedRequest
@@ -42,14 +47,14 @@
 
     @property
     def urgency(self) -> int:
-        """The request's rank: the account's where it has one, else the route's; 0 is first."""
+        """The account's priority if it has one, otherwise the route's; 0 is the most urgent."""
         if self.account is not None and self.account.priority is not None:
             return self.account.priority
         return self.route.priority
 
     @cached_property
     def fingerprint(self) -> str:
-        """The name of what is asked for: the same for each attempt, at any daemon."""
+        """Hash of the request's content, identical for each attempt at any daemon."""
         account = self.account.name if self.account is not None else ""
         request = self.request
         parts = (account, request.method, self.facts.host, request.target)
@@ -67,13 +72,13 @@
     Raises
     ======
 
-    RequestError : it is refused; nothing of it was sent.
+    RequestError : the request is refused; nothing was sent.
     """
     if table is None:
-        raise RequestError(ErrorKind.NOT_READY, "no configuration is known here yet")
+        raise RequestError(ErrorKind.NOT_READY, "no configuration has been loaded yet")
     route = table.find_route(facts.host, request.path)
     if route is None:
-        raise RequestError(ErrorKind.UNKNOWN_ROUTE, "no route has this host and path")
+        raise RequestError(ErrorKind.UNKNOWN_ROUTE, "no route matches the request's host and path")
     account = _find_account(table, route, facts)
     _check_limit(limiter, account, facts)
     service = route.choose_service(facts.request_id)
@@ -95,7 +100,7 @@
 
 
 def measure_cost(account: ForwardedAccount, facts: RequestFacts) -> float:
-    """Return what a request counts against its account's limit."""
+    """Return the amount that a request is charged against its account's limit."""
     if not account.counts_tokens:
         return 1.0
     if facts.prompt is None:
@@ -110,7 +115,7 @@
         return None
     account = table.accounts_by_key.get(facts.key) if facts.key is not None else None
     if account is None and not route.is_public:
-        raise RequestError(ErrorKind.UNAUTHORIZED, "no account has this key")
+        raise RequestError(ErrorKind.UNAUTHORIZED, "no client account has this API key")
     return None if route.is_public else account
 
 
@@ -122,7 +127,7 @@
     wait_ms = limiter.take(account, measure_cost(account, facts))
     if wait_ms is not None:
         kind = ErrorKind.TOKEN_LIMIT if account.counts_tokens else ErrorKind.REQUEST_LIMIT
-        detail = f"account {account.name} is over its limit"
+        detail = f"client account {account.name} has exceeded its limit"
         raise RequestError(kind, detail, retry_after_ms=round(wait_ms))
 
 
