--- a/hemlockswitch/request/quarantine.py
+++ b/hemlockswitch/request/quarantine.py
@@ -1,16 +1,17 @@
-"""Requests under which backend servers end, and when one of them may be sent again.
+"""Quarantine of request contents that crash backend servers.
 
-Some content ends the server that runs it. Its caller comes again, to any daemon and under a new
-identifier, and each arrival costs another server with everything that runs there. So the ends are counted
-by content (`request.fingerprint`), over all daemons, and a content under which a few servers have ended
-is not sent on any more, but for a few trials with growing pauses.
+Some requests crash the server that runs them. The caller retries at any daemon under a new identifier,
+and each retry costs another server and everything in progress there. Crashes are therefore counted by
+request content (`request.fingerprint`) over all daemons. A content with several crashes is quarantined:
+it is no longer forwarded, except for a few trials at increasing intervals.
 
-Everything that was in progress on a server ends with it, so other contents are counted too. A complete
-answer clears a content at once, whichever daemon saw it, and a trial gives it the chance of one: on the
-server with the least in progress, where a failure costs least.
+A crash is counted against every content in progress on the server, so harmless contents are counted too.
+A complete answer to any daemon clears a content at once. A trial gives a quarantined content the
+opportunity to be answered; it goes to the server with the fewest requests in progress, where a crash
+costs least.
 
-What daemons know is merged as sets that only grow (ends, and the ends that do not count), so messages
-may be lost, late, doubled and out of order. It costs nothing while no server ends.
+Daemons merge their records as growing sets (crashes, and crashes that are excused), so messages may be
+lost, delayed, duplicated or reordered. There is no overhead while no server crashes.
 """
 
 from collections import defaultdict
@@ -23,38 +24,43 @@
 from hemlockswitch.core.clock import Clock
 
 MOST_ENDS = 3
-"""Servers that may end under a content before it is held back. One end says little, as everything in
-progress there is counted; few contents in progress on three servers that ended are harmless ones."""
+"""Number of crashes at which a content is quarantined. A single crash is weak evidence, as it counts
+against everything in progress on the server; few harmless contents are in progress on three crashed
+servers."""
 CAREFUL_ENDS = MOST_ENDS - 1
-"""From so many ends on a content goes where least is in progress: the next end may be the last one."""
+"""Number of crashes from which a content is sent to the server with the fewest requests in progress: the
+next crash may be the one that quarantines it."""
 TRIAL_PAUSES_MS = (2_000.0, 20_000.0, 200_000.0)
-"""Time from the last end, or the last trial, to the next trial. The first comes when servers that ended
-are back and lets a harmless content through while its caller still waits; a deadly one takes a server at
-each of them, so they are few, and each is rarer than the one before."""
+"""Time from the last crash or trial to the next trial. The first trial comes when crashed servers have
+restarted, and lets a harmless content through while its caller still waits. A harmful content costs a
+server at every trial, so trials are few and their intervals increase."""
 LIFE_MS = 3_600_000.0
-"""How long after its last end or trial a content is remembered: what made servers end may be mended."""
+"""Retention time of a content after its last crash or trial: the cause of the crashes may have been
+fixed since."""
 CLEARED_LIFE_MS = 60_000.0
-"""How long a cleared content is remembered, so that late word of its ends does not count again."""
+"""Retention time of a cleared content, so that delayed reports of its crashes are not counted again."""
 MOST_SUSPECTS = 4_096
-"""Contents remembered at a time, about a kilobyte each; those with the fewest and oldest ends go first."""
+"""Limits memory: a content takes about a kilobyte. Those with the fewest and oldest crashes are evicted
+first."""
 MOST_NAMES = 16
-"""Servers remembered for one content; those that do not count are forgotten first."""
+"""Servers recorded for one content; excused crashes are evicted first."""
 
 SuspectFields = tuple[str, list[str], list[str], int]
-"""The fields of a `SuspectRecord`."""
+"""The fields of a `SuspectRecord`, in the order in which messages contain them."""
 
 
 @dataclass(frozen=True)
 class SuspectRecord:
-    """What a daemon knows of a content, for other daemons and for the object service.
+    """A daemon's record of a content, as sent to its peers and to the object service.
 
     Parameters
     ==========
 
-    fingerprint : names the content.
-    ends : incarnations of the servers that ended while it was in progress there.
-    excused : those that do not count: a complete answer followed, or the server has not ended after all.
-    trials : how often it was tried since it is held back.
+    fingerprint : identifier of the content.
+    ends : incarnations of the servers that crashed while the content was in progress there.
+    excused : crashes that do not count, because a complete answer followed or the server had not
+        crashed after all.
+    trials : number of trials since the content was quarantined.
     """
 
     fingerprint: str
@@ -63,48 +69,48 @@
     trials: int = 0
 
     def list_fields(self) -> SuspectFields:
-        """Return the fields, as messages have them."""
+        """Return the fields as a message contains them."""
         return (self.fingerprint, list(self.ends), list(self.excused), self.trials)
 
     @classmethod
     def from_fields(cls, fields: SuspectFields) -> "SuspectRecord":
-        """Return the record that a message has."""
+        """Return the record from the fields of a message."""
         fingerprint, ends, excused, trials = fields
         return cls(fingerprint, tuple(ends), tuple(excused), trials)
 
 
 @dataclass
 class _Suspect:
-    """What is known of one content."""
+    """Mutable record of one content."""
 
     ends: set[str] = field(default_factory=set)
     excused: set[str] = field(default_factory=set)
     trials: int = 0
-    changed_ms: float = 0.0  # when its last end or trial was learned
+    changed_ms: float = 0.0  # when its last crash or trial was recorded
     was_seen_here: bool = False
 
     @property
     def counted(self) -> int:
-        """How many ends count against it."""
+        """Number of crashes that are not excused."""
         return len(self.ends - self.excused)
 
     @property
     def forgotten_ms(self) -> float:
-        """When it is forgotten."""
+        """Time at which the record expires."""
         return self.changed_ms + (LIFE_MS if self.counted else CLEARED_LIFE_MS)
 
 
 @dataclass(frozen=True)
 class Standing:
-    """What holds for a content now.
+    """The current quarantine status of a content.
 
     Parameters
     ==========
 
-    ends : servers that ended under it and count.
-    is_held : whether it is held back.
-    trial_in_ms : how long until it may be tried; 0 if it may now, None if it was tried often enough.
-    forgotten_in_ms : how long until it is forgotten.
+    ends : number of crashes that are not excused.
+    is_held : whether the content is quarantined.
+    trial_in_ms : time until the next trial; 0 if one is allowed now, None if no trials are left.
+    forgotten_in_ms : time until the record expires.
     """
 
     ends: int = 0
@@ -114,7 +120,7 @@
 
     @property
     def is_careful(self) -> bool:
-        """Whether it goes where least is in progress."""
+        """Whether to send it to the server with the fewest requests in progress."""
         return self.ends >= CAREFUL_ENDS
 
 
@@ -122,12 +128,12 @@
 
 
 class Quarantine:
-    """The contents under which backend servers have ended.
+    """Records of the request contents that were in progress on crashed backend servers.
 
     Parameters
     ==========
 
-    clock : the time.
+    clock : the process's clock.
 
     Examples
     ========
@@ -148,21 +154,21 @@
         self._suspects: dict[str, _Suspect] = {}
         self._held: set[str] = set()
         self._by_server: dict[str, set[str]] = defaultdict(set)
-        self._ended_ms: dict[str, float] = {}  # when the end of a server was learned
+        self._ended_ms: dict[str, float] = {}  # when the crash of a server was recorded
         self._untold: set[str] = set()
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is suspected, so that no request needs a look."""
+        """Whether there are no records, in which case no request has to be checked."""
         return not self._suspects
 
     @property
     def has_untold(self) -> bool:
-        """Whether something has changed here that other daemons were not told."""
+        """Whether there are local changes that have not been sent to the peers."""
         return bool(self._untold)
 
     def find_standing(self, fingerprint: str) -> Standing:
-        """Return what holds for a content now."""
+        """Return the current quarantine status of a content."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
             return UNSUSPECTED
@@ -175,18 +181,18 @@
         return Standing(ends, ends >= MOST_ENDS, trial_in_ms, forgotten_in_ms)
 
     def note_end(self, fingerprint: str, server: str) -> None:
-        """A server ended while the content was in progress there, seen here."""
+        """Record that this daemon saw a server crash while the content was in progress there."""
         if self._add(fingerprint, (server,)):
             self._untold.add(fingerprint)
         self._suspects[fingerprint].was_seen_here = True
 
     def was_seen_here(self, fingerprint: str) -> bool:
-        """Return whether this daemon itself saw a server end under the content."""
+        """Return whether this daemon itself saw a server crash while the content was in progress."""
         suspect = self._suspects.get(fingerprint)
         return suspect is not None and suspect.was_seen_here
 
     def note_answer(self, fingerprint: str) -> None:
-        """The content was answered completely: it does not end servers."""
+        """Record a complete answer to the content, which excuses all its crashes."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or suspect.ends <= suspect.excused:
             return
@@ -196,7 +202,10 @@
         self._note_counted(fingerprint)
 
     def note_alive(self, server: str, sent_ms: float) -> None:
-        """A server has answered what was sent at `sent_ms`; if its end was told before, that was wrong."""
+        """Record an answer of a server to a request sent at `sent_ms`.
+
+        If a crash of the server was reported before that time, the report was wrong and is excused.
+        """
         ended_ms = self._ended_ms.get(server)
         if ended_ms is None or sent_ms <= ended_ms:
             return
@@ -208,7 +217,7 @@
                 self._note_counted(fingerprint)
 
     def note_trial(self, fingerprint: str, trials: int) -> None:
-        """A content is tried, or was elsewhere, for the `trials`-th time."""
+        """Record that a content is tried, here or at a peer, for the `trials`-th time."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or suspect.trials >= trials:
             return
@@ -217,12 +226,12 @@
         self._untold.add(fingerprint)
 
     def take(self, record: SuspectRecord) -> None:
-        """Take what another daemon or the object service knows."""
+        """Merge a record from a peer or from the object service."""
         self._add(record.fingerprint, record.ends)
         suspect = self._suspects.get(record.fingerprint)
         if suspect is None:
             return
-        # Ends that do not count here any more may still count elsewhere, until it is told.
+        # Peers still count crashes that are excused here until they receive the excuse.
         suspect.excused.update(record.excused[:MOST_NAMES])
         if record.trials > suspect.trials and suspect.counted:
             suspect.trials = record.trials
@@ -232,33 +241,33 @@
         self._note_counted(record.fingerprint)
 
     def get_record(self, fingerprint: str) -> SuspectRecord:
-        """Return what is known of a content."""
+        """Return the record of a content."""
         suspect = self._suspects.get(fingerprint, _Suspect())
         ends, excused = tuple(sorted(suspect.ends)), tuple(sorted(suspect.excused))
         return SuspectRecord(fingerprint, ends, excused, suspect.trials)
 
     def pop_untold(self) -> list[SuspectRecord]:
-        """Return what has changed here since the last call, for other daemons."""
+        """Return the records changed since the last call, to be sent to the peers."""
         untold, self._untold = self._untold, set()
         return [self.get_record(one) for one in sorted(untold) if one in self._suspects]
 
     def list_records(self) -> list[SuspectRecord]:
-        """Return what is known of all contents, those with the most ends first."""
+        """Return the records of all contents, in descending order of crashes."""
         return [self.get_record(fingerprint) for fingerprint in self._list_ranked()]
 
     def list_held(self) -> list[str]:
-        """Return the contents that are held back."""
+        """Return the quarantined contents."""
         return sorted(self._held)
 
     def hash_held(self) -> int:
-        """Return a digest of the contents that are held back; 0 if there are none."""
+        """Return a digest of the quarantined contents; 0 if there are none."""
         digest = 0
         for fingerprint in self._held:
             digest ^= xxhash.xxh32_intdigest(fingerprint.encode())
         return digest
 
     def forget_old(self) -> list[str]:
-        """Forget what is over, and return the contents that were held back."""
+        """Delete expired records, and return the contents that were quarantined until now."""
         now_ms = self._clock.now_ms()
         old = [name for name, one in self._suspects.items() if now_ms >= one.forgotten_ms]
         held = [name for name in old if name in self._held]
@@ -267,7 +276,7 @@
         return held
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return the suspects for the status page, those held back first."""
+        """Return the records for the status page, in descending order of crashes."""
         return [self._describe(fingerprint) for fingerprint in self._list_ranked()]
 
     def _describe(self, fingerprint: str) -> dict[str, Any]:
@@ -283,7 +292,7 @@
         }
 
     def _add(self, fingerprint: str, servers: Iterable[str]) -> bool:
-        """Add ends; return whether one of them is new."""
+        """Add crashes; return whether any of them was added."""
         suspect = self._suspects.get(fingerprint) or _Suspect()
         new = [server for server in servers if server not in suspect.ends]
         if not new:
@@ -304,7 +313,7 @@
         return True
 
     def _note_counted(self, fingerprint: str) -> None:
-        """Hold a content back or release it, by how many ends count against it now."""
+        """Quarantine or release a content, according to its number of crashes."""
         if self._suspects[fingerprint].counted >= MOST_ENDS:
             self._held.add(fingerprint)
         else:
