--- a/hemlockswitch/request/buckets.py
+++ b/hemlockswitch/request/buckets.py
@@ -1,4 +1,4 @@
-"""Token buckets whose rate may change at any moment, and a meter of what is asked of them."""
+"""Token buckets with a variable rate, and a meter of the demand on them."""
 
 from hemlockswitch.core.clock import MS_PER_SECOND
 
@@ -7,23 +7,23 @@
 
 
 class Bucket:
-    """A token bucket that holds at most what its rate brings in `BURST_MS`.
+    """A token bucket whose capacity is the amount that its rate adds in `BURST_MS`.
 
     Explanation
     ===========
 
-    The level may fall below zero: a request larger than the bucket is let in when the bucket is
-    full, and what it took too much is paid back before the next one. When the rate changes, the
-    time since the last look is credited at the lower of both rates, so that a change that was
-    noticed late never admits more.
+    The level may become negative: a request larger than the bucket is admitted when the bucket is
+    full, and the excess must be refilled before the next request. When the rate changes, the time
+    since the last refill is credited at the lower of the two rates, so that a rate change that is
+    applied late never admits more.
 
     Parameters
     ==========
 
-    now_ms : the time of the clock that later calls use.
-    rate : units a second.
-    smallest : the bucket always has room for this much.
-    full : whether it begins full.
+    now_ms : current time of the clock that later calls use.
+    rate : units per second.
+    smallest : minimum capacity.
+    full : whether the bucket is initially full.
 
     Examples
     ========
@@ -47,7 +47,7 @@
 
     @property
     def level(self) -> float:
-        """What the bucket held at the last look."""
+        """The level after the last operation."""
         return self._level
 
     def set_rate(self, now_ms: float, rate: float) -> None:
@@ -59,7 +59,10 @@
         self._level = min(self._level, self._capacity())
 
     def take(self, now_ms: float, amount: float) -> bool:
-        """Take `amount` if the bucket holds it, or is full and `amount` is larger."""
+        """Take `amount` if the level suffices, or if the bucket is full and `amount` exceeds its capacity.
+
+        Returns whether `amount` was taken.
+        """
         self._refill(now_ms)
         if self._rate <= 0 or self._level < self._find_needed(amount):
             return False
@@ -67,19 +70,19 @@
         return True
 
     def give_back(self, now_ms: float, amount: float) -> None:
-        """Put back `amount`, or take it whatever the level when it is negative."""
+        """Add `amount`; a negative amount is subtracted regardless of the level."""
         self._refill(now_ms)
         self._level = min(self._level + amount, self._capacity())
 
     def drain(self, now_ms: float, most: float) -> float:
-        """Take what the bucket holds, at most `most`, and return how much that was."""
+        """Take everything in the bucket, up to `most`, and return the amount taken."""
         self._refill(now_ms)
         taken = max(min(self._level, most), 0.0)
         self._level -= taken
         return taken
 
     def measure_wait_ms(self, now_ms: float, amount: float) -> float | None:
-        """Return how long until `amount` can be taken, or None if it never can."""
+        """Return the time until `amount` can be taken, or None if it never can."""
         self._refill(now_ms)
         if self._rate <= 0:
             return None
@@ -102,7 +105,7 @@
 
 
 class Meter:
-    """A rate over the last second, from the counts of two windows.
+    """Measures a rate over the last second by interpolating the counts of two windows.
 
     Examples
     ========
@@ -124,7 +127,7 @@
         self._amount += amount
 
     def measure(self, now_ms: float) -> float:
-        """Return the rate a second."""
+        """Return the rate per second."""
         self._turn(now_ms)
         past = min((now_ms - self._begun_ms) / METER_MS, 1.0)
         return (self._before * (1 - past) + self._amount) / METER_MS * MS_PER_SECOND
