--- a/hemlockswitch/request/capacity.py
+++ b/hemlockswitch/request/capacity.py
@@ -1,4 +1,4 @@
-"""The daemon's own bound on requests in progress, and the queue in front of it."""
+"""The daemon's limit on requests in progress, and the queue for it."""
 
 import bisect
 import itertools
@@ -18,7 +18,7 @@
 
 @dataclass(order=True)
 class _Waiter:
-    """One request in the queue; smaller goes first."""
+    """One request in the queue; the smallest is first."""
 
     priority: int
     number: int
@@ -27,22 +27,22 @@
 
 
 class CapacityQueue:
-    """Lets in so many requests at a time; others wait by priority, or are refused early.
+    """Limits concurrent requests; excess requests wait in order of priority or are refused early.
 
     Explanation
     ===========
 
-    A request is refused at once when the queue is full of requests that go before it, or when
-    the wait it can expect is longer than its caller or `longest_wait_ms` allows. A request that
-    goes before the last one waiting takes its place in a full queue.
+    A request is refused immediately if the queue is full of requests ahead of it, or if its expected
+    wait exceeds its deadline or `longest_wait_ms`. In a full queue, a request with a higher priority
+    than the last one evicts it.
 
     Parameters
     ==========
 
     clock : the process's clock.
-    places : requests in progress at a time.
-    queue_length : requests that may wait.
-    longest_wait_ms : no request waits longer.
+    places : maximum number of requests in progress.
+    queue_length : maximum number of waiting requests.
+    longest_wait_ms : maximum time that a request waits.
     """
 
     def __init__(
@@ -73,13 +73,13 @@
         return len(self._waiting)
 
     def enter(self, priority: int, deadline_ms: float | None = None) -> None:
-        """Take a place, waiting for one if that is worth it.
+        """Acquire a place, waiting for one if it is expected to become free in time.
 
         Raises
         ======
 
-        RequestError : ``overloaded``, or ``deadline_before_dispatch`` when the caller's time
-            ends first.
+        RequestError : ``overloaded``, or ``deadline_before_dispatch`` if the caller's deadline passes
+            first.
         """
         self._check_deadline(deadline_ms)
         if self._running < self._places and not self._waiting:
@@ -93,7 +93,7 @@
         self._wait(waiter, wait_ms, deadline_ms)
 
     def leave(self) -> None:
-        """Free a place; the first in the queue gets it."""
+        """Release a place and pass it to the first request in the queue."""
         self._note_gap()
         if self._waiting:
             self._waiting.pop(0).ready.set()
@@ -102,7 +102,9 @@
 
     def _check_deadline(self, deadline_ms: float | None) -> None:
         if deadline_ms is not None and deadline_ms <= self._clock.now_ms():
-            raise RequestError(ErrorKind.DEADLINE_BEFORE_DISPATCH, "the caller's time is over")
+            raise RequestError(
+                ErrorKind.DEADLINE_BEFORE_DISPATCH, "the caller's deadline has passed"
+            )
 
     def _find_longest_wait_ms(self, deadline_ms: float | None) -> float:
         if deadline_ms is None:
@@ -112,13 +114,13 @@
     def _check_wait(self, waiter: _Waiter, wait_ms: float) -> None:
         ahead = bisect.bisect(self._waiting, waiter) + 1
         if ahead * self._gap_ms > wait_ms:
-            raise self._build_overloaded("the expected wait is too long")
+            raise self._build_overloaded("the expected wait for a place is too long")
 
     def _make_room(self, waiter: _Waiter) -> None:
         if len(self._waiting) < self._queue_length:
             return
         if not self._waiting or self._waiting[-1].priority <= waiter.priority:
-            raise self._build_overloaded("the queue is full")
+            raise self._build_overloaded("the request queue is full")
         last = self._waiting.pop()
         last.evicted = True
         last.ready.set()
