--- a/hemlockswitch/request/fingerprint.py
+++ b/hemlockswitch/request/fingerprint.py
@@ -1,21 +1,22 @@
-"""Names of requests by what they ask for, the same for every attempt of a caller.
+"""Fingerprints of requests by their content, identical for every attempt of a caller.
 
-A caller that comes again sends a new identifier, to any daemon. What stays is the account, the method,
-the target and the body. Their hash names the request in logs and messages without showing any of it; the
-account is part of it, so that no caller can name another one's request.
+A caller that retries sends a new request identifier, possibly to another daemon. The account, method,
+target and body do not change. Their hash identifies the request in logs and messages without revealing
+its content; it includes the account, so that no caller can produce the fingerprint of another account's
+request.
 """
 
 import hashlib
 from collections.abc import Iterable
 
 HASH_CHARACTERS = 32
-"""128 bits: nobody finds a second content with the same name."""
+"""128 bits, which makes it infeasible to find two contents with equal fingerprints."""
 LENGTH_BYTES = 4
-"""Each part is hashed behind its length, so that no two lists of parts give the same bytes."""
+"""Each part is prefixed with its length, so that different lists of parts never give equal bytes."""
 
 
 def hash_call(parts: Iterable[str], body: bytes) -> str:
-    """Return a hash, in hexadecimal, of the parts of a call and its body.
+    """Return a hexadecimal hash of the parts of a call and its body.
 
     Examples
     ========
