--- a/hemlockswitch/request/ledger.py
+++ b/hemlockswitch/request/ledger.py
@@ -1,4 +1,4 @@
-"""One client account's limits on this daemon: its buckets, its demand, its running requests."""
+"""Accounting of one client account on this daemon: its buckets, demand and requests in progress."""
 
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock
 from hemlockswitch.core.errors import ErrorKind, RequestError
@@ -11,15 +11,15 @@
 
 
 class LimitRefusal:
-    """Why a request was not let in, and what would have let it in.
+    """Reason for a refusal, and what is missing for the request to be admitted.
 
     Parameters
     ==========
 
     kind : which of the account's limits was reached.
-    wait_ms : after how long it may be let in; None when its bucket never fills, in which case
+    wait_ms : time until the request could be admitted; None if its bucket never fills, in which case
         `DEFAULT_DURATION_MS` is assumed.
-    shortage : what the account's allowance lacked.
+    shortage : the amounts missing from the account's allowance.
     """
 
     def __init__(self, kind: ErrorKind, wait_ms: float | None, shortage: Shortage) -> None:
@@ -28,8 +28,8 @@
         self.shortage = shortage
 
     def build_error(self, retry_after_ms: int) -> RequestError:
-        """Return the error that the caller gets."""
-        detail = "the client account's limit is reached"
+        """Return the error for the caller."""
+        detail = "the client account's limit has been reached"
         return RequestError(self.kind, detail, retry_after_ms=retry_after_ms)
 
 
@@ -40,8 +40,8 @@
     ==========
 
     clock : the process's clock.
-    allowance : the account's limits here, until `set_allowance` changes them.
-    starts_full : whether the buckets begin full.
+    allowance : the account's initial limits on this daemon; see `set_allowance`.
+    starts_full : whether the buckets are initially full.
     """
 
     def __init__(self, clock: Clock, allowance: Allowance, starts_full: bool) -> None:
@@ -68,32 +68,32 @@
         self._tokens.set_rate(now_ms, allowance.tokens_per_second)
 
     def measure_demand(self) -> Allowance:
-        """Return the rates asked for lately and the requests in progress."""
+        """Return the recent request and token rates, including refusals, and the requests in progress."""
         now_ms = self._clock.now_ms()
         return Allowance(
             self._request_demand.measure(now_ms), self._token_demand.measure(now_ms), self.running
         )
 
     def take_credit(self, most: Credit) -> Credit:
-        """Take at most `most` out of the buckets."""
+        """Remove at most `most` from the buckets and return the amount removed."""
         now_ms = self._clock.now_ms()
         requests = self._requests.drain(now_ms, most.requests)
         return Credit(requests, self._tokens.drain(now_ms, most.tokens))
 
     def add_credit(self, credit: Credit) -> None:
-        """Put `credit` into the buckets."""
+        """Add `credit` to the buckets."""
         now_ms = self._clock.now_ms()
         self._requests.give_back(now_ms, credit.requests)
         self._tokens.give_back(now_ms, credit.tokens)
 
     def note_demand(self, tokens: int) -> None:
-        """Count one request asked for, let in or not."""
+        """Count one request in the demand, whether it is admitted or refused."""
         now_ms = self._clock.now_ms()
         self._request_demand.add(now_ms, 1)
         self._token_demand.add(now_ms, tokens)
 
     def charge(self, tokens: int, deadline_ms: float | None) -> LimitRefusal | None:
-        """Charge one request with its estimate, or say why not; all or nothing."""
+        """Charge one request and its `tokens`, or return why it is refused, charging nothing."""
         now_ms = self._clock.now_ms()
         if self.running >= self._allowance.concurrent_requests:
             shortage = Shortage(concurrent_requests=1, deadline_ms=deadline_ms)
@@ -117,7 +117,7 @@
         self._started_ms.append(self._clock.now_ms())
 
     def settle(self, tokens_unused: int, refund_request: bool) -> None:
-        """End one request and give back what it did not use."""
+        """End one request and refund its unused tokens."""
         now_ms = self._clock.now_ms()
         self.running -= 1
         started_ms = self._started_ms.pop(0)
