--- a/hemlockswitch/request/prefixes.py
+++ b/hemlockswitch/request/prefixes.py
@@ -1,4 +1,4 @@
-"""Prompt prefixes: the blocks that engines can cache, and what a daemon remembers of them."""
+"""Prompt prefixes: splits prompts into blocks that engines can cache, and records where they were sent."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -23,14 +23,14 @@
 
 
 def hash_blocks(text: str) -> tuple[int, ...]:
-    """Return one hash for each whole leading block of `text`.
+    """Return one hash for each complete leading block of `text`.
 
     Explanation
     ===========
 
-    Each hash covers its block and all before it, so two prompts share the first ``n`` hashes
-    exactly when they share the first ``n`` blocks. A last block that is not full is left out,
-    and so are blocks past `MAX_BLOCKS`, which bounds the work for a long prompt.
+    Each hash covers its block and all preceding blocks, so two prompts share the first ``n`` hashes if
+    and only if they share the first ``n`` blocks. An incomplete last block is omitted, as are blocks
+    beyond `MAX_BLOCKS`, which bounds the work for a long prompt.
 
     Examples
     ========
@@ -53,18 +53,18 @@
 
 
 class PrefixMemory:
-    """Which leading blocks were lately sent to which backend server, bounded in size.
+    """Bounded record of the leading blocks recently sent to each backend server.
 
     Explanation
     ===========
 
-    An engine keeps the blocks used last, as this memory does, so what is remembered here is
-    probably still there.
+    Engines evict the least recently used blocks, as this class does, so a block recorded here is
+    probably still in the engine's cache.
 
     Parameters
     ==========
 
-    capacity : number of blocks kept for each server; the least lately used go first.
+    capacity : maximum number of blocks recorded for each server; the least recently used are evicted.
 
     Examples
     ========
@@ -82,7 +82,7 @@
         self._blocks: dict[str, OrderedDict[int, None]] = {}
 
     def remember(self, server_name: str, blocks: Sequence[int]) -> None:
-        """Note that a prompt with these leading blocks went to the server."""
+        """Record that a prompt with these leading blocks was sent to the server."""
         kept = self._blocks.setdefault(server_name, OrderedDict())
         for block in reversed(blocks):
             kept[block] = None
@@ -91,7 +91,7 @@
             kept.popitem(last=False)
 
     def count_cached(self, server_name: str, blocks: Sequence[int]) -> int:
-        """Return how many leading tokens the server probably still has in its cache."""
+        """Return the number of leading tokens that the server probably has in its cache."""
         kept = self._blocks.get(server_name) or ()
         matched = 0
         for block in blocks:
@@ -101,12 +101,12 @@
         return matched * BLOCK_TOKENS
 
     def count_all(self, blocks: Sequence[int]) -> dict[str, int]:
-        """Return the leading tokens that each server probably has, for those that have any."""
+        """Return the estimated number of cached leading tokens of each server that has any."""
         if not blocks:
             return {}
         holders = [name for name, kept in self._blocks.items() if blocks[0] in kept]
         return {name: self.count_cached(name, blocks) for name in holders}
 
     def forget_server(self, server_name: str) -> None:
-        """Forget all that was sent to a server that is no more."""
+        """Discard the blocks of a server that has been removed."""
         self._blocks.pop(server_name, None)
