--- a/hemlockswitch/request/repeat_budget.py
+++ b/hemlockswitch/request/repeat_budget.py
@@ -1,34 +1,37 @@
-"""The daemon's part of the fleet's budget of repeated sends, in a sliding window."""
+"""The daemon's share of the fleet-wide budget of repeated send attempts, in a sliding window."""
 
 from collections import deque
 
 from hemlockswitch.core.clock import Clock
 
 SAFETY_SHARE = 0.75
-"""What is used of the budget at the most: windows of the daemons and of whoever counts overlap."""
+"""Maximum fraction of the budget that is used: the daemons' windows are not aligned with one another,
+nor with the window in which the limit is checked."""
 
 FIRST_SHARE = 1 - SAFETY_SHARE
-"""The same of the fixed part while processes that ended may have used theirs in the same window."""
+"""Maximum fraction of the fixed part that is used in a process's first window, since a previous process
+may have used its share in the same window."""
 
 
 class RepeatBudget:
-    """Bounds repeated sends to a service: a ratio of its requests and a fixed part.
+    """Limits repeated attempts at a service to a ratio of its requests plus a fixed number.
 
     Explanation
     ===========
 
-    In any window the repeats of all daemons together stay below ``ratio`` times the requests plus
-    ``extra``. Requests are counted where they arrive, so the first part adds up by itself; the
-    fixed part is divided by the number of daemons. A process in its first window does not know what
-    was spent in it before it started, so it uses only what is otherwise left as a safety.
+    In any window, the repeats of all daemons together stay below ``ratio`` times the requests plus
+    ``extra``. Each request is counted by the daemon that receives it, so the first part needs no
+    coordination; the fixed part is divided by the number of daemons. A process in its first window
+    cannot tell what was spent in the window before it started, so of the fixed part it uses only the
+    fraction that is otherwise the safety margin.
 
     Parameters
     ==========
 
-    ratio : repeats for each request.
-    extra : repeats in a window, over all daemons.
+    ratio : repeats allowed per request.
+    extra : repeats allowed per window in addition, over all daemons.
     window_ms : length of the window.
-    clock : the time.
+    clock : the process's clock.
 
     Examples
     ========
@@ -51,22 +54,23 @@
         self._repeats: dict[str, deque[float]] = {}
 
     def set_limits(self, ratio: float, extra: float, window_ms: float) -> None:
-        """Use other limits from now on."""
+        """Change the limits."""
         self._ratio = ratio
         self._extra = extra
         self._window_ms = window_ms
 
     def earn(self, service: str) -> None:
-        """Count one request of a caller."""
+        """Count one new request."""
         self._requests.setdefault(service, deque()).append(self._clock.now_ms())
 
     def take(self, service: str, daemons: int | None) -> bool:
-        """Spend one repeat; return False when none is left in this window.
+        """Spend one repeat; return False if none is left in this window.
 
         Parameters
         ==========
 
-        daemons : how many share the fixed part; None while that is not known, which leaves none of it.
+        daemons : number of daemons that share the fixed part; while it is None (undetermined), the
+            fixed part is not used.
         """
         requests = self._trim(self._requests.setdefault(service, deque()))
         repeats = self._trim(self._repeats.setdefault(service, deque()))
@@ -78,7 +82,7 @@
         return True
 
     def _find_fixed_share(self) -> float:
-        """Return how much of its part of the fixed budget this process may use."""
+        """Return the fraction of its share of the fixed part that this process may use."""
         is_first_window = self._clock.now_ms() - self._started_ms < self._window_ms
         return FIRST_SHARE if is_first_window else SAFETY_SHARE
 
