--- a/hemlockswitch/request/retries.py
+++ b/hemlockswitch/request/retries.py
@@ -1,4 +1,4 @@
-"""The retry budget: repeated work as a bounded ratio of new work."""
+"""The retry budget: limits retries to a ratio of new requests."""
 
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock
 
@@ -8,21 +8,22 @@
 
 
 class RetryBudget:
-    """How many more times requests may be sent again.
+    """Budget of retries, earned by new requests.
 
     Explanation
     ===========
 
-    Each new request earns `ratio` of a retry and each retry spends one, up to a burst that lets
-    the streams of a few lost backend servers continue at once. A small floor per second lets a
-    daemon with little traffic retry too. Without the budget a wave of failures would become a
-    wave of retries as large as the traffic itself.
+    Each new request earns `ratio` of a retry and each retry spends one. Unspent retries accumulate up
+    to a burst with which the streams of a few lost backend servers can continue immediately.
+    A small constant rate of retries allows a daemon with little traffic to retry too. Without the
+    budget, a wave of failures would cause as many retries as there are requests.
 
     Parameters
     ==========
 
     ratio : retries earned by one new request.
-    clock : the clock that paces the floor.
+    clock : clock for the constant rate.
+    burst : maximum and initial number of available retries.
 
     Examples
     ========
@@ -45,7 +46,7 @@
         self._paced_ms = clock.now_ms()
 
     def set_ratio(self, ratio: float) -> None:
-        """Use the ratio of a new revision."""
+        """Apply the ratio of a new revision."""
         self._ratio = ratio
 
     def earn(self) -> None:
@@ -53,7 +54,7 @@
         self._add(self._ratio)
 
     def take(self) -> bool:
-        """Spend one retry; return False when none is left."""
+        """Spend one retry; return False if none is left."""
         self._pace()
         if self._left < 1:
             return False
@@ -61,7 +62,7 @@
         return True
 
     def wait(self, patience_ms: float) -> bool:
-        """Spend one retry, waiting up to `patience_ms` for the floor to bring it."""
+        """Spend one retry, waiting up to `patience_ms` for the constant rate to provide it."""
         until_ms = self._clock.now_ms() + patience_ms
         while not self.take():
             if self._clock.now_ms() + WAIT_STEP_MS > until_ms:
@@ -79,13 +80,13 @@
 
 
 class Pace:
-    """Spaces out starts that cost no budget, such as those after an announced reclaim.
+    """Limits the rate of starts that cost no budget, such as those after an announced reclaim.
 
     Parameters
     ==========
 
-    per_second : most starts in a second.
-    clock : the clock that is waited on.
+    per_second : maximum number of starts per second.
+    clock : clock used to wait.
 
     Examples
     ========
@@ -104,7 +105,7 @@
         self._next_ms = clock.now_ms()
 
     def wait(self) -> None:
-        """Return when the caller's turn has come."""
+        """Wait until the next start is allowed."""
         now_ms = self._clock.now_ms()
         turn_ms = max(now_ms, self._next_ms)
         self._next_ms = turn_ms + self._gap_ms
