--- a/hemlockswitch/request/returns.py
+++ b/hemlockswitch/request/returns.py
@@ -1,4 +1,4 @@
-"""When refused callers are told to come back, one after another as slots become free."""
+"""Staggered retry times for refused callers, spaced by the rate at which slots become free."""
 
 from hemlockswitch.core.clock import Clock
 
@@ -6,13 +6,14 @@
 
 
 class ReturnTimes:
-    """The times promised to the callers refused so far.
+    """Assigns retry times to refused callers.
 
     Explanation
     ===========
 
-    If all were told the same time, all would come at once and most be refused again. Each is told
-    a time one freed slot later than the one before, at most `LATEST_RETURN_MS` from now.
+    If all callers were given the same time, they would retry simultaneously and most would be refused
+    again. Each caller's time is one freed slot later than the previous caller's, at most
+    `LATEST_RETURN_MS` from now.
 
     Examples
     ========
@@ -28,14 +29,14 @@
         self._promised_ms: dict[str, float] = {}
 
     def promise(self, target: str, wait_ms: float, slot_ms: float) -> float:
-        """Return after how long one more refused caller of `target` is to come back.
+        """Return the delay after which the next refused caller of `target` should retry.
 
         Parameters
         ==========
 
         target : the model or service.
-        wait_ms : when the queue is short enough for one more.
-        slot_ms : time between two slots that become free.
+        wait_ms : time until the queue has room for one more request.
+        slot_ms : mean interval at which a slot becomes free.
         """
         now_ms = self._clock.now_ms()
         after_last_ms = self._promised_ms.get(target, 0.0) + slot_ms
