--- a/hemlockswitch/request/rollout_credit.py
+++ b/hemlockswitch/request/rollout_credit.py
@@ -1,9 +1,9 @@
-"""How many requests a daemon may send to a version that is not judged yet.
+"""Limit on the requests that a daemon may send to a version during its rollout.
 
-The bound is over all daemons and the whole time of the order: a share of all requests for the service,
-and a fixed number more. Each daemon keeps to its part by itself. It may send the same share of the
-requests that it has seen itself, so the sum stays under the bound whoever is cut off, frozen or started
-again, and whatever the demand does.
+The limit covers all daemons and the complete duration of the rollout order: a share of all requests for
+the service, plus a fixed number. Each daemon enforces its part without coordination: it may send the
+given share of the requests that it receives itself. The sum therefore stays within the limit when
+daemons are disconnected, frozen or restarted, and however the demand changes.
 """
 
 import random
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True)
 class ExposureBound:
-    """The bound over all daemons.
+    """Limit on the requests sent to the new version, over all daemons.
 
     Parameters
     ==========
 
-    share : part of the requests for the service.
-    slack : how many requests more.
+    share : fraction of the requests for the service.
+    slack : number of requests in addition.
     """
 
     share: float
@@ -26,31 +26,32 @@
 
 
 TRIAL_SHARE = 0.5
-"""Part of the bound's share that is spent on trying the new version; the rest is for the move."""
+"""Fraction of the bound's share that is spent on trials of the new version; the remaining fraction is
+spent on moving requests to it."""
 TRIAL_SLACK = 0.2
 MOVE_SLACK = 0.5
-"""Parts of the bound's slack; what is left covers that daemons round."""
+"""Fractions of the bound's slack; the remaining fraction covers rounding by the daemons."""
 
 
 class ExposureCredit:
-    """What one daemon may still send to a version that is not judged yet.
+    """Number of requests that one daemon may still send to a version without a verdict.
 
     Explanation
     ===========
 
-    Requests earn credit in fractions, and a send costs one. All credit begins at a random fraction,
-    so that the sum over many daemons that each see few requests is right on average.
+    Each request earns a fraction of a credit, and an attempt costs one credit. All credits start at a
+    random fraction, so that the sum over many daemons with few requests each is correct on average.
 
-    Trials are divided evenly over the routes: a rare route needs as many answers as a frequent one to
-    be judged.
+    Trials are divided evenly among the routes, as a rare route needs as many answers for a verdict as a
+    frequent one.
 
     Parameters
     ==========
 
-    bound : the bound over all daemons.
-    daemons : how many share it; None for a daemon that gets no part of the slack, as one that was
-        started again may have spent it before.
-    chance : source of random numbers.
+    bound : the limit over all daemons.
+    daemons : number of daemons that share it; None for a daemon without a part of the slack, since a
+        daemon that was restarted may have spent its part before.
+    chance : random number generator.
     """
 
     def __init__(self, bound: ExposureBound, daemons: int | None, chance: random.Random) -> None:
@@ -74,24 +75,24 @@
         self._earned += share
 
     def may_try(self, route: str) -> bool:
-        """Return whether a request of a route may try the new version."""
+        """Return whether a request of a route may be sent to the new version as a trial."""
         return self._by_route.get(route, 0.0) >= 1
 
     def may_move(self) -> bool:
-        """Return whether a request may move to the new version before the order is closed."""
+        """Return whether a request may move to the new version before the rollout is completed."""
         return self._move >= 1
 
     def find_bound(self) -> float:
-        """Return how many requests this daemon may have sent to the new version by now."""
+        """Return the maximum number of requests that this daemon may have sent to the new version."""
         return self._earned
 
     def pay(self, route: str) -> None:
-        """Count one send to the new version."""
+        """Count one attempt sent to the new version."""
         if self.may_try(route) or not self.may_move():
             self._by_route[route] = self._by_route.get(route, 0.0) - 1
         else:
             self._move -= 1
 
     def _round(self) -> float:
-        """Return a random fraction, for a sum that is only ever used in whole steps."""
+        """Return a random fraction, which rounds a credit that is only spent in units of 1."""
         return self._chance.random()
