--- a/hemlockswitch/request/rollout_verdict.py
+++ b/hemlockswitch/request/rollout_verdict.py
@@ -1,9 +1,9 @@
-"""Whether a new version of a service answers as well as the one in force: sequential tests.
+"""Sequential tests of whether a new version of a service answers as well as the current one.
 
-Answers of both versions are counted at the same time, by route. For each route, and for all routes
-together, the counts of the new version are tested against the rate of the one in force by Wald's
-sequential probability ratio test, once for failures and once for slow answers. The test may be looked
-at after every answer without changing its error rates.
+Answers of both versions are counted over the same period, by route. For each route, and for all routes
+together, the counts of the new version are tested against the rate of the current one by Wald's
+sequential probability ratio test, separately for failures and slow answers. The test can be evaluated
+after every answer without affecting its error rates.
 """
 
 import math
@@ -20,9 +20,9 @@
     Parameters
     ==========
 
-    answers : sends whose outcome is known.
-    failures : of these, how many failed.
-    slow : of these, how many took far longer than was predicted for their server.
+    answers : attempts with a recorded outcome.
+    failures : those that failed.
+    slow : those that took far longer than predicted for their server.
     """
 
     answers: int = 0
@@ -36,13 +36,13 @@
 
     @property
     def bad(self) -> int:
-        """How many answers were bad."""
+        """Number of failures and slow answers."""
         return self.failures + self.slow
 
 
 @dataclass(frozen=True)
 class RouteTallies:
-    """Answers on one route, of the version that is moved to and of those in force."""
+    """Answers on one route, of the new version (`target`) and of the current versions (`others`)."""
 
     target: Tally = Tally()
     others: Tally = Tally()
@@ -52,7 +52,7 @@
 
 
 class Verdict(StrEnum):
-    """What the counts say of the new version."""
+    """Result of the tests of the new version."""
 
     UNDECIDED = "undecided"
     GOOD = "good"
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True)
 class RateTest:
-    """One sequential test of a rate against that of the version in force.
+    """A sequential test of a rate of bad answers against that of the current version.
 
     Parameters
     ==========
 
-    prior_bad, prior_answers : what is assumed of the version in force before its answers come.
-    lowest, highest : between these its rate is taken to be.
-    excess : how much more of the answers must be bad for a version to count as bad.
+    prior_bad, prior_answers : assumed counts of the current version before it has answered.
+    lowest, highest : bounds to which the rate of the current version is clamped.
+    excess : increase of the rate from which a version counts as bad.
     """
 
     prior_bad: float
@@ -78,7 +78,7 @@
     excess: float
 
     def weigh(self, bad: int, answers: int, others_bad: int, others_answers: int) -> float:
-        """Return the logarithm of the likelihood ratio; positive speaks against the new version.
+        """Return the log-likelihood ratio; positive values are evidence against the new version.
 
         Examples
         ========
@@ -98,19 +98,19 @@
 FAILURE_TEST = RateTest(prior_bad=0.5, prior_answers=25.0, lowest=0.015, highest=0.6, excess=0.15)
 SLOW_TEST = RateTest(prior_bad=1.0, prior_answers=10.0, lowest=0.05, highest=0.5, excess=0.4)
 BAD_WEIGHT = 7.0
-"""Natural logarithm: one good version in a thousand reaches it in a test."""
+"""Natural logarithm of a likelihood ratio: one good version in a thousand reaches it in a test."""
 GOOD_WEIGHT = 0.0
-"""Below it the answers of all routes together speak for the new version."""
+"""At or below it, the answers of all routes together are evidence for the new version."""
 FEWEST_ANSWERS = 20
 FEWEST_ON_ROUTE = 3
 MOST_ROUTE_WEIGHT = 2.0
-"""A route on which this much speaks against the new version keeps it from being good."""
+"""A route with more evidence than this against the new version prevents the verdict `GOOD`."""
 MOST_BAD = 40
-"""With so many bad answers, that the version is more likely bad than good is enough to stop."""
+"""From this number of bad answers on, a positive log-likelihood ratio suffices for the verdict `BAD`."""
 
 
 def judge(routes: Mapping[str, RouteTallies]) -> Verdict:
-    """Return what the counts by route say of the new version.
+    """Return the verdict on the new version from the counts by route.
 
     Examples
     ========
@@ -134,7 +134,7 @@
 
 
 def weigh_route(one: RouteTallies) -> tuple[float, float]:
-    """Return what speaks against the new version by its failures, and by its slow answers."""
+    """Return the log-likelihood ratios of the failures and of the slow answers on a route."""
     target, others = one.target, one.others
     return (
         FAILURE_TEST.weigh(target.failures, target.answers, others.failures, others.answers),
@@ -143,7 +143,7 @@
 
 
 def _has_evidence(routes: Iterable[RouteTallies], whole: RouteTallies) -> bool:
-    """Return whether the new version was tried often enough, on every route that is in use."""
+    """Return whether the new version has enough answers in total and on every route in use."""
     if whole.target.answers < FEWEST_ANSWERS:
         return False
     return all(
