--- a/hemlockswitch/request/unreached.py
+++ b/hemlockswitch/request/unreached.py
@@ -1,22 +1,22 @@
-"""How long a request looks for a server that can be connected to."""
+"""Limit on the search of a request for a backend server that accepts a connection."""
 
 from hemlockswitch.core.clock import Clock
 
 MOST_UNREACHED = 12
 MOST_UNREACHED_MS = 1_500.0
-"""Servers that cannot be connected to and are tried before a request is given up, and how long from the
-first one. When a large share of the servers is lost at once, a few tries may all meet lost ones."""
+"""Number of failed connections after which a request is given up, and the time limit from the first one.
+When a large share of the servers is lost at once, several attempts in a row may choose lost ones."""
 
 
 class UnreachedServers:
-    """The servers that one request could not be connected to.
+    """Counts the servers to which no connection could be made for one request.
 
-    Nothing was sent to them, so they count neither as attempts nor against a budget of repeats.
+    Nothing was sent to them, so they count neither as attempts nor against the retry budgets.
 
     Parameters
     ==========
 
-    clock : the time.
+    clock : the process's clock.
 
     Examples
     ========
@@ -33,7 +33,7 @@
         self._since_ms: float | None = None
 
     def may_try_another(self) -> bool:
-        """Count one more server, and return whether another one may be tried."""
+        """Count one unreachable server, and return whether another one may be tried."""
         now_ms = self._clock.now_ms()
         if self._since_ms is None:
             self._since_ms = now_ms
