--- a/hemlockswitch/request/__init__.py
+++ b/hemlockswitch/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request: admission, routing, relay, continuation, claims."""
+"""Processing of a single request: admission, routing, relay, continuation and claims."""
