--- a/hemlockswitch/request/chunks.py
+++ b/hemlockswitch/request/chunks.py
@@ -1,4 +1,4 @@
-"""Engine events checked one by one, and rewritten for the caller, without JSON work for most."""
+"""Checks engine events and rewrites them for the caller, without parsing most of them as JSON."""
 
 import json
 import re
@@ -16,7 +16,7 @@
 
 
 class Verdict(StrEnum):
-    """What a checked event is worth."""
+    """Classification of an engine event."""
 
     TOKEN = "token"
     FINISH = "finish"
@@ -27,15 +27,15 @@
 
 @dataclass(frozen=True)
 class Checked:
-    """An event that was checked.
+    """Result of checking an event.
 
     Parameters
     ==========
 
-    verdict : what it is.
-    content : the token's text, for `TOKEN`, and for a `FINISH` that carries text.
-    event : the event as the caller gets it, without the id line.
-    usage : the engine's usage, with the last chunk.
+    verdict : classification of the event.
+    content : the token's text, for `TOKEN`, and for a `FINISH` that contains text.
+    event : the event in its form for the caller, without the id line.
+    usage : the usage reported by the engine in the last chunk.
     """
 
     verdict: Verdict
@@ -50,7 +50,7 @@
 
 
 class EventSplitter:
-    """Cuts the bytes of a stream into whole events.
+    """Splits the bytes of a stream into complete events.
 
     Examples
     ========
@@ -71,14 +71,14 @@
         Raises
         ======
 
-        ValueError : an event is larger than any engine's.
+        ValueError : an event exceeds `MAX_EVENT_BYTES`.
         """
         if self._rest:
             data = self._rest + data
         events = data.split(SEPARATOR)
         self._rest = events.pop()
         if len(self._rest) > MAX_EVENT_BYTES:
-            raise ValueError("an event without an end")
+            raise ValueError("an event exceeds the size limit without an end")
         return events
 
 
@@ -88,18 +88,18 @@
     Explanation
     ===========
 
-    The first token event is parsed as JSON and checked field by field. What stands before and
-    after its content is then kept, and later events that match both byte for byte are proved
-    equal in form; only their content is new. Anything else is parsed again.
+    The first token event is parsed as JSON and checked field by field. The bytes before and after its
+    content are then stored as a template. Later events that match the template byte for byte differ
+    only in their content and need no parsing. All other events are parsed.
 
     Parameters
     ==========
 
-    stream_id : the id that this attempt gave the engine.
-    request_id : the id that the caller sees in its place.
-    own_ids : stream ids of earlier attempts; their late chunks are ignored, not an error.
+    stream_id : the id under which this attempt was sent to the engine.
+    request_id : the id that replaces it in the events for the caller.
+    own_ids : stream ids of earlier attempts; their late chunks are ignored rather than invalid.
 
-    `before_out` and `after_out` stand around a matched content in the caller's event.
+    `before_out` and `after_out` enclose the content of a matched event in the caller's event.
     """
 
     def __init__(
@@ -114,7 +114,7 @@
         self.after_out = b""
 
     def match_token(self, event: bytes, position: int) -> bytes | None:
-        """Return the content of an event in the form kept, or None when it must be parsed."""
+        """Return the content of an event that matches the template, or None if it must be parsed."""
         if not self._before:
             return None
         start = b"%b%d%b" % (self._id_line, position, self._before)
@@ -124,7 +124,7 @@
         return found[0] if found else None
 
     def check(self, event: bytes, position: int) -> Checked:
-        """Return the verdict on `event` when `position` is the next one wanted."""
+        """Return the result of checking `event`, where `position` is the next expected position."""
         content = self.match_token(event, position)
         if content is None:
             return self._check_slowly(event, position)
@@ -168,7 +168,7 @@
         return Checked(Verdict.TOKEN, text, _encode(chunk))
 
     def _learn(self, event: bytes, content: bytes) -> None:
-        """Keep the form around the content where the content stands plainly and once."""
+        """Store the template if the content occurs exactly once and contains no escapes."""
         quoted = b'"content": "' + content + b'"'
         if self._before or not content or any(mark in content for mark in _ESCAPES):
             return
@@ -190,7 +190,7 @@
 
 
 def rewrite_usage(event: bytes, completion_tokens: int) -> bytes:
-    """Return a last chunk whose usage counts the whole answer, not its last attempt alone."""
+    """Return the last chunk with its usage counting the complete answer, not only the last attempt."""
     chunk = json.loads(event.removeprefix(b"\ndata: "))
     usage = chunk.get("usage")
     if usage is not None:
