--- a/hemlockswitch/request/claims.py
+++ b/hemlockswitch/request/claims.py
@@ -1,4 +1,4 @@
-"""Claims: what a call with an idempotency key leaves behind so that it runs at most once."""
+"""Claims: stored records of calls with an idempotency key, which ensure that each runs at most once."""
 
 import base64
 import hashlib
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True)
 class StoredAnswer:
-    """A service's whole answer, as a caller gets it and a claim keeps it.
+    """A service's complete answer, as sent to the caller and stored in a claim.
 
     Parameters
     ==========
 
     status : HTTP status.
-    headers : the headers passed on to the caller, in lower case.
+    headers : the headers relayed to the caller, with names in lower case.
     body : the body.
     """
 
@@ -35,16 +35,16 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """How a claimed call ended.
+    """Result of a claimed call.
 
     Parameters
     ==========
 
-    ran : whether the service ran it; ``no`` marks a claim that was given back.
-    status, headers, body : the answer, where there is one; `body` is None when it or the headers
-        were too large to keep.
-    size_bytes, digest : of the whole body.
-    error : the error kind, where there is no answer.
+    ran : whether the service ran it; ``no`` marks a claim that was released.
+    status, headers, body : the answer, if there is one; `body` is None if it or the headers were too
+        large to store.
+    size_bytes, digest : of the complete body.
+    error : the error kind, if there is no answer.
     """
 
     ran: Ran
@@ -83,7 +83,7 @@
 
     @classmethod
     def from_value(cls, value: Mapping[str, Any]) -> "Outcome":
-        """Return the outcome that `to_value` wrote."""
+        """Return the outcome from the form written by `to_value`."""
         body = value.get("body")
         return cls(
             Ran(value["ran"]),
@@ -111,21 +111,23 @@
         return value
 
     def replay(self) -> StoredAnswer:
-        """Return the kept answer to a repeat.
+        """Return the stored answer for a repeated call.
 
         Raises
         ======
 
-        RequestError : there is no answer, or its body was too large to keep; `ran` says what is
-            known.
+        RequestError : there is no answer, or its body was too large to store; `ran` states whether the
+            call ran.
         """
         if not self.status:
             kind = ErrorKind(self.error) if self.error else ErrorKind.OUTCOME_UNKNOWN
-            raise RequestError(kind, "the first call with this key ended so", ran=self.ran)
+            raise RequestError(
+                kind, "the first call with this idempotency key ended with this error", ran=self.ran
+            )
         if self.body is None:
             detail = (
                 f"the call ran and was answered with status {self.status}; its body of "
-                f"{self.size_bytes} bytes, sha256 {self.digest}..., was not kept"
+                f"{self.size_bytes} bytes, sha256 {self.digest}..., was not stored"
             )
             raise RequestError(ErrorKind.OUTCOME_UNKNOWN, detail, ran=Ran.YES)
         return StoredAnswer(self.status, self.headers, self.body)
@@ -133,17 +135,17 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """One dispatch of a key's call, written before it.
+    """Record of one dispatch of a call with an idempotency key, written before the dispatch.
 
     Parameters
     ==========
 
-    claim_id : names this dispatch; a writer recognises its own claim by it.
-    fingerprint : hash of what the call asks for.
+    claim_id : identifies this dispatch; a writer recognises its own claim by it.
+    fingerprint : hash of the call's content.
     holder : the daemon that dispatches.
-    made_wall_ms : when it was made; retention counts from here.
-    ends_wall_ms : when its dispatch must have ended.
-    outcome : how it ended, once known.
+    made_wall_ms : creation time, from which the retention period counts.
+    ends_wall_ms : time by which the dispatch must have ended.
+    outcome : result of the call; None until it is recorded.
     """
 
     claim_id: str
@@ -155,13 +157,13 @@
 
     @classmethod
     def make(cls, fingerprint: str, holder: str, now_wall_ms: int, term_ms: int) -> "Claim":
-        """Return a new claim with an identifier of its own."""
+        """Return a new claim with a unique identifier."""
         ends_wall_ms = now_wall_ms + term_ms
         return cls(make_identifier("claim"), fingerprint, holder, now_wall_ms, ends_wall_ms)
 
     @classmethod
     def from_value(cls, value: Mapping[str, Any]) -> "Claim":
-        """Return the claim that `to_value` wrote."""
+        """Return the claim from the form written by `to_value`."""
         outcome = value.get("outcome")
         return cls(
             value["id"],
@@ -195,7 +197,7 @@
 
 
 class Claims(Protocol):
-    """Who makes sure that a key's call is dispatched once in the whole system."""
+    """Ensures that the call of an idempotency key is dispatched at most once in the complete system."""
 
     def run_once(
         self,
@@ -205,11 +207,11 @@
         dispatch: Callable[[], StoredAnswer],
         limit_ms: float,
     ) -> StoredAnswer:
-        """Return the key's answer, from `dispatch` or from an earlier call."""
+        """Return the answer for the key, from `dispatch` or from an earlier call."""
 
 
 def digest_key(account: str, key: str) -> str:
-    """Return the name under which the claim of an account's key is kept.
+    """Return the name under which the claim of an account's idempotency key is stored.
 
     Raises
     ======
@@ -223,12 +225,12 @@
     True
     """
     if not 0 < len(key) <= MAX_KEY_CHARACTERS:
-        detail = f"an idempotency key has 1 to {MAX_KEY_CHARACTERS} characters"
+        detail = f"an idempotency key must have 1 to {MAX_KEY_CHARACTERS} characters"
         raise RequestError(ErrorKind.BAD_REQUEST, detail)
     text = f"{len(account)}:{account}{key}"
     return hashlib.sha256(text.encode("utf-8", "surrogateescape")).hexdigest()[:DIGEST_CHARACTERS]
 
 
 def fingerprint_call(method: str, service: str, path: str, query: str, body: bytes) -> str:
-    """Return a hash of what a call asks for; the same key with another one is refused."""
+    """Return a hash of a call's content; a reused key with a different hash is refused."""
     return hash_call((method, service, path, query), body)
