--- a/hemlockswitch/request/dialect.py
+++ b/hemlockswitch/request/dialect.py
@@ -1,6 +1,6 @@
-"""What forwarding needs to read and write of a wire format, without knowing its names.
+"""Interface through which forwarding reads and writes a wire format.
 
-An adapter implements `Dialect`. It translates and decides nothing.
+An adapter implements `Dialect`. It only translates; all decisions are made in forwarding.
 """
 
 from dataclasses import dataclass
@@ -14,12 +14,12 @@
 from hemlockswitch.core.errors import RequestError
 
 Chain = tuple[tuple[int, int], ...]
-"""Beginnings of a prompt: (hash, tokens of the last part) each, the shortest first."""
+"""Prefixes of a prompt as (hash, tokens of the last part), the shortest first."""
 
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt that requests may share, and its size in tokens."""
+    """A part of a prompt that requests may share, and its length in tokens."""
 
     identifier: str
     tokens: int
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True)
 class Prompt:
-    """What a model request declares of its work.
+    """The prompt of a model request, as declared by the request.
 
     Parameters
     ==========
 
-    parts : in order; the last one belongs to the request or its session alone.
-    input_tokens : size of the whole prompt.
-    most_output_tokens : bound of the answer.
+    parts : the parts in order; the last one is specific to the request or its session.
+    input_tokens : length of the complete prompt.
+    most_output_tokens : maximum length of the answer.
     """
 
     parts: tuple[PromptPart, ...] = ()
@@ -43,9 +43,9 @@
 
     @cached_property
     def shared_chain(self) -> Chain:
-        """The beginnings of the prompt that others may share, each longer than the one before.
+        """The prefixes of the prompt that other requests may share, in order of length.
 
-        Each is a hash of all parts up to its end, and the tokens that its last part adds.
+        Each has a hash of all parts up to its end, and the number of tokens that its last part adds.
         """
         digest = xxhash.xxh32()
         chain = []
@@ -56,23 +56,23 @@
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
-        """The parts that other requests may have as well."""
+        """The parts that other requests may contain too."""
         return self.parts[:-1]
 
 
 @dataclass(frozen=True)
 class RequestFacts:
-    """What a request says of itself.
+    """Properties parsed from a request.
 
     Parameters
     ==========
 
     request_id : the caller's identifier of this attempt.
-    host : the host that it asks for, without a port.
-    key : the account's key, or None.
-    time_left_ms : how long the caller will wait; None if it does not say.
-    prompt : for model requests.
-    last_event_id : the last event that the caller has of an earlier answer; empty if none.
+    host : the requested host, without the port.
+    key : the API key of the client account, or None.
+    time_left_ms : how long the caller waits; None if the request does not state it.
+    prompt : the prompt of a model request, else None.
+    last_event_id : the last event of an earlier answer that the caller received; empty if none.
     """
 
     request_id: str
@@ -85,16 +85,16 @@
 
 @dataclass(frozen=True)
 class SendFields:
-    """What this system adds to a request that it sends on.
+    """Fields that are added to a forwarded request.
 
     Parameters
     ==========
 
-    server_name : the only backend server that may run it.
-    time_left_ms : how long the answer is of use.
-    account : the client account, or empty.
+    server_name : the only backend server that may run the request.
+    time_left_ms : time until the caller's deadline.
+    account : name of the client account, or empty.
     urgency : 0 is the most urgent.
-    last_event_id : the last event that was relayed, to go on after it; empty at the beginning.
+    last_event_id : the last relayed event, after which the answer is to continue; empty at the start.
     """
 
     server_name: str
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True)
 class ReportedSlots:
-    """The load that a backend server states in an answer."""
+    """The load that a backend server reports in an answer."""
 
     running: int
     waiting: int
@@ -117,7 +117,7 @@
     """Reads and writes the messages of callers and backend servers."""
 
     def decode_request(self, request: ReceivedRequest) -> RequestFacts:
-        """Return what the request says; raise a `RequestError` if it cannot be read."""
+        """Return the request's properties; raise `RequestError` if it cannot be parsed."""
 
     def encode_request(
         self, request: ReceivedRequest, facts: RequestFacts, fields: SendFields
@@ -128,24 +128,24 @@
         """Return whether the answer belongs to the request."""
 
     def states_not_run(self, answer: ParsedAnswer) -> bool:
-        """Return whether the backend server says that it did not run the request."""
+        """Return whether the answer states that the backend server did not run the request."""
 
     def is_genuine(self, answer: ParsedAnswer) -> bool:
-        """Return whether the answer is certainly the backend server's own."""
+        """Return whether the answer certainly comes from the backend server itself."""
 
     def read_slots(self, answer: ParsedAnswer) -> ReportedSlots | None:
-        """Return the load stated in the answer, if any."""
+        """Return the load reported in the answer, if any."""
 
     def select_answer_headers(self, answer: ParsedAnswer) -> list[Header]:
-        """Return the headers that go on to the caller."""
+        """Return the headers to relay to the caller."""
 
     def describe_error(self, error: RequestError, request_id: str) -> "ErrorReply":
-        """Return the answer to a request that failed here."""
+        """Return the answer for a request that failed with `error`."""
 
 
 @dataclass(frozen=True)
 class ErrorReply:
-    """An answer of this system's own."""
+    """An error answer generated by this process rather than a backend server."""
 
     status: int
     reason: str
