--- a/hemlockswitch/request/event_stream.py
+++ b/hemlockswitch/request/event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events of a server-sent event stream, so that a cut inside one is never passed on."""
+"""Splits a server-sent event stream into complete events, so that a truncated one is never relayed."""
 
 from dataclasses import dataclass
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True)
 class WholeEvents:
-    """Events that are complete, and the identifier of the last one that has any."""
+    """Complete events, and the identifier of the last event that has one."""
 
     data: bytes
     last_id: str
 
 
 class EventSplitter:
-    """Collects the bytes of a stream and gives out whole events.
+    """Buffers the bytes of a stream and returns complete events.
 
     Examples
     ========
@@ -31,11 +31,11 @@
 
     @property
     def rest(self) -> bytes:
-        """The bytes of an event that is not complete."""
+        """The bytes of an incomplete event."""
         return self._rest
 
     def feed(self, data: bytes) -> WholeEvents:
-        """Add `data` and return what is complete by now."""
+        """Add `data` and return the events that it completes."""
         self._rest += data
         ends = (self._rest.rfind(mark) + len(mark) for mark in EVENT_ENDS if mark in self._rest)
         end = max(ends, default=0)
@@ -44,7 +44,7 @@
 
 
 def find_last_id(events: bytes) -> str:
-    """Return the last ``id`` field in whole events, or an empty text.
+    """Return the last ``id`` field in complete events, or an empty string.
 
     Examples
     ========
