--- a/hemlockswitch/request/forwarding.py
+++ b/hemlockswitch/request/forwarding.py
@@ -1,7 +1,7 @@
-"""Forwarding of one request: admitted, sent to a backend server, and relayed to its caller.
+"""Forwarding of a request: admission, send attempts to backend servers, and the reply to the caller.
 
-`Forwarder` follows a request over all its sends. What may be sent again, and what a failure may
-be answered with, is decided by `request/send_states.py`; where it goes by the view's placement.
+`Forwarder` manages a request over all its attempts. `request/send_states.py` decides whether it may be
+sent again and which error a failure is answered with; the view's placement chooses the server.
 """
 
 from dataclasses import dataclass
@@ -41,15 +41,15 @@
 from hemlockswitch.version.backend import BackendServer
 
 COME_BACK_MS = 500
-"""When to come back if no server could take the request: about the time in which a started copy
-or a repaired list of servers shows up."""
+"""Retry delay for the caller if no server could take the request: about the time until a started copy or
+a corrected list of servers becomes visible."""
 START_WAIT_SHARE = 0.25
-"""Part of a request's time for which it may wait while this process starts."""
+"""Fraction of the time to its deadline that a request may wait while this process starts."""
 
 
 @dataclass(frozen=True)
 class _Answered:
-    """The server that has answered a request completely, and when it was sent there."""
+    """The server that has answered a request completely, and the time of the attempt."""
 
     server: BackendServer
     sent_ms: float
@@ -62,13 +62,13 @@
     ==========
 
     dialect : the wire format of callers and backend servers.
-    view : what the process knows.
-    limiter : the limits of client accounts.
+    view : the process's state of configuration and servers.
+    limiter : enforces the limits of client accounts.
     pool : connections to backend servers.
-    guard : holds back requests under which servers end.
-    budget : bounds repeated sends.
-    observer : hears what happens.
-    clock : the time.
+    guard : refuses quarantined requests.
+    budget : limits repeated attempts.
+    observer : is notified of attempts and of the end of requests.
+    clock : the process's clock.
     """
 
     def __init__(
@@ -93,11 +93,11 @@
         self._is_leaving = False
 
     def stop_admitting(self) -> None:
-        """Refuse every request from now on; those in progress are finished."""
+        """Refuse all new requests; those in progress continue."""
         self._is_leaving = True
 
     def abandon_zone(self, zone: str) -> None:
-        """End the sends to a zone that cannot be reached, of requests that may be sent again."""
+        """Close the attempts in an unreachable zone whose requests may be sent again."""
         self._sender.abandon_zone(zone)
 
     def handle(self, request: ReceivedRequest, reply: Reply) -> None:
@@ -119,7 +119,9 @@
         progress.facts = self._dialect.decode_request(request)
         self._view.await_synced(find_start_wait_ms(progress.facts))
         if self._is_leaving:
-            raise RequestError(ErrorKind.LEAVING, "this process ends before it could answer")
+            raise RequestError(
+                ErrorKind.LEAVING, "this process is shutting down and accepts no requests"
+            )
         admitted = admit_request(self._view.get_table(), request, progress.facts, self._limiter)
         progress.admitted = admitted
         progress.last_event_id = progress.facts.last_event_id
@@ -139,7 +141,7 @@
     def _send_until_answered(
         self, progress: Progress, admitted: AdmittedRequest, reply: Reply
     ) -> _Answered:
-        """Return which server has answered completely."""
+        """Make attempts until a server has answered completely, and return that server."""
         while True:
             if admitted.deadline_ms <= self._clock.now_ms():
                 raise OverdueError
@@ -153,7 +155,7 @@
                 self._prepare_again(progress, admitted, placement, failed, reply)
 
     def _clear(self, progress: Progress, admitted: AdmittedRequest, reply: Reply) -> None:
-        """Raise if the request is held back; what is answered depends on what became of it so far."""
+        """Raise if the request is quarantined; the error depends on whether it may have run."""
         ran = Ran.NO if progress.state is SendState.NOT_RUN else Ran.UNKNOWN
         try:
             progress.clearance = clear_request(
@@ -167,7 +169,11 @@
     def _note_answered(
         self, progress: Progress, admitted: AdmittedRequest, answered: _Answered
     ) -> None:
-        """Tell the guard of an answer; one without a length also seems whole when its server ended."""
+        """Report an answer to the guard.
+
+        An answer that ends with the connection appears complete also if its server has crashed, so the
+        guard first checks for a crash.
+        """
         if progress.ended_with_connection and self._guard.note_broken(admitted, answered.server):
             return
         self._guard.note_answered(admitted, answered.server, answered.sent_ms)
@@ -189,20 +195,22 @@
             self._check_queue(progress, admitted, placement)
             return placement
         if reply.begun:
-            raise CallerLeftError("no server is left for the rest of the answer")
+            raise CallerLeftError("no server is left to continue the answer")
         if progress.state is SendState.NOT_RUN:
-            detail = f"no server of {admitted.service} is known"
+            detail = f"no backend server for service {admitted.service}"
             raise RequestError(ErrorKind.NO_BACKEND, detail, retry_after_ms=COME_BACK_MS)
-        raise RequestError(ErrorKind.OUTCOME_UNKNOWN, "no other server is left")
+        raise RequestError(
+            ErrorKind.OUTCOME_UNKNOWN, "no backend server is left for another attempt"
+        )
 
     @staticmethod
     def _check_queue(progress: Progress, admitted: AdmittedRequest, placement: Placement) -> None:
-        """Refuse a new model request that would wait too long; one under way goes on."""
+        """Refuse a new model request that would wait too long; one that was already sent continues."""
         if admitted.facts.prompt is None or progress.sends or progress.last_event_id:
             return
         return_ms = find_return_ms(placement, admitted.queue_bound)
         if return_ms is not None:
-            detail = f"a first event is expected after {placement.expected_ms:.0f} ms"
+            detail = f"overloaded: the first event is expected after {placement.expected_ms:.0f} ms"
             raise RequestError(ErrorKind.OVERLOADED, detail, retry_after_ms=round(return_ms))
 
     def _prepare_again(
@@ -213,7 +221,7 @@
         failed: SendFailedError,
         reply: Reply,
     ) -> None:
-        """Note a failed send; raise when the request must not or cannot be sent again."""
+        """Record a failed attempt; raise if the request must not or cannot be sent again."""
         self._observer.attempt_failed(progress, failed.failure, failed.detail)
         progress.in_flight = False
         verdict = judge_failure(
@@ -225,8 +233,8 @@
         progress.state = verdict.state
         progress.excluded.append(placement.candidate.server.incarnation)
         if failed.was_cut:
-            # The server is asked for a connection, and meanwhile the request's time may be up: what
-            # is known of its execution must stand by then.
+            # The guard tries to connect to the server, and the deadline may pass meanwhile: the
+            # state of the request must be updated before.
             self._guard.note_broken(admitted, placement.candidate.server)
         if verdict.may_send_again and self._may_spend(progress, admitted, failed):
             return
@@ -235,7 +243,7 @@
     def _may_spend(
         self, progress: Progress, admitted: AdmittedRequest, failed: SendFailedError
     ) -> bool:
-        """Return whether attempts and budget allow another send."""
+        """Return whether the limits on attempts and the budget allow another attempt."""
         if failed.failure is SendFailure.UNREACHABLE:
             return progress.unreached.may_try_another()
         if len(progress.sends) >= admitted.route.max_attempts:
@@ -255,7 +263,7 @@
     def _give_up_overdue(self, progress: Progress, reply: Reply) -> None:
         if reply.begun:
             progress.outcome = "overdue_midway"
-            raise CallerLeftError("the time is up inside the answer")
+            raise CallerLeftError("the deadline passed while the answer was relayed")
         verdict = judge_failure(
             progress.state,
             SendFailure.OVERDUE,
@@ -264,10 +272,10 @@
         )
         assert verdict.answer is not None
         progress.state = verdict.state
-        raise RequestError(verdict.answer, "the time is up")
+        raise RequestError(verdict.answer, "the deadline of the request has passed")
 
     def _answer_error(self, progress: Progress, reply: Reply, error: RequestError) -> None:
-        """Answer a request that failed here, unless its answer has begun."""
+        """Answer a request with an error."""
         progress.outcome = error.kind.value
         progress.detail = error.detail
         request_id = progress.facts.request_id if progress.facts else ""
@@ -276,9 +284,9 @@
 
 
 def find_start_wait_ms(facts: RequestFacts) -> float:
-    """Return how long a request may wait for a process that starts.
+    """Return how long a request may wait while the process starts.
 
-    It is not longer than a refusal would send the caller away for, who may ask again only once.
+    The wait does not exceed the retry delay of a refusal, as the caller may retry only once.
     """
     if facts.time_left_ms is None:
         return COME_BACK_MS
