--- a/hemlockswitch/request/generation.py
+++ b/hemlockswitch/request/generation.py
@@ -1,4 +1,4 @@
-"""One accepted model request: its prompt, what was relayed, and the attempt in progress."""
+"""State of an accepted model request: its prompt, the relayed tokens, and the current attempt."""
 
 import json
 from dataclasses import dataclass, field
@@ -17,7 +17,7 @@
 
 
 class Cause(StrEnum):
-    """Why an attempt began; recomputed tokens are counted by it."""
+    """Reason for an attempt; recomputed tokens are counted by it."""
 
     FIRST = "first"
     RECLAIM = "reclaim"
@@ -27,7 +27,7 @@
 
 
 class Message(BaseModel):
-    """One message of a chat; fields not known here go on to the engine."""
+    """One message of a chat; additional fields are passed to the engine unchanged."""
 
     model_config = ConfigDict(extra="allow", frozen=True)
 
@@ -36,7 +36,7 @@
 
 
 class ChatRequest(BaseModel):
-    """The body of a model request, checked at the border; other fields go on to the engine."""
+    """The validated body of a model request; additional fields are passed to the engine unchanged."""
 
     model_config = ConfigDict(extra="allow", frozen=True, strict=True)
 
@@ -47,12 +47,12 @@
 
     @classmethod
     def from_body(cls, body: bytes) -> Self:
-        """Check a caller's body.
+        """Parse and validate a caller's body.
 
         Raises
         ======
 
-        RequestError : `BAD_REQUEST` with the path of each mistake.
+        RequestError : `BAD_REQUEST` with the path of each invalid field.
         """
         try:
             return cls.model_validate_json(body)
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class GenerationState:
-    """All that another daemon needs to go on with a generation; msgpack-ready."""
+    """Serializable state (msgpack) from which another daemon can continue a generation."""
 
     request_id: str
     account: str
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True)
 class Move:
-    """A prepared change of the backend server."""
+    """A prepared switch to another backend server."""
 
     target: BackendServer
     kv_handle: str | None
@@ -98,12 +98,13 @@
     Parameters
     ==========
 
-    tokens : the content of every token relayed, in order; its length is the next position.
-    server : the backend server of the attempt in progress.
-    move : set when another backend server is ready to go on.
-    trace_parent, attempt_parent : trace headers, the caller's and that of the attempt.
-    finish_event : the last event, once the answer is complete.
-    hops : how often another daemon has gone on with it.
+    tokens : the contents of all relayed tokens, in order; the number of them is the next position.
+    server : the backend server of the current attempt.
+    move : set when another backend server is ready to continue.
+    trace_parent, attempt_parent : trace headers of the caller and of the attempt.
+    finish_event : the last event, set when the answer is complete.
+    earlier_ids : stream ids of earlier attempts.
+    hops : number of times that another daemon has taken over the generation.
     """
 
     request_id: str
@@ -129,11 +130,11 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """The name of what is asked for, the same for each attempt at any daemon."""
+        """Hash of the request's content, identical for each attempt at any daemon."""
         return hash_call((self.account, self.model), self.body)
 
     def begin_attempt(self, server: BackendServer, cause: Cause) -> str:
-        """Take a new stream id for an attempt on `server` and return it."""
+        """Assign a new stream id for an attempt on `server` and return it."""
         if self.stream_id:
             self.earlier_ids.add(self.stream_id)
         self.stream_id = make_identifier("str")
@@ -143,11 +144,11 @@
         return self.stream_id
 
     def list_tokens(self) -> list[str]:
-        """Return the relayed tokens as an engine takes them."""
+        """Return the relayed tokens as text, the form that engines accept."""
         return [token.decode("utf-8", "surrogatepass") for token in self.tokens]
 
     def build_body(self, kv_handle: str | None = None) -> bytes:
-        """Return the body for the next attempt; it always asks for a stream."""
+        """Return the request body of the next attempt, which always requests a stream."""
         body: dict[str, Any] = json.loads(self.body)
         body["stream"] = True
         body["max_tokens"] = self.max_tokens
@@ -158,7 +159,7 @@
         return json.dumps(body).encode()
 
     def join_answer(self) -> dict[str, Any]:
-        """Return the whole answer of a request that did not ask for a stream."""
+        """Return the complete answer for a request that did not request a stream."""
         last = json.loads(self.finish_event.removeprefix(b"\ndata: "))
         message = {"role": "assistant", "content": "".join(self.list_tokens())}
         choice = {
@@ -170,7 +171,7 @@
         return answer
 
     def export_state(self, clock: Clock) -> GenerationState:
-        """Return what another daemon needs to go on from here."""
+        """Return the state from which another daemon can continue the generation."""
         return GenerationState(
             request_id=self.request_id,
             account=self.account,
@@ -188,7 +189,7 @@
 
     @classmethod
     def from_state(cls, state: GenerationState, clock: Clock) -> Self:
-        """Return the generation that `state` describes, ready to go on."""
+        """Return the generation described by `state`, to be continued by this daemon."""
         chat = ChatRequest.from_body(state.body)
         server = None
         if state.server:
