--- a/hemlockswitch/request/moving.py
+++ b/hemlockswitch/request/moving.py
@@ -1,4 +1,4 @@
-"""Moves of generations away from a backend server whose reclaim was announced."""
+"""Moving generations away from a backend server whose reclaim was announced."""
 
 import json
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class _Departure:
-    """What a move must know of the server that leaves."""
+    """The leaving server and stream that a generation is moved from."""
 
     server: BackendServer
     stream_id: str
@@ -42,19 +42,21 @@
     Explanation
     ===========
 
-    A generation whose rest fits into the notice finishes in place. Any other one gets its KV
-    cache exported, imported by another server, and is then told to switch; the relay switches
-    between two tokens. While the cache travels the old stream goes on. Near the end of the
-    notice generations switch without a cache, which costs recomputed tokens but no answer.
+    A generation whose remaining tokens are expected within the notice period finishes in place. For any
+    other one, the KV cache is exported and imported by another server, and the relay then switches
+    between two tokens. The old stream continues while the cache is transferred. Near the end of the
+    notice period, generations switch without a cache, which costs recomputed tokens but loses no
+    answer.
 
-    The number of caches that travel at once is bounded, so that a wave of notices does not
-    become a wave of copies. A target that is announced to leave meanwhile is given up.
+    The number of concurrent cache transfers is bounded, so that many simultaneous notices do not
+    overload the network. A target that is itself announced to leave during the transfer is abandoned.
 
     Parameters
     ==========
 
-    running : gives the generations in progress.
-    chooser, directory : choose targets and know who leaves.
+    running : returns the generations in progress.
+    chooser : chooses the targets.
+    directory : tells which servers are leaving.
     client : sends the calls.
     clock : the process's clock.
     """
@@ -75,12 +77,13 @@
         self._caches = BoundedSemaphore(MOVES_AT_ONCE)
 
     def leave(self, name: str, deadline_wall_ms: float) -> None:
-        """Begin to move everything off the server called `name`; returns at once.
+        """Start to move all generations off a server, without waiting for the moves.
 
         Parameters
         ==========
 
-        deadline_wall_ms : when the server ends; 0 when nobody said.
+        name : name of the server.
+        deadline_wall_ms : time at which the server is stopped; 0 if it was not announced.
         """
         left_ms = deadline_wall_ms - self._clock.wall_ms()
         if not deadline_wall_ms:
@@ -94,7 +97,7 @@
                 gevent.spawn(self._move, running, departure)
 
     def _move(self, running: Running, departure: _Departure) -> None:
-        """Move one generation, unless it ends or is lost before."""
+        """Move one generation, unless it ends or its attempt is lost first."""
         while self._is_there(running, departure):
             if self._fits(running.generation, departure):
                 self._clock.sleep_ms(LOOK_AGAIN_MS)
@@ -110,7 +113,7 @@
         return same and not generation.finish_event and running.stopped is None
 
     def _fits(self, generation: Generation, departure: _Departure) -> bool:
-        """Return whether the rest is likely to come before the server ends."""
+        """Return whether the remaining tokens are expected before the server is stopped."""
         if generation.first_token_ms is None:
             return False
         done = len(generation.tokens)
@@ -122,7 +125,7 @@
         return now_ms + rest_ms + RESERVE_MS < departure.deadline_ms
 
     def _prepare(self, running: Running, departure: _Departure) -> bool:
-        """Make another server ready and tell the relay; return False to try again."""
+        """Prepare another server and interrupt the relay to switch; return False to try again."""
         target = self._choose(running, departure)
         if target is None:
             return self._left_ms(departure) <= 0
@@ -148,7 +151,7 @@
             return None
 
     def _carry_cache(self, departure: _Departure, target: BackendServer) -> str | None:
-        """Return the handle of the cache on `target`, or None when it could not be carried."""
+        """Transfer the KV cache to `target`; return its handle there, or None if that failed."""
         timeout_ms = min(STEP_TIMEOUT_MS, max(self._left_ms(departure) - RESERVE_MS, MIN_STEP_MS))
         source = departure.server.address
         try:
@@ -168,7 +171,7 @@
         call = BackendCall("POST", path, json.dumps(body).encode(), headers)
         answer = self._client.call(address, call, timeout_ms)
         if answer.status != HTTPStatus.OK:
-            raise ValueError(f"{path} answered {answer.status}")
+            raise ValueError(f"{path} answered with status {answer.status}, expected 200")
         return json.loads(answer.body)
 
     def _left_ms(self, departure: _Departure) -> float:
