--- a/hemlockswitch/request/overdue.py
+++ b/hemlockswitch/request/overdue.py
@@ -1,4 +1,4 @@
-"""The sweep over running generations: deadlines and silent streams, without a timer for each."""
+"""Periodic sweep that detects passed deadlines and stalled streams, instead of a timer per generation."""
 
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.request.attempt import AttemptLostError
@@ -11,12 +11,12 @@
 
 
 class OverdueSweep:
-    """Ends generations past their deadline and leaves backend servers that fell silent.
+    """Ends generations past their deadline and abandons attempts on unresponsive backend servers.
 
     Parameters
     ==========
 
-    relay : whose running generations are swept.
+    relay : the relay whose running generations are checked.
     clock : the process's clock.
     """
 
@@ -25,23 +25,26 @@
         self._clock = clock
 
     def run(self) -> None:
-        """Sweep for ever."""
+        """Sweep periodically; never returns."""
         while True:
             self._clock.sleep_ms(SWEEP_MS)
             self.sweep()
 
     def sweep(self) -> None:
-        """Look at every running generation once."""
+        """Check every running generation once."""
         now_ms = self._clock.now_ms()
         for running in list(self._relay.running.values()):
             if now_ms >= running.generation.deadline_ms:
                 running.stop(running.build_overdue())
             elif self._is_silent(running, now_ms):
-                running.interrupt(AttemptLostError("the backend server fell silent"))
+                running.interrupt(AttemptLostError("the backend server became unresponsive"))
 
     @staticmethod
     def _is_silent(running: Running, now_ms: float) -> bool:
-        """Return whether nothing was read for too long; a caller that blocks is not silence."""
+        """Return whether the server has sent nothing for too long.
+
+        Time in which the relay does not read, because the caller blocks, is not counted.
+        """
         exchange = running.exchange
         if exchange is None or not exchange.is_waiting:
             running.reads_seen = -1
