--- a/hemlockswitch/request/progress.py
+++ b/hemlockswitch/request/progress.py
@@ -1,4 +1,4 @@
-"""What happened to one forwarded request so far, and who hears of it."""
+"""Progress of a forwarded request, and the observer interface that is notified of it."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -13,18 +13,21 @@
 
 @dataclass
 class Progress:
-    """What happened to one request so far; kept for its log line.
+    """Progress of one request; its log line is written from it.
 
     Parameters
     ==========
 
-    sends : the servers that it was sent to.
-    target : the server that was chosen last, also if no connection to it could be made.
-    list_age_ms : how old the knowledge of servers was by which the last one was chosen.
-    begun_version : the version of the server that began to answer; empty before.
-    ended_with_connection : whether the end of the connection was the only sign of the answer's end.
-    clearance : how it may be sent, as decided before the last send.
-    unreached : servers that refused a connection or did not answer one.
+    sends : incarnations of the servers that the request was sent to.
+    excluded : incarnations of the servers on which an attempt failed.
+    in_flight : whether an attempt is in progress.
+    target : name of the server chosen last, even if no connection to it could be made.
+    list_age_ms : age of the list of servers from which the last one was chosen.
+    began_ms : clock time at which the reply to the caller began.
+    begun_version : version of the server that began to answer; empty before.
+    ended_with_connection : whether the end of the answer was marked only by the end of the connection.
+    clearance : the clearance for the last attempt.
+    unreached : counts the servers to which no connection could be made.
     """
 
     request: ReceivedRequest
@@ -49,13 +52,13 @@
 
 
 class ForwardObserver(Protocol):
-    """Hears what became of requests, for logs, metrics and usage counts."""
+    """Is notified of the progress of requests, for logs, metrics and usage counts."""
 
     def attempt_failed(self, progress: Progress, failure: SendFailure, detail: str) -> None:
-        """One send failed."""
+        """Handle a failed attempt."""
 
     def request_began(self, progress: Progress) -> None:
-        """A backend server has begun to answer."""
+        """Handle the beginning of a backend server's answer."""
 
     def request_ended(self, progress: Progress) -> None:
-        """The request is over."""
+        """Handle the end of a request."""
