--- a/hemlockswitch/request/relay.py
+++ b/hemlockswitch/request/relay.py
@@ -1,4 +1,4 @@
-"""The relay: one generation followed over as many backend servers as its whole answer takes."""
+"""The relay: runs a generation to its complete answer, over as many backend servers as needed."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -31,17 +31,18 @@
 
 
 class Relay:
-    """Relays generations and continues them elsewhere when an attempt is lost.
+    """Relays generations and continues them on another server if an attempt is lost.
 
     Parameters
     ==========
 
-    chooser, directory : where to send, and who is in progress where.
+    chooser : chooses backend servers.
+    directory : counts the requests in progress at each server.
     opener : opens streams on backend servers.
-    budget : bounds how often work is repeated.
-    guard : holds back requests under which servers end.
+    budget : limits retries.
+    guard : refuses quarantined requests.
     clock : the process's clock.
-    observer : hears what happens.
+    observer : is notified of the relay's progress.
     """
 
     def __init__(
@@ -67,19 +68,19 @@
     def run(
         self, generation: Generation, connection: CallerConnection | None = None
     ) -> Iterator[bytes]:
-        """Yield the caller's events until the answer is whole.
+        """Yield the caller's events until the answer is complete.
 
         Raises
         ======
 
-        RequestError : the request was given up on; the error says whether it ran.
-        CallerGoneError : the caller left; the engine was told to stop.
+        RequestError : the request was given up; the error states whether it ran.
+        CallerGoneError : the caller disconnected; the engine was told to cancel the stream.
         """
         running = Running(generation, build_need(generation), self._clock.now_ms())
         running.sent = bool(generation.stream_id)
         self.running[generation.request_id] = running
         if connection is not None:
-            connection.watch(lambda: running.stop(CallerGoneError("the caller left")))
+            connection.watch(lambda: running.stop(CallerGoneError("the caller disconnected")))
         try:
             self._budget.earn()
             yield from self._run_attempts(running)
@@ -110,7 +111,8 @@
                 yield from self._run_attempt(running, resume)
                 cause, resume = Cause.RECLAIM, False
             except HandoverRequested:
-                # The engine keeps the stream; whoever goes on reads it from the next position.
+                # The engine retains the stream; the daemon that continues it, this one or another,
+                # reads it from the next position.
                 resume = True
             except AttemptLostError as lost:
                 resume = self._may_resume(running, lost)
@@ -118,7 +120,7 @@
                     cause = self._prepare_again(running, lost)
 
     def _check_wanted(self, running: Running) -> None:
-        """Raise when nobody waits for the answer any more."""
+        """Raise if the relay was stopped or the deadline has passed."""
         if running.stopped is not None:
             raise running.stopped
         if self._clock.now_ms() >= running.generation.deadline_ms:
@@ -126,14 +128,14 @@
 
     @staticmethod
     def _may_resume(running: Running, lost: AttemptLostError) -> bool:
-        """Return whether to read the same stream again; only after it brought a token."""
+        """Return whether to resume the stream; only if the lost connection delivered a token."""
         if not lost.resumable or not running.own_token or running.generation.move is not None:
             return False
         running.own_token = False
         return True
 
     def _prepare_again(self, running: Running, lost: AttemptLostError) -> Cause:
-        """Leave the lost attempt and take what another one costs from the budget."""
+        """Clean up after a lost attempt, and spend a retry on the next one if it needs one."""
         generation = running.generation
         server = generation.server
         assert server is not None
@@ -190,7 +192,7 @@
         generation.attempt_parent = self._observer.attempt_began(generation)
 
     def _run_attempt(self, running: Running, resume: bool) -> Iterator[bytes]:
-        """Open and follow one attempt; returns at the last event or when a move is ready."""
+        """Run one attempt; returns after the last event or when a move is ready."""
         generation = running.generation
         server = generation.server
         assert server is not None
@@ -223,7 +225,10 @@
                 attempt.close()
 
     def _choose(self, running: Running) -> BackendServer:
-        """Return the prepared target, or choose one, waiting a while for a begun answer."""
+        """Return the prepared target of a move, or choose a server.
+
+        If the request may have run, waits up to `CONTINUE_PATIENCE_MS` for a server to become available.
+        """
         move = running.generation.move
         if move is not None and not self._directory.is_leaving(move.target.name):
             return move.target
@@ -240,7 +245,7 @@
             self._check_wanted(running)
 
     def _follow(self, running: Running, attempt: Attempt, ticket: Any) -> Iterator[bytes]:
-        """Yield the checked events of one attempt, as many at once as were read at once."""
+        """Yield the checked events of one attempt, joined for each read."""
         generation = running.generation
         head = f"id: {generation.request_id}:".encode()
         while True:
@@ -250,7 +255,7 @@
                     self._note_token(running, ticket)
                 yield pieces[0] if len(pieces) == 1 else b"".join(pieces)
             if wrong:
-                raise AttemptLostError(f"the backend server's answer was wrong: {wrong}")
+                raise AttemptLostError(f"the backend server sent an unexpected event: {wrong}")
             if generation.finish_event:
                 return
             if generation.move is not None:
@@ -259,7 +264,7 @@
     def _check_events(
         self, running: Running, attempt: Attempt, head: bytes
     ) -> tuple[list[bytes], str]:
-        """Read once; return the caller's events and what was wrong with the rest, if anything."""
+        """Read once; return the caller's events, and the verdict that stopped the check, if any."""
         tokens = running.generation.tokens
         checker = attempt.checker
         pieces: list[bytes] = []
@@ -284,14 +289,14 @@
         return pieces, ""
 
     def _take_parsed(self, running: Running, checked: Checked) -> bytes:
-        """Keep a parsed event and return it as the caller gets it."""
+        """Record a parsed event and return its form for the caller."""
         if checked.verdict is Verdict.FINISH:
             return self._finish(running, checked)
         running.generation.tokens.append(checked.content)
         return checked.event
 
     def _leave(self, running: Running) -> None:
-        """End the old stream before another one goes on from the next position."""
+        """End the stream on the old server before another one continues from the next position."""
         generation = running.generation
         assert generation.server is not None
         running.excluded.add(generation.server.name)
@@ -299,7 +304,7 @@
         self._observer.attempt_ended(generation, running.estimate_recomputed(), "moved")
 
     def _note_token(self, running: Running, ticket: Any) -> None:
-        """Note the first token of an attempt, and of the whole answer."""
+        """Record the first token of a connection, and that of the complete answer."""
         running.own_token = running.brought_token = True
         self._directory.note_first_token(ticket)
         generation = running.generation
@@ -308,7 +313,7 @@
             self._observer.first_token(generation, generation.first_token_ms - running.begun_ms)
 
     def _finish(self, running: Running, checked: Checked) -> bytes:
-        """Keep the last event and return it as the caller gets it."""
+        """Record the last event and return its form for the caller."""
         generation = running.generation
         if checked.content:
             generation.tokens.append(checked.content)
