--- a/hemlockswitch/request/running.py
+++ b/hemlockswitch/request/running.py
@@ -1,4 +1,4 @@
-"""A generation while this daemon relays it, and what the relay needs from other layers."""
+"""State of a generation that this daemon relays, and the interfaces that the relay needs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -16,88 +16,92 @@
 
 
 class MoveReady(Exception):  # noqa: N818
-    """Wakes a relay whose generation may switch to another backend server."""
+    """Interrupts the relay of a generation that can now switch to another backend server."""
 
 
 class HandoverRequested(Exception):  # noqa: N818
-    """Wakes a relay whose generation another daemon is to go on with."""
+    """Interrupts the relay of a generation that another daemon should continue."""
 
 
 class MovedError(RequestError):
-    """Another daemon owns the generation; the caller comes back for the rest with its id."""
+    """Another daemon owns the generation; the caller fetches the remaining answer by its identifier."""
 
     def __init__(self) -> None:
-        super().__init__(ErrorKind.MOVED, "another daemon goes on with it")
+        super().__init__(ErrorKind.MOVED, "another daemon continues the generation")
 
 
 class Chooser(Protocol):
-    """Who chooses a backend server; the router."""
+    """Chooses a backend server; implemented by the router."""
 
     def choose(self, need: Need) -> BackendServer:
-        """Return the server for `need`, or raise a refusal."""
+        """Return the server for `need`, or raise a `RequestError`."""
 
     def note_dispatch(self, server_name: str, need: Need) -> int:
-        """Note that `need` goes to the server; return the tokens it has to compute."""
+        """Record that `need` is sent to the server; return its estimated uncached tokens."""
 
 
 class Directory(Protocol):
-    """Who counts the requests in progress at each backend server."""
+    """Counts the requests in progress at each backend server."""
 
     def begin(self, name: str, prompt_tokens: int = 0, max_tokens: int = 0) -> Any:
         """Count a request as in progress and return its ticket."""
 
     def note_first_token(self, ticket: Any) -> None:
-        """Note that its prompt is computed."""
+        """Record that the request's prompt has been processed."""
 
     def end(self, ticket: Any, failed: bool = False) -> None:
-        """Count it as over."""
+        """Count the request as ended."""
 
     def is_leaving(self, name: str) -> bool:
         """Return whether the server is leaving."""
 
 
 class RelayObserver(Protocol):
-    """Who hears what the relay does; metrics and traces."""
+    """Is notified of the relay's progress, for metrics and traces."""
 
     def choice_began(self, generation: Generation) -> None:
-        """A backend server is being chosen."""
+        """Handle the start of the choice of a backend server."""
 
     def choice_ended(self, generation: Generation, server_name: str) -> None:
-        """It was chosen; the name is empty when none was."""
+        """Handle the end of the choice; the name is empty if no server was chosen."""
 
     def attempt_began(self, generation: Generation) -> str:
-        """An attempt is about to be sent; returns the trace header that goes with it."""
+        """Handle the start of an attempt; returns the trace header to send with it."""
 
     def first_token(self, generation: Generation, waited_ms: float) -> None:
-        """The caller's first token is here."""
+        """Handle the first token for the caller."""
 
     def attempt_ended(self, generation: Generation, recomputed_tokens: int, reason: str) -> None:
-        """An attempt is over; `recomputed_tokens` had been computed before."""
+        """Handle the end of an attempt, which processed `recomputed_tokens` tokens repeatedly."""
 
     def events_dropped(self, count: int) -> None:
-        """Late or doubled events were dropped."""
+        """Handle the drop of late or duplicate events."""
 
 
 @dataclass
 class Running:
-    """A generation while this daemon relays it.
+    """State of a generation that this daemon relays.
 
     Parameters
     ==========
 
-    exchange : what the relay reads now; None between attempts.
-    stopped : why the relay must end; raised at its next wait.
-    excluded : servers that lost this generation.
-    sent_ms : when the attempt in progress began.
-    sent : whether any backend server may have begun it.
-    clearance : how it may be sent, as decided before the last attempt.
-    fruitless : attempts that may have run and brought no token.
-    own_token : whether the connection in progress brought a token.
-    brought_token : whether the attempt in progress did, over all its connections.
-    base_tokens : tokens that the attempt in progress had to recompute, its prompt aside.
-    kv_handle : the KV cache that it began with.
-    reads_seen, quiet_since_ms : kept by the sweep that looks for silent streams.
-    hand_over : asked for by `request_handover`; returns whether another daemon owns it now.
+    generation : the generation.
+    need : what the generation needs of a backend server, before its first token.
+    begun_ms : clock time at which this daemon began to relay it.
+    exchange : the exchange that the relay reads; None between attempts.
+    stopped : the error that ends the relay; raised at its next wait.
+    excluded : names of the servers on which an attempt was lost.
+    attempts : number of attempts by this daemon.
+    sent_ms : start time of the current attempt.
+    sent : whether any backend server may have begun the generation.
+    clearance : the clearance for the last attempt.
+    fruitless : number of attempts that may have run but delivered no token.
+    own_token : whether the current connection has delivered a token.
+    brought_token : whether the current attempt has delivered a token over any of its connections.
+    base_tokens : tokens that the current attempt had to recompute, excluding the prompt.
+    kv_handle : the KV cache that the current attempt started with.
+    reads_seen, quiet_since_ms : state of the sweep that detects stalled streams.
+    hand_over : set by `request_handover`; returns whether another daemon has taken the generation.
     """
 
     generation: Generation
@@ -120,12 +124,12 @@
     hand_over: Callable[[Generation], bool] | None = None
 
     def request_handover(self, hand_over: Callable[[Generation], bool]) -> None:
-        """Make the relay call `hand_over` in its own task, between two events."""
+        """Make the relay call `hand_over` in the relay's task, between two events."""
         self.hand_over = hand_over
         self.interrupt(HandoverRequested())
 
     def hand_over_if_asked(self) -> None:
-        """Raise `MovedError` when another daemon has taken the generation."""
+        """Carry out a requested handover; raise `MovedError` if another daemon takes the generation."""
         hand_over, self.hand_over = self.hand_over, None
         if hand_over is not None and hand_over(self.generation):
             raise MovedError
@@ -137,12 +141,12 @@
             self.interrupt(error)
 
     def interrupt(self, error: BaseException) -> None:
-        """Raise `error` where the relay waits for the backend server, if it does."""
+        """Raise `error` in the relay if it is waiting for the backend server."""
         if self.exchange is not None:
             self.exchange.interrupt(error)
 
     def watch(self, exchange: BackendExchange | None) -> None:
-        """Keep the exchange that may be interrupted; by then the request was sent."""
+        """Set the exchange that may be interrupted; the request counts as sent from then on."""
         self.exchange = exchange
         self.reads_seen = -1
         self.sent = self.sent or exchange is not None
@@ -152,13 +156,13 @@
             self.interrupt(HandoverRequested())
 
     def state_ran(self) -> Ran:
-        """Return what an answer may say of whether the generation ran."""
+        """Return whether the generation ran, as stated in an answer to the caller."""
         if self.generation.tokens:
             return Ran.YES
         return Ran.UNKNOWN if self.sent else Ran.NO
 
     def build_need(self) -> Need:
-        """Return what the rest needs now, leaving out the servers that lost the generation."""
+        """Return the need of the remaining generation, excluding servers that lost an attempt."""
         done = len(self.generation.tokens)
         return replace(
             self.need,
@@ -169,11 +173,14 @@
         )
 
     def build_overdue(self) -> RequestError:
-        """Return the answer to a request whose deadline has passed."""
+        """Return the error for a request whose deadline has passed."""
         return build_deadline_error(self.state_ran())
 
     def estimate_recomputed(self) -> int:
-        """Return the tokens that the attempt in progress computed again, without its usage."""
+        """Return the estimated number of tokens that the current attempt recomputed.
+
+        Used if the engine has not reported the attempt's usage.
+        """
         first = self.generation.cause is Cause.FIRST
         if first or not self.brought_token or self.kv_handle is not None:
             return 0
@@ -181,7 +188,7 @@
 
 
 def build_need(generation: Generation) -> Need:
-    """Return what the router must know of a generation that has not begun."""
+    """Return the need of a generation that has not started."""
     return Need(
         target=generation.model,
         prefix_blocks=hash_blocks(generation.prompt),
@@ -192,7 +199,7 @@
 
 
 def build_deadline_error(ran: Ran) -> RequestError:
-    """Return the error of a request whose deadline has passed, by whether it may have run."""
+    """Return the error for a request whose deadline has passed, depending on whether it may have run."""
     if ran is Ran.NO:
         return RequestError(ErrorKind.DEADLINE_BEFORE_DISPATCH, "the deadline passed")
     return RequestError(ErrorKind.DEADLINE_EXCEEDED, "the deadline passed", ran=ran)
