--- a/hemlockswitch/request/send_states.py
+++ b/hemlockswitch/request/send_states.py
@@ -1,7 +1,7 @@
-"""One forwarded request as a state machine: what may follow a failed send, and what is answered.
+"""State machine of a forwarded request: what may follow a failed attempt, and the error to answer with.
 
-The table is the whole rule for "may it be sent again" and "may the answer say that it did not
-run". It knows no sockets; `request/forwarding.py` feeds it with what happened.
+This module alone decides whether a request may be sent again and whether the error may state that it
+did not run. It does no input or output; `request/forwarding.py` passes it the failures.
 """
 
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class SendState(StrEnum):
-    """What is known of a request's execution, over all its sends so far."""
+    """Whether a request may have run, over all its attempts so far."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -19,7 +19,7 @@
 
 
 class SendFailure(StrEnum):
-    """How one send ended without a complete answer."""
+    """How an attempt ended without a complete answer."""
 
     UNREACHABLE = "unreachable"
     DECLINED = "declined"
@@ -29,15 +29,15 @@
 
 @dataclass(frozen=True)
 class SendVerdict:
-    """What follows a failed send.
+    """Consequence of a failed attempt.
 
     Parameters
     ==========
 
-    state : what is known from now on.
-    may_send_again : whether another send cannot do harm.
-    answer : the error to answer with when it is not sent again; None when the answer has begun
-        and can only be broken off.
+    state : the new state of the request.
+    may_send_again : whether it is safe to send the request again.
+    answer : the error to answer with if the request is not sent again; None if the answer has begun
+        and can only be aborted.
     """
 
     state: SendState
@@ -56,14 +56,15 @@
 def judge_failure(
     state: SendState, failure: SendFailure, *, is_repeatable: bool, was_sent: bool
 ) -> SendVerdict:
-    """Return what follows `failure`.
+    """Return the consequence of `failure`.
 
     Parameters
     ==========
 
-    state : what was known before this send.
-    is_repeatable : whether running the request twice does no harm.
-    was_sent : whether any byte of this send may have reached a backend server.
+    state : the state of the request before this attempt.
+    failure : how the attempt failed.
+    is_repeatable : whether it is safe to run the request twice.
+    was_sent : whether any byte of this attempt may have reached a backend server.
 
     Examples
     ========
@@ -84,7 +85,7 @@
 
 
 def _advance(state: SendState, failure: SendFailure, was_sent: bool) -> SendState:
-    """Return the state after a failure: only a send whose end is unknown makes a difference."""
+    """Return the state after a failure; it changes only if the request may have run."""
     is_unknown = failure in (SendFailure.BROKEN, SendFailure.OVERDUE) and was_sent
     if state is SendState.NOT_RUN and is_unknown:
         return SendState.MAY_HAVE_RUN
