--- a/hemlockswitch/request/sending.py
+++ b/hemlockswitch/request/sending.py
@@ -1,6 +1,6 @@
-"""One send of a forwarded request to one backend server, and the relay of its answer.
+"""One attempt to send a forwarded request to a backend server, and the relay of its answer.
 
-Whether another send may follow is not decided here; see `request.forwarding`.
+Whether another attempt may follow is decided in `request.forwarding`.
 """
 
 from collections.abc import Sequence
@@ -24,30 +24,30 @@
 
 MOST_ANSWER_BYTES = 16 * 1024 * 1024
 REUSE_IDLE_MS = 60_000.0
-"""Requests that may be repeated use any kept connection; the pool bounds its age."""
+"""Repeatable requests use any pooled connection; the pool limits the age."""
 REUSE_IDLE_AT_MOST_ONCE_MS = 1_000.0
-"""Requests that may run only once avoid connections that were idle for longer: a server that
-closes one at the same moment leaves it unknown whether the request ran."""
+"""Requests that may run only once avoid connections that have been idle for longer: if the server closes
+such a connection while the request is sent, it is unknown whether the request ran."""
 
 
 class SendTicket(Protocol):
-    """One send that is in progress, in the load that this daemon knows of."""
+    """An attempt in progress, as counted in this daemon's estimate of the server's load."""
 
     def note_first_event(self, *, succeeds: bool) -> None:
-        """The answer has begun: the prompt is read; `succeeds` unless it is a failure."""
+        """Record that the answer has begun, so the prompt is processed; `succeeds` unless it failed."""
 
     def end(self, failed: bool) -> None:
-        """The send is over; `failed` counts against the server."""
+        """Record the end of the attempt; `failed` raises the failure rate of the server."""
 
 
 class ForwardingView(Protocol):
-    """What the process knows, as forwarding needs it."""
+    """The process's state of configuration and servers, as used by forwarding."""
 
     def await_synced(self, most_ms: float) -> None:
-        """Wait until what a request needs is known since the start, for `most_ms` at the most."""
+        """Wait, at most `most_ms`, until the state that requests need is loaded after the start."""
 
     def get_table(self) -> ServingTable | None:
-        """Return the configuration in force."""
+        """Return the active configuration."""
 
     def place(
         self,
@@ -57,43 +57,45 @@
         is_careful: bool = False,
         begun_version: str = "",
     ) -> Placement | None:
-        """Return the server for the next send, or None when there is none.
+        """Return the server for the next attempt, or None if there is none.
 
         Parameters
         ==========
 
-        is_careful : take the server on which least is in progress, as it may end.
-        begun_version : the version that has begun to answer it; empty if none has.
+        is_careful : choose the server with the fewest requests in progress, as the request may crash it.
+        begun_version : the version that has begun to answer the request; empty if none has.
         """
 
     def begin_send(self, admitted: AdmittedRequest, placement: Placement) -> SendTicket:
-        """Count a send."""
+        """Count an attempt as in progress and return its ticket."""
 
     def find_connect_timeout_ms(self) -> float:
-        """Return how long to wait for a connection to a server."""
+        """Return the timeout for connecting to a server."""
 
     def note_connected(self, server: BackendServer, took_ms: float) -> None:
-        """A new connection to a server was made."""
+        """Record a new connection to a server."""
 
     def note_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
-        """No connection could be made; `is_silent` if the server did not even refuse it."""
+        """Record a failed connection; `is_silent` if it timed out rather than being refused."""
 
     def note_answer(self, server: BackendServer) -> None:
-        """Bytes of an answer came from a server."""
+        """Record that bytes of an answer were received from a server."""
 
     def note_misdirected(self, server_name: str) -> None:
-        """The address belongs to another server by now."""
+        """Record that the address of the server now belongs to another server."""
 
     def count_daemons(self) -> int | None:
-        """Return how many daemons share the budgets; None while that is not known."""
+        """Return the number of daemons that share the budgets, or None while it is undetermined."""
 
 
 class SendFailedError(Exception):
-    """One send failed; nothing or only whole events of it went to the caller.
+    """An attempt failed after nothing, or only complete events, had been relayed to the caller.
 
     Parameters
     ==========
 
+    failure : how the attempt failed.
+    detail : description for the log and the error.
     was_sent : whether any byte of the request may have reached the server.
     was_cut : whether the server closed or reset the connection before the end of the answer.
     """
@@ -109,12 +111,12 @@
 
 
 class OverdueError(Exception):
-    """The request's time is up."""
+    """The deadline of the request has passed."""
 
 
 @dataclass(frozen=True)
 class Send:
-    """One send of a request to one server, and where its answer goes."""
+    """An attempt to send a request to one server, with the reply that its answer is written to."""
 
     progress: Progress
     admitted: AdmittedRequest
@@ -123,22 +125,22 @@
 
     @property
     def may_follow(self) -> bool:
-        """Whether another send may follow when this one fails."""
+        """Whether another attempt may follow if this one fails."""
         route = self.admitted.route
         return route.is_repeatable and len(self.progress.sends) < route.max_attempts
 
 
 class Sender:
-    """Sends requests, each call once.
+    """Sends requests to backend servers; each call of `send` makes one attempt.
 
     Parameters
     ==========
 
     dialect : the wire format of callers and backend servers.
-    view : what the process knows.
+    view : the process's state of configuration and servers.
     pool : connections to backend servers.
-    observer : hears what happens.
-    clock : the time.
+    observer : is notified when an answer begins.
+    clock : the process's clock.
     """
 
     def __init__(
@@ -157,9 +159,9 @@
         self._in_flight: dict[PooledExchange, Send] = {}
 
     def abandon_zone(self, zone: str) -> None:
-        """End the sends to a zone that cannot be reached, of requests that may be sent again.
+        """Close the attempts in an unreachable zone whose requests may be sent again.
 
-        The others wait on: their answers may still come when the zone is back.
+        All other attempts continue to wait, as their answers may arrive when the zone is reachable again.
         """
         for exchange, send in list(self._in_flight.items()):
             is_there = send.placement.candidate.server.zone == zone
@@ -167,12 +169,12 @@
                 exchange.close()
 
     def send(self, send: Send) -> None:
-        """Send to one server and relay its answer.
+        """Send the request to the chosen server and relay its answer.
 
         Raises
         ======
 
-        SendFailedError : there is no complete answer.
+        SendFailedError : no complete answer was received.
         """
         exchange = self._open(send)
         ticket = self._view.begin_send(send.admitted, send.placement)
@@ -245,10 +247,10 @@
         if self._dialect.states_not_run(answer):
             if answer.status == HTTPStatus.MISDIRECTED_REQUEST:
                 self._view.note_misdirected(placement.candidate.server.name)
-            detail = f"declined with {answer.status}"
+            detail = f"the server declined the request with status {answer.status}"
             raise SendFailedError(SendFailure.DECLINED, detail, True)
         if not self._dialect.is_genuine(answer):
-            detail = f"a {answer.status} that is not the server's own"
+            detail = f"the answer with status {answer.status} may not come from the server itself"
             raise SendFailedError(SendFailure.BROKEN, detail, True)
 
     def _relay(self, send: Send, exchange: PooledExchange) -> None:
@@ -261,22 +263,24 @@
         send.progress.ended_with_connection = exchange.answer.ends_with_connection
 
     def _relay_whole(self, send: Send, exchange: PooledExchange) -> None:
-        """Read the whole answer before any of it goes to the caller."""
+        """Read the complete answer before relaying it to the caller."""
         answer, reply = exchange.answer, send.reply
         body = exchange.read_body(MOST_ANSWER_BYTES)
         is_failure = answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         if is_failure and send.admitted.route.is_repeatable and self._has_another_try(send):
             raise SendFailedError(SendFailure.BROKEN, f"the server failed: {answer.status}", True)
         if reply.begun:
-            raise SendFailedError(SendFailure.BROKEN, f"no stream but {answer.status}", True)
+            raise SendFailedError(
+                SendFailure.BROKEN, f"expected a stream but got status {answer.status}", True
+            )
         self._note_begun(send)
         headers = self._dialect.select_answer_headers(answer)
         reply.send(answer.status, answer.reason, headers, body)
 
     def _has_another_try(self, send: Send) -> bool:
-        """Return whether another server may still answer in the time that the caller waits.
+        """Return whether another server is expected to answer before the caller's deadline.
 
-        Where it would not, the failure that is here is worth more than a timeout later.
+        If not, the caller is better served by the failure now than by a timeout later.
         """
         progress, admitted = send.progress, send.admitted
         if len(progress.sends) >= admitted.route.max_attempts or progress.clearance.is_trial:
@@ -286,7 +290,7 @@
         return placement is not None and placement.expected_ms <= left_ms
 
     def _relay_stream(self, send: Send, exchange: PooledExchange) -> None:
-        """Relay the events as they come; of a stream that can go on elsewhere whole ones only."""
+        """Relay events as they arrive; of a resumable stream, only complete events."""
         progress, reply = send.progress, send.reply
         splitter = EventSplitter() if send.admitted.route.is_resumable else None
         while piece := exchange.read_piece():
@@ -304,7 +308,7 @@
         reply.end()
 
     def _begin_reply(self, send: Send, answer: ParsedAnswer) -> None:
-        """Send the head of the first server's answer before its first event."""
+        """Relay the head of the first server's answer, unless the reply has begun."""
         if send.reply.begun:
             return
         self._note_begun(send)
