--- a/hemlockswitch/request/service_call.py
+++ b/hemlockswitch/request/service_call.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: repeated only where that is safe, and stated honestly where not."""
+"""Calls of plain services: repeated only if that is safe, with errors that state whether they ran."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -39,24 +39,24 @@
 
 
 class ServiceObserver(Protocol):
-    """Who hears of choices and dispatches."""
+    """Is notified of server choices and dispatches."""
 
     def choice_began(self, request: CallerRequest) -> None:
-        """A server is being chosen."""
+        """Handle the start of the choice of a server."""
 
     def choice_ended(self, request: CallerRequest, server_name: str) -> None:
-        """It was chosen; the name is empty when none was."""
+        """Handle the end of the choice; the name is empty if no server was chosen."""
 
     def dispatch_began(self, request: CallerRequest, server: BackendServer) -> Any:
-        """A call is about to be sent; returns headers that carry the trace."""
+        """Handle the start of a dispatch; returns trace headers to send with it."""
 
     def dispatch_ended(self, request: CallerRequest, outcome: str) -> None:
-        """It is over."""
+        """Handle the end of a dispatch."""
 
 
 @dataclass(frozen=True)
 class CallContent:
-    """A call by what it asks for; see `request.clearance.Content`."""
+    """The content that identifies a call; implements `request.clearance.Content`."""
 
     account: str
     service: Service
@@ -65,7 +65,7 @@
 
     @cached_property
     def fingerprint(self) -> str:
-        """The name of it, the same for each attempt at any daemon."""
+        """Hash of the content, identical for each attempt at any daemon."""
         request = self.request
         parts = (self.account, request.method, self.service.name, self.path, request.query)
         return hash_call(parts, request.body)
@@ -73,7 +73,7 @@
 
 @dataclass
 class _Progress:
-    """What happened to a call so far."""
+    """Progress of one call over its dispatches."""
 
     excluded: set[str]
     unreached: UnreachedServers
@@ -89,8 +89,8 @@
     Explanation
     ===========
 
-    A path that a service might read otherwise than this daemon (dot segments, doubled slashes,
-    escapes) is refused, so that no call passes as an idempotent operation that it is not.
+    A path that a service might interpret differently from this daemon (dot segments, doubled slashes,
+    escapes) is refused, so that no call is mistaken for an idempotent operation.
 
     Raises
     ======
@@ -101,28 +101,30 @@
     dotted = any(part in (".", "..") for part in path.split("/"))
     matching = [one for one in service.operations if _covers(one.path, path)]
     if not plain or dotted or not matching:
-        raise RequestError(ErrorKind.UNKNOWN_OPERATION, f"{service.name} has no such operation")
+        raise RequestError(
+            ErrorKind.UNKNOWN_OPERATION, f"service {service.name} has no operation for this path"
+        )
     longest = max(len(one.path) for one in matching)
     for operation in matching:
         if len(operation.path) == longest and method in operation.methods:
             return operation
-    raise RequestError(ErrorKind.UNKNOWN_OPERATION, f"the operation does not allow {method}")
+    raise RequestError(ErrorKind.UNKNOWN_OPERATION, f"the operation does not allow method {method}")
 
 
 def _covers(prefix: str, path: str) -> bool:
-    """Return whether `prefix` covers `path` up to the end of a segment."""
+    """Return whether `prefix` matches complete leading segments of `path`."""
     return path == prefix or path.startswith(prefix if prefix.endswith("/") else prefix + "/")
 
 
 class ServiceCaller:
-    """Passes calls on to plain services.
+    """Forwards calls to plain services.
 
     Explanation
     ===========
 
-    An idempotent operation goes to another server when one failed, within the retry budget and
-    the deadline. Any other operation is dispatched at most once after a byte may have left; with
-    an idempotency key, at most once in the whole system, by a claim.
+    After a failure, an idempotent operation is sent to another server, within the retry budget and the
+    deadline. Any other operation is not repeated once a byte of it may have been sent; with an
+    idempotency key, a claim ensures that it is dispatched at most once in the complete system.
     """
 
     def __init__(
@@ -153,7 +155,7 @@
         Raises
         ======
 
-        RequestError : with `ran` as far as it is known.
+        RequestError : the call failed; `ran` states whether it ran, if that is determined.
         """
         operation = find_operation(service, request.method, path)
         content = CallContent(account, service, path, request)
@@ -207,7 +209,7 @@
                 return self._give_up(progress)
 
     def _may_try_another(self, progress: _Progress, *, was_sent: bool) -> bool:
-        """Return whether another server may be tried after one that failed."""
+        """Return whether another server may be tried after a failure."""
         if not was_sent:
             return progress.unreached.may_try_another()
         progress.dispatches += 1
@@ -268,14 +270,14 @@
 
     @staticmethod
     def _check_own(answer: BackendAnswer, request_id: str) -> None:
-        """Refuse an answer that is not marked as this request's."""
+        """Raise if the answer does not have the identifier of the request."""
         if answer.headers.get(OWN_ID) != request_id:
-            raise AnswerMixedError("the answer is not marked as this request's")
+            raise AnswerMixedError("the answer does not have the identifier of this request")
 
     def _note_failure(
         self, progress: _Progress, failure: ExchangeError, operation: Operation
     ) -> None:
-        """Keep what the failure tells; raise where the call must not be sent again."""
+        """Raise if the call must not be sent again after the failure."""
         if failure.stage is Stage.BEFORE_SEND:
             return
         if not operation.idempotent:
@@ -285,7 +287,7 @@
 
     @staticmethod
     def _give_up(progress: _Progress) -> StoredAnswer:
-        """Return the last answer of a server, or say that there is none."""
+        """Return the last answer of a server, or raise if there is none."""
         if progress.last is not None:
             return _keep(progress.last)
         if progress.ran is Ran.NO:
@@ -298,14 +300,14 @@
 
 
 class AnswerMixedError(ExchangeError):
-    """An answer without this request's id: whether the request ran is not known."""
+    """An answer without the identifier of its request: it is unknown whether the request ran."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(Stage.DURING_ANSWER, detail)
 
 
 def _is_servers_fault(error: ExchangeError, given_ms: float, service: Service) -> bool:
-    """Return whether to leave the server alone for a while; an impatient caller is no reason."""
+    """Return whether the failure counts against the server, unless the caller allowed too little time."""
     patient = given_ms >= service.timeout_ms * PATIENT_SHARE
     return patient or not isinstance(error, ExchangeTimeoutError)
 
