--- a/hemlockswitch/process/gateway/view.py
+++ b/hemlockswitch/process/gateway/view.py
@@ -1,4 +1,4 @@
-"""What the gateway knows, as forwarding needs it: see `request.sending.ForwardingView`."""
+"""The gateway's state as forwarding needs it; implements `request.sending.ForwardingView`."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -22,22 +22,23 @@
 from hemlockswitch.version.serving_table import ServingTable
 
 CACHED_SHARE = 0.6
-"""Part of an engine's memory that is expected to keep prompt parts; running requests take the
-rest."""
+"""Share of an engine's memory that is expected to cache prompt parts; running requests use the
+remaining memory."""
 PLAIN_CAPACITY_TOKENS = 0.0
 LARGE_READING_MS = 40.0
-"""A prompt that an engine reads for this long is told to the other gateways at once."""
+"""A prompt that takes an engine at least this long to read is reported to the other gateways at once."""
 
 
 class GatewayView:
-    """Joins the configuration, the registry, the loads, and what was learned of the services.
+    """Combines the configuration, the registry, the loads and the fitted service models.
 
     Parameters
     ==========
 
-    knowledge : the parts that hold what the gateway knows.
-    readiness : tells whether they have been filled since the start.
-    on_large_prompt : called when a prompt was sent that the other gateways should hear of at once.
+    knowledge : the local state of the gateway.
+    readiness : tells whether that state has been filled since the start.
+    on_large_prompt : called when a prompt was sent that must be reported to the other gateways at
+        once.
     """
 
     def __init__(
@@ -60,11 +61,11 @@
         self._random = random.Random()
 
     def await_synced(self, most_ms: float) -> None:
-        """Wait until what a request needs is known, for `most_ms` at the most."""
+        """Wait up to `most_ms` until the state that requests need has been filled."""
         self._readiness.await_synced(most_ms)
 
     def get_table(self) -> ServingTable | None:
-        """Return the configuration in force."""
+        """Return the configuration in force, or None."""
         return self._tables.current
 
     def place(
@@ -75,13 +76,14 @@
         is_careful: bool = False,
         begun_version: str = "",
     ) -> Placement | None:
-        """Return the server for the next send, or None when there is none.
+        """Return the server for the next send attempt, or None when there is none.
 
         Parameters
         ==========
 
-        is_careful : take the server on which least is in progress, as it may end.
-        begun_version : the version that has begun to answer it; empty if none has.
+        is_careful : choose the server with the fewest requests in progress, because this request may
+            crash it.
+        begun_version : the version that has begun to answer the request; empty if none has.
         """
         ready = self._registry.list_ready(admitted.service)
         servers = [server for server in ready if server.incarnation not in excluded]
@@ -114,7 +116,7 @@
         return replace(placement, list_age_ms=self._registry.measure_age_ms())
 
     def begin_send(self, admitted: AdmittedRequest, placement: Placement) -> SendTicket:
-        """Count a send, and learn from the time in which its answer begins."""
+        """Count a send attempt, and update the service's model when its answer begins."""
         began_ms = self._clock.now_ms()
         engine = self._models.get(admitted.service)
         if engine.estimate_reading_ms(placement.uncached_tokens) >= LARGE_READING_MS:
@@ -132,7 +134,7 @@
 
     def _learn(self, admitted: AdmittedRequest, placement: Placement, took_ms: float) -> None:
         if self._rollouts.is_on_trial(placement.candidate.server):
-            return  # Its speed is to be judged by that of the version in force.
+            return  # The model describes the version in force, which the trial is compared with.
         prompt = admitted.facts.prompt
         if prompt is None:
             self._models.note_call(admitted.service, took_ms)
@@ -141,27 +143,27 @@
         self._models.note_first_event(admitted.service, work, took_ms)
 
     def find_connect_timeout_ms(self) -> float:
-        """Return how long to wait for a connection to a server."""
+        """Return the time-out for connecting to a server."""
         return self._reachability.find_connect_timeout_ms()
 
     def note_connected(self, server: BackendServer, took_ms: float) -> None:
-        """A new connection to a server was made."""
+        """Record that a new connection to a server was opened."""
         self._reachability.note_connected(server, took_ms)
 
     def note_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
-        """No connection could be made; `is_silent` if the server did not even refuse it."""
+        """Record that connecting failed; `is_silent` if the server did not answer the attempt at all."""
         self._reachability.note_unreachable(server, is_silent=is_silent)
 
     def note_answer(self, server: BackendServer) -> None:
-        """Bytes of an answer came from a server."""
+        """Record that a server sent bytes of an answer."""
         self._reachability.note_answer(server)
 
     def note_misdirected(self, server_name: str) -> None:
-        """Leave out a server whose address belongs to another one by now."""
+        """Exclude for a while a server whose address now belongs to another server."""
         self._registry.note_misdirected(server_name)
 
     def count_daemons(self) -> int | None:
-        """Return how many daemons share the budgets; None before they were listed."""
+        """Return how many daemons share the budgets; None until they have been listed."""
         return self._fleet.count_listed()
 
     def _find_capacity(self, service: str) -> float:
