--- a/hemlockswitch/process/gateway/registry.py
+++ b/hemlockswitch/process/gateway/registry.py
@@ -1,4 +1,4 @@
-"""The backend servers that the registry lists, by service."""
+"""The backend servers listed in the registry, by service."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -17,38 +17,42 @@
 Decoder = Callable[[StoredObject], BackendServer]
 
 RETURN_WINDOW_MS = 2_000.0
-"""Entries that lapsed while the registry was away are back within two seconds of its return."""
+"""Entries that lapsed while the registry was unavailable are registered again within two seconds of its
+return."""
 HOLD_MS = 1_500.0
-"""How long such an entry is kept at the most; a server that is gone must get no work later than
-two seconds after its removal."""
+"""Maximum time for which a lapsed entry is retained: a stopped server must get no work later than two
+seconds after its removal."""
 LAPSE_SHARE = 0.5
 FEWEST_LAPSED = 4
-"""More than half of all live servers do not leave at one moment without a word; a reclaim takes a
-zone, with notice. This also shows an outage of the registry that no call of this process met."""
+"""Removals count as a lapse when they concern at least `FEWEST_LAPSED` live servers and more than this
+share of them. So many do not stop at one moment without announcing it: a reclaim takes one zone, with
+notice. This also detects an outage of the registry during which this process made no call."""
 MISDIRECTED_MS = 3_000.0
-"""How long to leave out a server whose address answered as another one; by then its entry is
+"""How long a server is excluded after its address answered as another server; by then its entry has been
 corrected or removed."""
 FILLS_MS = 3_000.0
 """When all processes start together, most servers register within two heartbeats of 1.2 s."""
 QUIET_MS = 1_200.0
-"""A heartbeat without a new server shows that the last ones are there as well; an order that does not
-know of some takes them away."""
+"""A heartbeat interval without a new server shows that every server is registered. A scaling order made
+earlier would remove the servers that it does not count."""
 MOST_LINES = 4
-"""Changes of one page that are logged a line each; a page with more is one line with all names."""
+"""Maximum number of changes of one page that are logged a line each; a page with more is logged as one
+line with all names."""
 LONGEST_FILL_MS = 8_000.0
-"""Servers that come and go all the time must not hold the orders up."""
+"""Limits `FILLS_MS` and `QUIET_MS` together: servers that come and go all the time must not delay the
+scaling orders."""
 
 
 @dataclass(frozen=True)
 class _Change:
-    """What became of a server; `version` is that of its entry."""
+    """A changed state of a server; `version` is that of its entry."""
 
     server: BackendServer
     state: BackendState
     version: int = 0
 
     def log(self, source: PageSource | None) -> None:
-        """Write a line for this server alone."""
+        """Log this change as a line of its own."""
         if self.state is BackendState.GONE:
             log_event(
                 Event.BACKEND_GONE,
@@ -70,28 +74,30 @@
 
 
 class ServerRegistry:
-    """Consumes the followed entries of backend servers.
+    """Maintains the set of backend servers from the followed registry entries.
 
     Explanation
     ===========
 
     A removed entry is dropped at once, with one exception: right after the registry returns from
-    an outage, or when most entries go at once, those that lapsed are kept for a moment, since live
-    servers register again.
+    an outage, or when most entries are removed at once, the lapsed entries are retained for at most
+    `HOLD_MS`, since live servers register again.
 
     Parameters
     ==========
 
     decode : turns an entry into a backend server; raises `ConfigurationError`.
     clock : the time.
-    on_gone : called with a server that gets no new work any more.
+    on_gone : called with a server that gets no new work from now on.
     """
 
     def __init__(
         self, decode: Decoder, clock: Clock, on_gone: Callable[[BackendServer], None]
     ) -> None:
         self.get_recovered_ms: Callable[[], float] = lambda: float("-inf")
-        self.measure_age_ms: Callable[[], float] = lambda: 0.0  # of what is known before a page
+        self.measure_age_ms: Callable[[], float] = (
+            lambda: 0.0
+        )  # of the state before a page is applied
         self._decode = decode
         self._clock = clock
         self._on_gone = on_gone
@@ -106,7 +112,7 @@
         self._departures = Departures()
 
     def replace_all(self, page: ObjectPage) -> None:
-        """Take a whole list."""
+        """Apply a complete list."""
         listed = {item.name for item in page.items if not item.deleted}
         self._apply(page)
         missing = [name for name in self._servers if name not in listed]
@@ -116,7 +122,7 @@
         self._log_changes(page.source)
 
     def apply_changes(self, page: ObjectPage) -> None:
-        """Take changed and removed entries."""
+        """Apply changed and removed entries."""
         self._apply(page)
         self._log_changes(page.source)
 
@@ -136,7 +142,7 @@
         return len(lapsed) >= FEWEST_LAPSED and len(lapsed) > LAPSE_SHARE * len(live)
 
     def list_ready(self, service: str) -> list[BackendServer]:
-        """Return the servers of a service that may get new work."""
+        """Return the servers of a service that may get new requests."""
         self._drop_held()
         now_ms = self._clock.now_ms()
         return [
@@ -147,34 +153,34 @@
         ]
 
     def is_live(self, server: BackendServer) -> bool:
-        """Return whether this process of a server is registered and does not leave."""
+        """Return whether this process of a server is registered and is not leaving."""
         known = self._servers.get(server.name)
         if known is None or known.incarnation != server.incarnation:
             return False
         return known.state is BackendState.LIVE
 
     def list_all(self) -> list[BackendServer]:
-        """Return every server that is listed, also those that are leaving."""
+        """Return every listed server, including those that are leaving."""
         self._drop_held()
         return list(self._servers.values())
 
     def is_mostly_filled(self, synced_ms: float | None) -> bool:
-        """Return whether the registry was followed for as long as a heartbeat takes.
+        """Return whether the registry has been followed for at least one heartbeat interval.
 
         Parameters
         ==========
 
-        synced_ms : when it was first listed; None before.
+        synced_ms : when the registry was first listed; None before.
         """
         return synced_ms is not None and self._clock.now_ms() - synced_ms >= QUIET_MS
 
     def is_complete(self, synced_ms: float | None) -> bool:
-        """Return whether the registry was followed long enough for every server to be in it.
+        """Return whether the registry has been followed long enough to contain every server.
 
         Parameters
         ==========
 
-        synced_ms : when it was first listed; None before.
+        synced_ms : when the registry was first listed; None before.
         """
         if not self._is_complete and synced_ms is not None:
             now_ms = self._clock.now_ms()
@@ -193,7 +199,7 @@
         return self._digest
 
     def note_misdirected(self, name: str) -> None:
-        """Leave out a server whose address belongs to another one by now."""
+        """Exclude for `MISDIRECTED_MS` a server whose address now belongs to another server."""
         self._misdirected_until_ms[name] = self._clock.now_ms() + MISDIRECTED_MS
 
     def _put(self, item: StoredObject) -> None:
@@ -223,7 +229,7 @@
             self._on_gone(server)
 
     def _note_restart(self, before: BackendServer, server: BackendServer) -> None:
-        """Forget the process that had this name before."""
+        """Discard the state of the process that had this name before."""
         self._misdirected_until_ms.pop(before.name, None)
         self._on_gone(before)
         log_event(
@@ -235,7 +241,7 @@
         )
 
     def _log_changes(self, source: PageSource | None = None) -> None:
-        """Log what the last page changed, and how it came; None if an entry was held until now."""
+        """Log the collected changes, and the source of their page; None if a retained entry expired."""
         changes, self._changes = self._changes, []
         if len(changes) <= MOST_LINES:
             for change in changes:
@@ -259,7 +265,7 @@
         now_ms = self._clock.now_ms()
         hold_ms = self.get_recovered_ms() + RETURN_WINDOW_MS - now_ms
         if is_lapse:
-            # The entry may have gone right after what was known was last confirmed.
+            # The entry may have been removed right after the state here was last confirmed.
             hold_ms = max(hold_ms, HOLD_MS - self.measure_age_ms())
         if hold_ms <= 0 or server.state is not BackendState.LIVE:
             self._drop(name)
