--- a/hemlockswitch/process/gateway/departures.py
+++ b/hemlockswitch/process/gateway/departures.py
@@ -1,4 +1,4 @@
-"""Processes of backend servers that have said that they leave, and by which heartbeat."""
+"""Processes of backend servers that announced that they leave, with the heartbeat that announced it."""
 
 from dataclasses import replace
 
@@ -7,7 +7,8 @@
 from hemlockswitch.version.backend import BackendServer, BackendState
 
 MOST_REMEMBERED = 4_096
-"""Departures that are remembered: more than a large fleet has in the time of a late write."""
+"""Maximum number of recorded departures: more than occur in a large fleet while a delayed write is
+pending."""
 
 
 class Departures:
@@ -27,14 +28,14 @@
         self._heartbeats: dict[str, int] = {}
 
     def note(self, server: BackendServer) -> None:
-        """A server has said that it leaves."""
+        """Record that a server announced that it leaves."""
         known = self._heartbeats.pop(server.incarnation, 0)
         self._heartbeats[server.incarnation] = max(known, server.heartbeat)
         if len(self._heartbeats) > MOST_REMEMBERED:
             del self._heartbeats[next(iter(self._heartbeats))]
 
     def correct(self, server: BackendServer) -> BackendServer:
-        """Return the server as its newest heartbeat told it."""
+        """Return the server with the state that its newest heartbeat reported."""
         departed = self._heartbeats.get(server.incarnation, 0)
         if server.state is not BackendState.LIVE or server.heartbeat >= departed:
             return server
