--- a/hemlockswitch/process/gateway/known_versions.py
+++ b/hemlockswitch/process/gateway/known_versions.py
@@ -1,4 +1,4 @@
-"""Which versions of a service's servers are in force while no order is open."""
+"""The versions of a service's servers that may get requests while no rollout order is open."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -9,17 +9,18 @@
 from hemlockswitch.version.backend import BackendServer
 
 REFRESH_MS = 1_000.0
-"""Least time between two lists of the orders for a version that none of them names."""
+"""Minimum time between two lists of the rollout orders because of a version that no order names."""
 
 
 class KnownVersions:
-    """The versions that may get requests without an order, by service.
+    """The versions that may get requests without a rollout order, by service.
 
     Explanation
     ===========
 
-    The versions that are listed when a service is first asked for are in force. One that comes later
-    may be that of an order which is not known here yet: it waits until the orders were listed since.
+    The versions present when a service is first selected for are in force. A version that appears later
+    may belong to an order that has not been received yet, so it gets requests only after the orders have
+    been listed once more.
 
     Parameters
     ==========
@@ -37,19 +38,19 @@
         self._refreshed_ms = float("-inf")
 
     def note_listed(self) -> None:
-        """All orders were listed now."""
+        """Record that all rollout orders have just been listed."""
         self._listed_ms = self._clock.now_ms()
 
     def put_in_force(self, service: str, version: str) -> None:
-        """A service has moved to a version."""
+        """Record that a service has moved to a version."""
         self._in_force.setdefault(service, set()).add(version)
 
     def withhold(self, service: str, version: str) -> None:
-        """The order for a version has ended without a verdict."""
+        """Exclude a version whose rollout order ended without a verdict."""
         self._withheld[service].add(version)
 
     def release(self, service: str, version: str) -> None:
-        """A version that was withheld is ordered again."""
+        """Admit a withheld version that is ordered again."""
         self._withheld[service].discard(version)
 
     def is_withheld(self, server: BackendServer) -> bool:
@@ -57,7 +58,7 @@
         return server.version in self._withheld.get(server.serves, ())
 
     def select(self, service: str, servers: list[BackendServer]) -> list[BackendServer]:
-        """Return the servers of versions that are in force as far as is known."""
+        """Return the servers of the versions in force; all that are not withheld if there are none."""
         versions = {server.version for server in servers}
         known = self._in_force.setdefault(service, versions)
         withheld = self._withheld.get(service, ())
@@ -69,7 +70,10 @@
         return [one for one in allowed if one.version in known] or allowed
 
     def _look_up(self, service: str, version: str) -> None:
-        """Take a version as in force once the orders were listed since it was first seen."""
+        """Put a version in force if the orders have been listed since it was first seen.
+
+        Otherwise request another list, at most every `REFRESH_MS`.
+        """
         now_ms = self._clock.now_ms()
         since_ms = self._unknown_since_ms.get((service, version))
         if since_ms is None:
