--- a/hemlockswitch/process/gateway/object_versions.py
+++ b/hemlockswitch/process/gateway/object_versions.py
@@ -1,21 +1,22 @@
-"""Versions of the objects of one kind that this process knows, by which older entries are told from news."""
+"""Recorded versions of the objects of one kind, which tell new entries from outdated ones."""
 
 from dataclasses import replace
 
 from hemlockswitch.connection.stored_objects import ObjectPage, StoredObject
 
 MOST_REMOVED = 4_096
-"""Removed objects that are remembered; pages that are under way at one moment have far fewer."""
+"""Maximum number of recorded removals; pages that are in transit at one moment contain far fewer."""
 
 
 class ObjectVersions:
-    """What is known of a kind's objects: their versions, and up to which version all changes are known.
+    """The recorded version of each object of a kind, and the version up to which all changes are recorded.
 
     Explanation
     ===========
 
-    Pages come by several ways that overtake one another: by the own watch, by another gateway's, and as
-    the answer to a question of its own. An entry is taken only if it is newer than what is known of its name.
+    Pages arrive by several paths and may overtake one another: from the own watch, from another gateway's
+    watch, and as the answer to a separate query. An entry is applied only if it is newer than the recorded
+    version of its object.
 
     Examples
     ========
@@ -39,7 +40,10 @@
         self._removed: dict[str, int] = {}
 
     def take(self, page: ObjectPage) -> ObjectPage:
-        """Take a page, and return what is news of it; a list that is older than what is known has none."""
+        """Record a page, and return it with its new entries only.
+
+        A list that is older than the recorded state has none.
+        """
         if page.is_whole:
             return self._take_list(page)
         news: list[StoredObject] = []
@@ -52,9 +56,9 @@
         return replace(page, items=tuple(news))
 
     def note_unchanged(self, changed: int, until: int) -> bool:
-        """Take that the last change up to version `until` was at `changed`.
+        """Record that the last change up to version `until` was at version `changed`.
 
-        Return whether everything up to there is known by it.
+        Return whether all changes up to `until` are recorded with that.
         """
         if self.known < changed:
             return False
@@ -69,7 +73,7 @@
             self._note_removed(name, page.version)
         self._present = listed
         self.known = page.version
-        # The list does not show removals, so the last change may be as late as the list.
+        # A list does not show removals, so the last change may be as late as the list itself.
         self.changed = max([page.version, *listed.values()])
         return page
 
@@ -96,7 +100,7 @@
     def _find_change(self, item: StoredObject, page: ObjectPage) -> int:
         """Return the version at which an object changed, or a later one.
 
-        A removed object may bear the version of the change before its removal.
+        The entry of a removed object may have the version of the change before its removal.
         """
         known = self._present.get(item.name, 0)
         return page.version if item.deleted and item.version <= known else item.version
