--- a/hemlockswitch/process/gateway/reachability.py
+++ b/hemlockswitch/process/gateway/reachability.py
@@ -1,16 +1,16 @@
-"""Which backend servers this gateway cannot reach now, by failure domain: one server, or a zone.
+"""Detection of unreachable backend servers, by failure domain: a single server or a zone.
 
-A partition is silent: a request that is sent into it waits until its time is up, and one that may
-run only once is lost. Evidence of a partition comes from three sides:
+A partition drops packets without an error: a request that is sent into it waits until its deadline,
+and one that may run only once is lost. There are three kinds of evidence of a partition:
 
-- a server that a connection cannot be made to;
-- two servers of a zone in a row that do not answer an opening packet: the zone is cut off;
-- a zone from which nothing at all was heard for a while, neither from its gateways, which report
-  several times a second, nor from its servers, whose answers count as well: gateways that were
-  killed leave servers that work.
+- a connection to a server cannot be opened;
+- two servers of a zone in a row do not answer an opening packet: the zone is cut off;
+- nothing at all is received from a zone for a while, neither from its gateways, which report
+  several times a second, nor from its servers. Answers of servers count, because killed gateways
+  leave working servers behind.
 
-Suspects get no requests while there are others. They are asked for a connection again and again,
-which risks no request, and the first one that opens ends the suspicion; it is kept for the next
+Suspected servers get no requests while others are available. They are probed by opening connections,
+which risks no request. The first connection that opens ends the suspicion and is kept for the next
 request.
 """
 
@@ -26,40 +26,42 @@
 from hemlockswitch.version.backend import BackendServer
 
 SILENT_MS = 500.0
-"""How long nothing may be heard from a zone at the least; its gateways' own periods may ask for more."""
+"""Minimum time without a message before a zone is suspected; its gateways' report periods may demand
+more."""
 LEAST_CONNECT_MS = 150.0
 MOST_CONNECT_MS = 500.0
-"""Bounds of the time to wait for a connection: above a pause of the own process for a large
-configuration, and below the second after which a dropped opening packet is sent again."""
+"""Bounds of the connection time-out: longer than this process pauses for a large configuration, and
+shorter than the second after which a dropped opening packet is sent again."""
 CONNECT_FACTOR = 10.0
-"""How many times the usual time a connection may take; queues at a busy server are part of it."""
+"""Ratio of the connection time-out to the usual connection time, which includes queueing at a busy
+server."""
 SMOOTHING = 0.2
-"""Weight of one connection in the usual time."""
+"""Weight of one connection in the moving average of the connection time."""
 LOOK_MS = 100.0
-"""Time between two looks for silent zones."""
+"""Time between two checks for unresponsive zones."""
 STALL_MS = 250.0
-"""A look that comes this late shows that the process itself stood still."""
+"""A check that is this late shows that the process itself was stalled."""
 PRIOR_DISTANCE_MS = 3.0
-"""What the way to another zone is assumed to take longer before connections were made: two crossings
-of about a millisecond."""
+"""Additional latency assumed for another zone before connections have been measured: two crossings of
+about a millisecond."""
 CROSSING_MS = 1.0
-"""What the bytes between zones cost beside the time: little against a prompt that is read again."""
+"""Cost of traffic between zones, expressed as latency: little compared with reading a prompt again."""
 PROBE_MS = 200.0
-"""Time between two tries to connect to suspects of a zone: how late its return may be noticed."""
+"""Time between two probes of a zone's suspects: how late the return of a zone may be detected."""
 MOST_PROBES = 2
-"""Suspects of one zone that are tried at once, drawn at random; a zone that returns answers with any
-server, and one server among several suspects is tried within a second."""
+"""Maximum number of suspects of one zone that are probed at once, drawn at random. When a zone returns any
+of its servers answers, and a single server among several suspects is probed within a second."""
 RETURN_MS = 1_500.0
-"""How long after its return a zone's silence counts for nothing: streams to its gateways that broke
-are made anew only after a pause."""
+"""How long after its return a zone is not suspected for missing messages: broken streams to its gateways
+are opened again only after a pause."""
 ZONE_EVIDENCE = 2
-"""Servers of a zone that must fall silent, without one that answers in between, for the zone to be
-suspected before it has been silent for long."""
+"""Number of servers of a zone that must not answer, without an answer from the zone in between, for the
+zone to be suspected before its time without messages is up."""
 
 
 @dataclass(frozen=True)
 class _Word:
-    """When a gateway was heard, and within which time it said that it would report again."""
+    """When the last report of a gateway came, and the period within which it announced the next one."""
 
     heard_ms: float
     period_ms: float
@@ -67,7 +69,7 @@
 
 @dataclass
 class _Zone:
-    """What is known of a zone."""
+    """The state of a zone."""
 
     heard_ms: float
     returned_ms: float = float("-inf")
@@ -77,7 +79,7 @@
     words: dict[str, _Word] = field(default_factory=dict)  # by gateway
 
     def find_silence_ms(self) -> float:
-        """Return how long nothing may be heard from the zone."""
+        """Return the time without a message after which the zone is suspected."""
         talking = [
             word
             for word in self.words.values()
@@ -91,15 +93,15 @@
 
 
 class Reachability:
-    """Who can be reached.
+    """Tracks which backend servers and zones can be reached.
 
     Parameters
     ==========
 
-    zone : this gateway's availability zone; its own silence is no evidence.
+    zone : this gateway's availability zone, which is never suspected as a zone.
     get_period : returns the time between two reports of the gateways of this zone.
     clock : the time.
-    on_zone_lost : called with a zone when it becomes a suspect.
+    on_zone_lost : called with a zone when it becomes suspected.
     """
 
     def __init__(
@@ -120,23 +122,23 @@
         self._looked_ms = clock.now_ms()
 
     def is_suspect(self, server: BackendServer) -> bool:
-        """Return whether a server should get nothing while others can."""
+        """Return whether a server should get no requests while other servers are available."""
         zone = self._zones.get(server.zone)
         return server.incarnation in self._suspects or (zone is not None and zone.is_suspect)
 
     def select_reachable(self, servers: list[BackendServer]) -> list[BackendServer]:
-        """Return the servers that are no suspects; all of them if every one is."""
+        """Return the servers that are not suspected; all of them if every one is."""
         return [server for server in servers if not self.is_suspect(server)] or servers
 
     def find_connect_timeout_ms(self) -> float:
-        """Return how long to wait for a connection."""
+        """Return the connection time-out."""
         if not self._connect_ms:
             return MOST_CONNECT_MS
         usual_ms = max(self._connect_ms.values())
         return min(max(CONNECT_FACTOR * usual_ms, LEAST_CONNECT_MS), MOST_CONNECT_MS)
 
     def find_distance_ms(self, zone: str) -> float:
-        """Return how much longer a request to a zone is on its way than inside the own zone."""
+        """Return the additional latency of a request to a zone, compared with this gateway's zone."""
         if zone == self._zone:
             return 0.0
         if zone not in self._connect_ms or self._zone not in self._connect_ms:
@@ -145,7 +147,7 @@
         return max(longer_ms, 0.0) + CROSSING_MS
 
     def note_heard(self, zone: str) -> None:
-        """Something came from a zone: a report, or bytes of a server's answer."""
+        """Record that a report, or bytes of a server's answer, came from a zone."""
         known = self._zones.setdefault(zone, _Zone(self._clock.now_ms()))
         known.heard_ms = self._clock.now_ms()
         if known.is_suspect:
@@ -155,13 +157,13 @@
             log_event(Event.ZONE_REACHED, zone=zone)
 
     def note_connected(self, server: BackendServer, took_ms: float) -> None:
-        """A connection to a server was made."""
+        """Record that a connection to a server was opened."""
         usual_ms = self._connect_ms.get(server.zone, took_ms)
         self._connect_ms[server.zone] = usual_ms + SMOOTHING * (took_ms - usual_ms)
         self.note_answer(server)
 
     def note_answer(self, server: BackendServer) -> None:
-        """Bytes came from a server."""
+        """Record that a server sent bytes."""
         self.note_heard(server.zone)
         self._zones[server.zone].timed_out.clear()
         self._reached_ms[server.incarnation] = self._clock.now_ms()
@@ -169,12 +171,12 @@
             log_event(Event.BACKEND_REACHED, server=server.incarnation)
 
     def note_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
-        """No connection to a server could be made.
+        """Record that a connection to a server could not be opened.
 
         Parameters
         ==========
 
-        is_silent : nothing answered at all; a refusal concerns this server alone.
+        is_silent : whether there was no answer at all; a refusal concerns this server alone.
         """
         self._suspect(server, "unreachable")
         if not is_silent:
@@ -185,7 +187,7 @@
             self._lose(server.zone, known)
 
     def note_report(self, zone: str, gateway: str, period_ms: float) -> None:
-        """A gateway of a zone lives, and will report again within a period."""
+        """Record that a gateway of a zone reported, and will report again within a period."""
         self.note_heard(zone)
         if period_ms > 0:
             self._zones[zone].words[gateway] = _Word(self._clock.now_ms(), period_ms)
@@ -193,10 +195,10 @@
     def take_unreachable(
         self, zone: str, unreachable: Iterable[str], known: Iterable[BackendServer]
     ) -> None:
-        """Take the servers that a gateway of a zone suspects.
+        """Suspect the servers that another gateway of this zone suspects.
 
-        A gateway of the own zone is on the same side of a partition, so its word counts until a
-        server has answered this gateway.
+        A gateway of this zone is on the same side of a partition, so its suspicion is adopted, except for
+        servers that recently answered this gateway.
         """
         told = set(unreachable)
         if zone != self._zone or not told:
@@ -208,14 +210,14 @@
                 self._suspect(server, "told")
 
     def describe_unreachable(self) -> list[str]:
-        """Return the servers that this gateway suspects by themselves, for others."""
+        """Return the individually suspected servers, to be reported to other gateways."""
         return sorted(self._suspects)
 
     def look(self) -> None:
-        """Suspect the zones that have fallen silent; to be called several times a second."""
+        """Suspect the zones that are unresponsive; to be called several times a second."""
         now_ms = self._clock.now_ms()
         if now_ms - self._looked_ms > STALL_MS:
-            # What came meanwhile is yet to be read.
+            # Messages that arrived during the stall have not been read yet.
             for known in self._zones.values():
                 known.heard_ms = now_ms
         self._looked_ms = now_ms
@@ -225,7 +227,7 @@
                 self._lose(zone, known)
 
     def list_probes(self, servers: Iterable[BackendServer]) -> list[BackendServer]:
-        """Return the suspects to try a connection to now: a few of each zone."""
+        """Return the suspects to probe now: a few of each zone."""
         now_ms = self._clock.now_ms()
         by_zone: dict[str, list[BackendServer]] = defaultdict(list)
         for server in servers:
@@ -240,7 +242,7 @@
         return chosen
 
     def forget(self, server: BackendServer) -> None:
-        """Forget a server that is gone."""
+        """Discard the state of a removed server."""
         self._suspects.pop(server.incarnation, None)
         self._reached_ms.pop(server.incarnation, None)
 
