--- a/hemlockswitch/process/gateway/prober.py
+++ b/hemlockswitch/process/gateway/prober.py
@@ -1,4 +1,4 @@
-"""The task that looks for silent zones and asks suspected backend servers for a connection."""
+"""The task that detects unresponsive zones and probes suspected backend servers."""
 
 from collections.abc import Callable
 
@@ -12,13 +12,13 @@
 
 
 class Prober:
-    """Tries to reach the suspects; a connection that opens is kept for a request.
+    """Probes suspected servers by connecting; a connection that opens is kept for a request.
 
     Parameters
     ==========
 
-    reachability : who is suspected, and learns who answers.
-    pool : makes the connections.
+    reachability : tells which servers are suspected, and records which answer.
+    pool : opens the connections.
     list_servers : returns the backend servers that are registered.
     clock : the time.
     """
@@ -36,7 +36,7 @@
         self._clock = clock
 
     def run(self) -> None:
-        """Look and probe until the task is ended."""
+        """Check the zones and probe suspects until the task is killed."""
         while True:
             self._clock.sleep_ms(LOOK_MS)
             self._reachability.look()
@@ -44,7 +44,10 @@
                 gevent.spawn(self._probe, server)
 
     def refuses(self, server: BackendServer) -> bool:
-        """Ask a server for a connection, and return whether it refused it; silence is no refusal."""
+        """Connect to a server, and return whether it refused the connection.
+
+        A connection attempt that times out is not a refusal.
+        """
         began_ms = self._clock.now_ms()
         timeout_ms = self._reachability.find_connect_timeout_ms()
         if self._connect(server, timeout_ms):
@@ -54,11 +57,11 @@
         return not is_silent
 
     def _probe(self, server: BackendServer) -> None:
-        # One that cannot be reached stays a suspect, which is logged where it became one.
+        # A server that cannot be reached stays suspected, which was logged when the suspicion began.
         self._connect(server, self._reachability.find_connect_timeout_ms())
 
     def _connect(self, server: BackendServer, timeout_ms: float) -> bool:
-        """Return whether a connection to a server opened; it is kept for a request."""
+        """Return whether a connection to a server opened; the connection is kept for a request."""
         began_ms = self._clock.now_ms()
         try:
             self._pool.warm(server.address, timeout_ms)
