--- a/hemlockswitch/process/gateway/failures.py
+++ b/hemlockswitch/process/gateway/failures.py
@@ -1,9 +1,10 @@
-"""How often sends to each backend server failed lately: the own ones, and those of other gateways.
+"""Recent failure rates of the backend servers, from this gateway's send attempts and from other gateways.
 
-A gateway of a large fleet sends each server a request every half minute, so by itself it would meet
-every server that fails while it calls itself healthy. Gateways therefore tell one another how their
-sends have ended. What others tell moves the rate less than an own send does, and each of them counts
-for few failures at a time: a gateway whose own link fails its sends must not empty the servers.
+A gateway of a large fleet sends each server a request every half minute. On its own it would run into
+every server that fails while it reports itself healthy, so gateways exchange the results of their send
+attempts. A reported result changes the rate less than an own one, and only a few failures of each
+gateway count at a time: a gateway whose own link makes its attempts fail must not take the work away
+from all servers.
 """
 
 import math
@@ -13,19 +14,19 @@
 from hemlockswitch.process.gateway.messages import Results
 
 FAILURE_HALF_LIFE_MS = 2_000.0
-"""After this time a failure weighs half: long enough to steer work away from a failing server,
-short enough to try it again within seconds."""
+"""Half-life of a failure's weight: long enough to steer work away from a failing server, short enough to
+try the server again within seconds."""
 OWN_WEIGHT = 0.5
-"""How far one own failure moves the rate towards 1, and one success towards 0."""
+"""Weight of one own result: how far a failure moves the rate towards 1, and a success towards 0."""
 TOLD_WEIGHT = 0.15
-"""The same for a send of another gateway: three gateways that were failed weigh like one own failure,
-and a service of which every seventh call fails in any case moves by little from call to call."""
+"""Weight of one result of another gateway. Failures reported by three gateways weigh like one own failure,
+and the rate of a service of which every seventh call fails anyway changes little from call to call."""
 MOST_TOLD_FAILURES = 2
-"""Failures of one gateway at one server that count within a half-life."""
+"""Maximum number of failures of one gateway at one server that count within a half-life."""
 
 
 class FailureRate:
-    """A rate of failures that decays with time.
+    """A failure rate that decays with time.
 
     Examples
     ========
@@ -41,7 +42,7 @@
         self._noted_ms = 0.0
 
     def note(self, now_ms: float, *, failed: bool, weight: float = OWN_WEIGHT) -> None:
-        """Count one send."""
+        """Record the result of one send attempt."""
         rate = self.get(now_ms)
         self._rate = rate + weight * ((1.0 if failed else 0.0) - rate)
         self._noted_ms = now_ms
@@ -52,7 +53,7 @@
 
 
 class ServerFailures:
-    """The rates of all servers, by incarnation.
+    """The failure rates of all servers, by incarnation.
 
     Parameters
     ==========
@@ -68,18 +69,18 @@
         self._untold: Results = {}
 
     def note_own(self, server: str, *, failed: bool) -> None:
-        """Count the end of an own send."""
+        """Record the result of one of this gateway's send attempts."""
         self._own[server].note(self._clock.now_ms(), failed=failed)
         succeeded_before, failed_before = self._untold.get(server, (0, 0))
         self._untold[server] = (succeeded_before + (not failed), failed_before + failed)
 
     def pop_untold(self) -> Results:
-        """Return how the own sends since the last call have ended, for other gateways."""
+        """Return the own results since the last call, to be reported to other gateways."""
         untold, self._untold = self._untold, {}
         return untold
 
     def take_told(self, gateway: str, results: Results) -> None:
-        """Take how another gateway's sends have ended."""
+        """Apply the results of another gateway's send attempts."""
         now_ms = self._clock.now_ms()
         for server, (succeeded, failed) in results.items():
             counted = self._told_failures[gateway, server].limit(now_ms, failed) if failed else 0
@@ -89,13 +90,13 @@
                 self._told[server].note(now_ms, failed=False, weight=TOLD_WEIGHT)
 
     def get_rate(self, server: str) -> float:
-        """Return the part of the recent sends that failed: the own ones or the others', the higher."""
+        """Return the recent failure rate: the own one or the reported one, whichever is higher."""
         now_ms = self._clock.now_ms()
         rates = (rates.get(server) for rates in (self._own, self._told))
         return max((rate.get(now_ms) for rate in rates if rate is not None), default=0.0)
 
     def forget(self, server: str) -> None:
-        """Forget a server that is gone."""
+        """Discard the rates of a removed server."""
         self._own.pop(server, None)
         self._told.pop(server, None)
         self._untold.pop(server, None)
@@ -104,14 +105,14 @@
 
 
 class FailureCount:
-    """How many failures of one gateway at one server have counted in this half-life."""
+    """Counts the failures of one gateway at one server within a half-life."""
 
     def __init__(self) -> None:
         self._since_ms = float("-inf")
         self._counted = 0
 
     def limit(self, now_ms: float, failed: int) -> int:
-        """Return how many of some new failures count."""
+        """Return how many of `failed` new failures count."""
         if now_ms - self._since_ms >= FAILURE_HALF_LIFE_MS:
             self._since_ms, self._counted = now_ms, 0
         counted = min(failed, MOST_TOLD_FAILURES - self._counted)
