--- a/hemlockswitch/process/gateway/loads.py
+++ b/hemlockswitch/process/gateway/loads.py
@@ -1,4 +1,4 @@
-"""The load of the backend servers: own sends, what other daemons report, and recent failures."""
+"""The load of the backend servers: own send attempts, reports of other daemons, and recent failures."""
 
 import random
 from collections import OrderedDict, defaultdict, deque
@@ -22,26 +22,27 @@
 from hemlockswitch.version.backend import BackendServer
 
 REMEMBERED_BEGINNINGS = 4_096
-"""Prompt beginnings remembered for each server; about three times what one holds."""
+"""Maximum number of prompt prefixes recorded for each server; about three times as many as a server
+caches."""
 ASSUMED_CAPACITY_TOKENS = 400_000.0
-"""What a server is expected to keep before this daemon has sent anything there itself."""
+"""Cache capacity assumed for a server to which this daemon has not sent a prompt yet."""
 LEARNING_MS = 10_000.0
-"""How long a new process expects prompts in the caches of their homes: it has not heard yet what
-was sent before its start. Traffic repeats most shared parts in this time."""
+"""How long a new process assumes that prompts are cached on their preferred servers, because it has no
+record of the prompts sent before its start. Traffic repeats most shared parts within this time."""
 MOST_TOLD = 200
-"""Sends told in one report; more is dropped, as a report must stay small."""
+"""Maximum number of sent prompts in one report; more are dropped, since a report must stay small."""
 
 SentPrompt = tuple[str, Chain]
-"""A server's incarnation, and the shared beginnings of a prompt that was sent to it."""
+"""A server's incarnation, and the shared prefixes of a prompt that was sent to it."""
 
 
 class PromptMemory:
-    """Which prompt beginnings were sent to a server, the least recently used forgotten first.
+    """The prompt prefixes sent to a server; evicts the least recently used ones.
 
     Parameters
     ==========
 
-    capacity_tokens : how much the server is expected to keep.
+    capacity_tokens : how much the server is expected to cache.
     """
 
     def __init__(self, capacity_tokens: float) -> None:
@@ -50,7 +51,7 @@
         self._beginnings: OrderedDict[int, int] = OrderedDict()
 
     def note(self, chain: Chain) -> None:
-        """Remember the shared beginnings of a prompt."""
+        """Record the shared prefixes of a prompt."""
         for digest, tokens in chain:
             if digest not in self._beginnings:
                 self._tokens += tokens
@@ -61,7 +62,7 @@
             self._tokens -= tokens
 
     def count_cached(self, chain: Chain) -> float:
-        """Return the tokens known at the prompt's beginning."""
+        """Return the number of leading tokens of a prompt that are recorded as cached."""
         cached = 0.0
         for digest, tokens in chain:
             if digest not in self._beginnings:
@@ -75,12 +76,12 @@
 
 
 class Ticket:
-    """One send in progress.
+    """One send attempt in progress.
 
     Parameters
     ==========
 
-    on_begun : called once when its answer has begun well.
+    on_begun : called once when its answer begins and is not a failure.
     """
 
     def __init__(
@@ -96,21 +97,21 @@
         self._on_begun = on_begun
 
     def note_first_event(self, *, succeeds: bool = True) -> None:
-        """The prompt is read; `succeeds` unless the answer is a failure."""
+        """Record that the server has read the prompt; `succeeds` unless the answer is a failure."""
         if succeeds:
             self._on_begun()
         self._loads.add(self._name, 0, -self._waiting_tokens)
         self._waiting_tokens = 0.0
 
     def end(self, failed: bool) -> None:
-        """The send is over."""
+        """Record the end of the send attempt."""
         self._loads.add(self._name, -1, -self._waiting_tokens)
         self._loads.note_result(self._name, failed)
 
 
 @dataclass(frozen=True)
 class _Look:
-    """What is the same for all servers that are compared for a request."""
+    """The inputs shared by all servers that are compared for a request."""
 
     prompt: Prompt | None
     ranks: Mapping[str, int]
@@ -120,10 +121,10 @@
 
 
 class ServerLoads:
-    """What this daemon knows of the load of every backend server.
+    """The load of every backend server, as far as this daemon has recorded or received it.
 
-    Everything is kept by incarnation: a server that started again under its name has nothing in its
-    cache and nothing in progress.
+    All state is keyed by incarnation: a server that restarted under its name has an empty cache and no
+    requests in progress.
 
     Parameters
     ==========
@@ -160,7 +161,7 @@
         capacity_tokens: float,
         on_begun: Callable[[], None] = lambda: None,
     ) -> Ticket:
-        """Count one send; `on_begun` is called when its answer has begun well."""
+        """Count one send attempt; `on_begun` is called when its answer begins and is not a failure."""
         self.add(server.incarnation, 1, uncached_tokens)
         meter = self._demand.setdefault(server.serves, DemandMeter())
         meter.add(self._clock.now_ms(), uncached_tokens)
@@ -179,11 +180,11 @@
         self._on_change()
 
     def note_result(self, name: str, failed: bool) -> None:
-        """Count the end of a send."""
+        """Record the result of a send attempt."""
         self.failures.note_own(name, failed=failed)
 
     def forget(self, name: str) -> None:
-        """Forget a server that is gone, but for the sends in progress."""
+        """Discard the state of a removed server, except its send attempts in progress."""
         self.failures.forget(name)
         self._untold_loads.discard(name)
         self._memories.pop(name, None)
@@ -192,17 +193,17 @@
             self._waiting.pop(name, None)
 
     def measure_own_demand(self) -> dict[str, float]:
-        """Return the prompt tokens in a millisecond that this daemon sends, by service."""
+        """Return the prompt tokens per millisecond that this daemon sends, by service."""
         now_ms = self._clock.now_ms()
         return {service: meter.get(now_ms) for service, meter in self._demand.items()}
 
     def count_running(self, names: Collection[str]) -> int:
-        """Return the requests in progress on some servers, over all daemons."""
+        """Return the number of requests of all daemons in progress on the given servers."""
         others = self._reported.sum_loads()
         return sum(self._running.get(name, 0) + others.running.get(name, 0) for name in names)
 
     def describe_own(self) -> dict[str, ServerLoad]:
-        """Return the own load, for other daemons."""
+        """Return the own load, to be reported to other daemons."""
         return {
             name: ServerLoad(running, round(self._waiting[name]))
             for name, running in self._running.items()
@@ -210,7 +211,7 @@
         }
 
     def pop_changed(self) -> dict[str, ServerLoad]:
-        """Return the own load on the servers on which it has changed since the last call."""
+        """Return the own load on the servers where it has changed since the last call."""
         changed = {
             name: ServerLoad(self._running.get(name, 0), round(self._waiting.get(name, 0.0)))
             for name in self._untold_loads
@@ -225,12 +226,12 @@
         sent: Sequence[SentPrompt],
         order: Order,
     ) -> None:
-        """Take what has changed of another daemon's load; the rest of it stays."""
+        """Apply changes of another daemon's load; its load on other servers stays as it is."""
         self._reported.take_changes(daemon, changes, order)
         self._note_sent(sent)
 
     def pop_sent(self) -> list[SentPrompt]:
-        """Return the prompts sent since the last call, for other daemons."""
+        """Return the prompts sent since the last call, to be reported to other daemons."""
         sent = list(self._untold)
         self._untold.clear()
         return sent
@@ -242,7 +243,7 @@
         sent: Sequence[SentPrompt] = (),
         order: Order | None = None,
     ) -> None:
-        """Take another daemon's load, and the prompts that it has sent.
+        """Apply another daemon's complete load, and record the prompts that it has sent.
 
         Parameters
         ==========
@@ -274,9 +275,9 @@
         Parameters
         ==========
 
-        servers : those of one service.
-        tokens_per_ms : how fast the service's engines read.
-        find_distance_ms : returns how much longer the way to a zone is.
+        servers : the servers of one service.
+        tokens_per_ms : how fast the service's engines read prompts.
+        find_distance_ms : returns the additional latency to a zone.
         chance : draws the servers that are compared for a prompt; None to compare all.
         """
         ranks = self._rank_homes(servers, prompt)
@@ -293,14 +294,14 @@
         return [self._build_candidate(server, look) for server in servers]
 
     def _rank_homes(self, servers: list[BackendServer], prompt: Prompt | None) -> dict[str, int]:
-        """Return the ranks of the homes of a prompt's last shared part."""
+        """Return the ranks of the preferred servers of a prompt's last shared part."""
         if not servers or prompt is None or not prompt.shared_parts:
             return {}
         key = prompt.shared_parts[-1].identifier
         return self._homes[servers[0].serves].rank(key, [server.name for server in servers])
 
     def _list_holders(self, prompt: Prompt) -> set[str]:
-        """Return the incarnations of the servers that are known to have a prompt's first part."""
+        """Return the incarnations of the servers to which a prompt's first shared part was sent."""
         if not prompt.shared_chain:
             return set()
         first = prompt.shared_chain[:1]
@@ -320,7 +321,7 @@
         )
 
     def _count_cached(self, name: str, prompt: Prompt) -> float | None:
-        """Return the cached tokens; None while this process may just not have heard of them."""
+        """Return the cached tokens; None if there are none but this process started too recently to tell."""
         memory = self._memories.get(name)
         cached = memory.count_cached(prompt.shared_chain) if memory is not None else 0.0
         is_learning = self._clock.now_ms() - self._begun_ms < LEARNING_MS
