--- a/hemlockswitch/process/gateway/reported_loads.py
+++ b/hemlockswitch/process/gateway/reported_loads.py
@@ -1,4 +1,4 @@
-"""The load that other daemons put on backend servers, from their reports."""
+"""The load that other daemons put on backend servers, as they report it."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
@@ -7,18 +7,19 @@
 from hemlockswitch.process.gateway.report_period import ReportPeriod
 
 FRESH_MS = 500.0
-"""A report that is younger counts in full. Loads that change are told within less, so what it says
-still waits; only an older one is from a gateway that cannot tell, and the server has read on since.
-Taking off what is read from the first moment on served 0.915 of the worth in time and this 0.931, in
-a replay of 195 gateways that tell each change (tests/test_change_relay.py)."""
+"""The waiting tokens of a report younger than this count in full. Changed loads are reported within less
+time, so these tokens still wait; only an older report comes from a gateway that cannot send, and the server
+has read on since. Subtracting the tokens read since the report from the first moment on served 0.915 of the
+worth in time, and this rule 0.931, in a replay of 195 gateways that report each change
+(tests/test_change_relay.py)."""
 
 Order = tuple[int, int]
-"""A daemon's incarnation, and the number of a report among those of its process."""
+"""A daemon's incarnation, and the sequence number of a report within its process."""
 
 
 @dataclass(frozen=True)
 class ServerLoad:
-    """Requests in progress on a server, and prompt tokens that wait to be read there."""
+    """The number of requests in progress on a server, and of prompt tokens that wait to be read there."""
 
     running: int = 0
     waiting_tokens: float = 0.0
@@ -33,8 +34,8 @@
 
     token_ages : by server, the sum of each report's waiting tokens times its age beyond `FRESH_MS`.
 
-    Plain numbers, as all daemons' loads are added up for each request: a `ServerLoad` for each of them
-    would take half of the time of a placement.
+    The sums are plain numbers because the loads of all daemons are added up for each request: building
+    `ServerLoad` objects would take half of the time of a placement.
     """
 
     running: dict[str, int] = field(default_factory=dict)
@@ -42,7 +43,7 @@
     token_ages: dict[str, float] = field(default_factory=dict)
 
     def estimate_waiting_tokens(self, name: str, tokens_per_ms: float) -> float:
-        """Return what of the reported tokens still waits, if the server went on reading."""
+        """Return how many of the reported tokens still wait, assuming that the server went on reading."""
         waiting_tokens = self.waiting_tokens.get(name, 0.0)
         if waiting_tokens <= 0:
             return 0.0
@@ -52,7 +53,7 @@
     def add(
         self, loads: Mapping[str, ServerLoad], age_ms: float, names: set[str] | None = None
     ) -> None:
-        """Add one daemon's load on some servers, or on all."""
+        """Add one daemon's load on the servers in `names`, or on all servers."""
         running, waiting_tokens, token_ages = self.running, self.waiting_tokens, self.token_ages
         stale_ms = max(age_ms - FRESH_MS, 0.0)
         for name in loads if names is None else loads.keys() & names:
@@ -65,14 +66,14 @@
 
 @dataclass(frozen=True)
 class _Report:
-    """A daemon's load.
+    """The last reported load of a daemon.
 
     Parameters
     ==========
 
-    order : of the newest word that it rests on.
-    whole_order : of the last report of the whole load.
-    changed : by server, the order of the newest change since then.
+    order : the order of the newest report or change in it.
+    whole_order : the order of the last report of the complete load.
+    changed : by server, the order of the newest change since that report.
     """
 
     received_ms: float
@@ -83,7 +84,7 @@
 
 
 class ReportedLoads:
-    """What each daemon reported last.
+    """The last reported load of each daemon.
 
     Parameters
     ==========
@@ -116,13 +117,13 @@
     def take(
         self, daemon: str, loads: Mapping[str, ServerLoad], order: Order | None = None
     ) -> None:
-        """Take a daemon's report in place of its last one.
+        """Replace a daemon's load with that of its newest report.
 
         Parameters
         ==========
 
-        order : tells which of two reports is the newer one, since they come by several ways; an
-            older one changes nothing. Without it the report is the newest.
+        order : tells which of two reports is newer, since they arrive by several paths; an older report
+            is ignored. None if the report is the newest.
         """
         last = self._reports.get(daemon)
         if order is None:
@@ -131,9 +132,9 @@
             self._reports[daemon] = _Report(self._clock.now_ms(), order, loads, order)
 
     def take_changes(self, daemon: str, changes: Mapping[str, ServerLoad], order: Order) -> None:
-        """Take the servers on which a daemon's load has changed; what it put on others stays.
+        """Apply the changes of a daemon's load; its load on all other servers stays as it is.
 
-        One that is lost leaves the load of before, until the next whole report or change.
+        If a change is lost, the previous load stays until the next complete report or change.
         """
         last = self._reports.get(daemon)
         if last is None or last.order[0] < order[0]:
@@ -141,7 +142,7 @@
             last = _Report(self._clock.now_ms(), began, {}, began)
         if order < last.whole_order:
             return
-        # Two changes may overtake one another on their ways, so each server has its own number.
+        # Changes may arrive out of order, so each server has its own order.
         newer = {
             name: load for name, load in changes.items() if order >= last.changed.get(name, order)
         }
@@ -155,7 +156,7 @@
         )
 
     def sum_loads(self, names: set[str] | None = None) -> LoadSums:
-        """Return the sums over the daemons that reported lately, on some servers or on all."""
+        """Return the sums over the daemons that reported recently, for the servers in `names` or for all."""
         now_ms = self._clock.now_ms()
         oldest_ms = now_ms - self._get_period().life_ms
         sums = LoadSums()
