--- a/hemlockswitch/process/gateway/service_models.py
+++ b/hemlockswitch/process/gateway/service_models.py
@@ -1,8 +1,8 @@
-"""What the gateways have learned of each service: its engines' speed, and how long a call takes.
+"""The fitted model of each service: the speed of its engines, and how long a call takes.
 
-Each gateway fits a model to its own sends and tells it to the others. The model in force is the
-median of those that are told, coefficient by coefficient: a gateway that has just started knows it
-with the first report, and one that is wrong changes nothing.
+Each gateway fits a model to its own send attempts and reports it to the others. The model in force is
+the coefficient-wise median of the reported models: a gateway that has just started has it with the
+first report, and a single wrong model has no effect.
 """
 
 import statistics
@@ -24,9 +24,10 @@
 FIT_MS = 2_000.0
 """Time between two fits; one takes some 2 ms of processor time for each service with engines."""
 TOLD_LIFE_MS = 10_000.0
-"""How long another gateway's model counts."""
+"""How long another gateway's reported model is used."""
 CALL_STEP = 0.05
-"""By which part the usual time of a call follows each call: it settles at the median."""
+"""Relative step by which each call moves the usual call time up or down, so that it settles at the
+median."""
 
 ToldModel = tuple[float, float, float, float]
 """The coefficients of a model, in the order of `EngineModel.coefficients`."""
@@ -59,20 +60,20 @@
         return self._in_force.get(service, PRIOR)
 
     def get_call_ms(self, service: str) -> float:
-        """Return the usual time of a plain service's call."""
+        """Return the usual duration of a call of a plain service."""
         return self._call_ms.get(service, PRIOR_CALL_MS)
 
     def note_first_event(self, service: str, work: EngineWork, took_ms: float) -> None:
-        """Note how long an engine took to a first event."""
+        """Record the time from a send attempt to the first event of an engine's answer."""
         self._fitters.setdefault(service, ModelFitter()).note(self._clock.now_ms(), work, took_ms)
 
     def note_call(self, service: str, took_ms: float) -> None:
-        """Note how long a plain service's call took."""
+        """Record the duration of a call of a plain service."""
         usual_ms = self.get_call_ms(service)
         self._call_ms[service] = usual_ms * (1 + CALL_STEP if took_ms > usual_ms else 1 - CALL_STEP)
 
     def describe_own(self) -> dict[str, ToldModel]:
-        """Return the models that rest on enough own sends, for other gateways."""
+        """Return the models fitted to enough own send attempts, to be reported to other gateways."""
         return {
             service: fitter.model.coefficients
             for service, fitter in self._fitters.items()
@@ -80,7 +81,7 @@
         }
 
     def take_report(self, gateway: str, told: Mapping[str, ToldModel]) -> None:
-        """Take another gateway's models; one that no engine can have is left out."""
+        """Apply another gateway's models, except those with coefficients that no engine can have."""
         models: dict[str, EngineModel] = {}
         for service, coefficients in told.items():
             try:
@@ -99,7 +100,7 @@
                 self._in_force[service] = self._join(service)
 
     def fit(self) -> None:
-        """Fit the own models anew, and join them with the others'."""
+        """Fit the own models again, and combine them with the reported ones."""
         now_ms = self._clock.now_ms()
         for service, fitter in self._fitters.items():
             fitter.fit(now_ms, self.get(service))
@@ -120,7 +121,7 @@
         }
 
     def _join(self, service: str) -> EngineModel:
-        """Return the median of the models that gateways have told lately, with the own one."""
+        """Return the median of the recently reported models and the own model."""
         oldest_ms = self._clock.now_ms() - TOLD_LIFE_MS
         models = [
             told.models[service]
