--- a/hemlockswitch/process/gateway/fleet.py
+++ b/hemlockswitch/process/gateway/fleet.py
@@ -1,7 +1,7 @@
-"""The other gateways: who they are, from the object service, and what they last reported.
+"""The other gateways: their registrations in the object service, and their last reports.
 
-Each gateway registers its address once and lists the others from time to time. A gateway that was
-not listed yet makes itself known by its first report (`process.gateway.reports`).
+Each gateway registers its address once and lists the registrations from time to time. A gateway that
+has not been listed yet is added with its first report (`process.gateway.reports`).
 """
 
 from collections import Counter
@@ -26,31 +26,33 @@
 from hemlockswitch.process.gateway.watch_guard import StoreView
 
 LIST_MS = 10_000.0
-"""Time between two lists of the registrations; gateways that come later report by themselves."""
+"""Time between two lists of the registrations; gateways that start in between are added with their first
+report."""
 FIRST_LIST_MS = 1_000.0
-"""The same while this gateway is not registered or knows no other one."""
+"""Time between two lists while this gateway is not registered or has no peers."""
 STALE_MS = 5_000.0
-"""The list may be some seconds old and lack a registration that was just written."""
+"""Maximum age of a list, which may lack a registration that was written shortly before."""
 GONE_MS = 30_000.0
-"""A gateway that the holder of the duties has not heard for this long is taken as gone for good: its
-part of the limits goes to the others. In a longer partition a gateway that
-is cut off keeps its part, so that limits may be exceeded by the parts of those that are cut off."""
+"""A gateway from which the holder of the duties has received nothing for this long is removed for good, and
+its share of the limits goes to the other gateways. In a longer partition a gateway that is cut off keeps
+its share, so limits may be exceeded by the shares of the gateways that are cut off."""
 HEARD_MS = 100.0
-"""How long a list of the gateways in touch serves: it is asked for at each spending that is told, some
-hundred times in a second, and a gateway falls out of touch after seconds."""
+"""How long the list of connected gateways is cached: it is needed for each reported spending, some hundred
+times a second, while a gateway counts as disconnected only after seconds."""
 
 
 class Fleet:
-    """The registered gateways, and what each of them last reported.
+    """The registered gateways and their last reports.
 
     Parameters
     ==========
 
-    name : this gateway.
-    get_address : returns where other gateways reach it; known once its socket is bound.
+    name : the name of this gateway.
+    get_address : returns the address at which other gateways reach this one; available once its socket is
+        bound.
     clock : the time.
     zone : this gateway's availability zone.
-    link_mbps : speed of its VM's link; 0 where it is not known.
+    link_mbps : speed of its VM's link; 0 if unknown.
     """
 
     def __init__(
@@ -72,11 +74,11 @@
         self._clock = clock
         self._peers: dict[str, Peer] = {}
         self._neighbours: Neighbours | None = None  # None after a change
-        self._heard: list[Peer] | None = None  # the same
+        self._heard: list[Peer] | None = None  # None after a change
         self._heard_listed_ms = float("-inf")
 
     def replace_all(self, page: ObjectPage) -> None:
-        """Take the whole list of registrations; who reports without being listed stays."""
+        """Apply a complete list of registrations; gateways that report without being listed stay."""
         self.is_listed = True
         listed = {item.name for item in page.items}
         heard = {peer.name for peer in self.list_heard()}
@@ -92,7 +94,7 @@
         self._note_change()
 
     def refresh(self, store: ListedStore) -> None:
-        """List the registrations, and write the own one if it is not among them."""
+        """List the registrations, and write this gateway's registration if it is missing."""
         try:
             self.replace_all(store.list_stale(GATEWAY_KIND))
         except PlatformError as error:
@@ -106,7 +108,7 @@
         return LIST_MS if self.is_registered and self._peers else FIRST_LIST_MS
 
     def register(self, store: ListedStore) -> bool:
-        """Write the own address; return whether it is known to be written."""
+        """Write this gateway's registration; return whether the write was confirmed."""
         value = Registration(self._get_address(), self.zone, self.link_mbps).to_value()
         try:
             if self.own_version is None:
@@ -126,9 +128,9 @@
         return False
 
     def remove_gone(self, store: ListedStore) -> None:
-        """Remove the registrations of gateways that nobody will hear again.
+        """Remove the registrations of gateways that have been unresponsive for `GONE_MS`.
 
-        The holder of the duties does so. A gateway that was only cut off for this long finds its
+        Called by the holder of the duties. A gateway that was only cut off for this long finds its
         registration missing in its next list and writes it again.
         """
         now_ms = self._clock.now_ms()
@@ -149,12 +151,12 @@
             self._note_change()
 
     def _note_change(self) -> None:
-        """A gateway came, went or moved."""
+        """Drop the cached lists after a gateway was added, removed or moved to another zone."""
         self._neighbours = None
         self._heard = None
 
     def note_report(self, address: str, report: GatewayReport, view: StoreView) -> None:
-        """Take another gateway's report; one that was not listed yet is known from now on."""
+        """Record another gateway's report, and add the gateway if it has not been listed yet."""
         peer = self._peers.get(report.name)
         if peer is None:
             peer = self._peers[report.name] = Peer(report.name, address, self._clock.now_ms())
@@ -167,10 +169,10 @@
         peer.view = view
 
     def note_alive(self, name: str) -> None:
-        """A gateway has told a change a moment ago, over a relay: it lives, and its word comes here.
+        """Record that a change of a gateway was received over a relay, so it is running and connected.
 
-        After a restart of all the limits' parts are back within about a second; the first reports of
-        far gateways take a whole period, four seconds at 195 gateways.
+        After a restart of the fleet the shares of the limits are thereby restored within about a second;
+        the first reports of far gateways take a full period, four seconds at 195 gateways.
         """
         peer = self._peers.get(name)
         if peer is not None:
@@ -182,19 +184,19 @@
 
     @property
     def reports_by_zone(self) -> bool:
-        """Whether there are too many gateways to tell each of them everything at once."""
+        """Whether there are too many gateways to send every report to each of them at once."""
         return self._get_neighbours().by_zone
 
     def list_near(self) -> list[Peer]:
-        """Return the gateways that hear every report: those of this zone, or all of a small fleet."""
+        """Return the gateways that get every report: those of this zone, or all of a small fleet."""
         return self._get_neighbours().near
 
     def list_far(self) -> list[Peer]:
-        """Return the gateways that hear reports less often; none at a small fleet."""
+        """Return the gateways that get reports less often; none in a small fleet."""
         return self._get_neighbours().far
 
     def _get_neighbours(self) -> Neighbours:
-        """Return who is near and who is far; divided anew when a gateway comes, goes or moves."""
+        """Return the division into near and far gateways, computed again after a change of the fleet."""
         if self._neighbours is None:
             self._neighbours = Neighbours.from_peers(self.list_peers(), self.zone)
         return self._neighbours
@@ -204,7 +206,7 @@
         return self._get_neighbours().near_period
 
     def get_far_period(self) -> ReportPeriod:
-        """Return the time between two reports to all others."""
+        """Return the time between two reports to the far gateways."""
         return self._get_neighbours().far_period
 
     def get_usage_period(self) -> UsagePeriod:
@@ -212,7 +214,7 @@
         return UsagePeriod.from_gateways(self.count_daemons())
 
     def draw_relays(self) -> list[list[str]]:
-        """Return for each zone the addresses of gateways that pass changes on, in random order."""
+        """Return for each zone the addresses of the gateways that relay changes, in random order."""
         oldest_ms = self._clock.now_ms() - self.get_far_period().missed_ms
         zones: dict[str, list[Peer]] = {}
         for peer in self._peers.values():
@@ -221,7 +223,7 @@
         return [draw_relays(peers, oldest_ms) for peers in zones.values()]
 
     def list_heard(self) -> list[Peer]:
-        """Return the gateways that were heard lately."""
+        """Return the connected gateways: those that were received from recently."""
         now_ms = self._clock.now_ms()
         if self._heard is None or now_ms - self._heard_listed_ms > HEARD_MS:
             self._heard = self._find_heard(now_ms)
@@ -229,10 +231,10 @@
         return list(self._heard)
 
     def _find_heard(self, now_ms: float) -> list[Peer]:
-        """Return the gateways that were heard lately, without those of a zone that is silent.
+        """Return the connected gateways, without those of an unresponsive zone.
 
-        In a cut each side uses its part of the limits only, so the loss of a zone must not wait for
-        each of its gateways to be missed.
+        In a partition each side may use only its share of the limits, so the loss of a zone must be
+        detected before each of its gateways has timed out.
         """
         period = self.get_far_period()
         heard = [
@@ -252,26 +254,26 @@
         return [peer for peer in heard if peer.zone not in silent]
 
     def get_share(self) -> float:
-        """Return the part of the fleet that is in touch with this gateway, with itself."""
+        """Return the fraction of the fleet that is connected to this gateway, which is included."""
         return self.count_in_touch() / self.count_daemons()
 
     def count_in_touch(self) -> int:
-        """Return how many gateways were heard lately, with this one."""
+        """Return the number of connected gateways, including this one."""
         return len(self.list_heard()) + 1
 
     def count_daemons(self) -> int:
-        """Return how many gateways are registered, with this one."""
+        """Return the number of gateways that are registered or report, including this one."""
         return len(self._peers) + 1
 
     def count_listed(self) -> int | None:
-        """Return the same; None while the registrations were not listed."""
+        """Return the number of gateways as `count_daemons` does; None until the registrations are listed."""
         return self.count_daemons() if self.is_listed else None
 
     def has_other_leader(self) -> bool:
-        """Return whether another gateway says that it holds the duties, and lives.
+        """Return whether another gateway reports that it holds the duties, and is connected.
 
-        Those of its zone hear it most often and so miss it first; a lapsed lease must not wait until
-        the far ones have.
+        Each report states its period. Gateways of the holder's zone get its reports most often and so
+        detect its loss first; taking over a lapsed lease must not wait for the far gateways to detect it.
         """
         now_ms = self._clock.now_ms()
         return any(
@@ -291,12 +293,12 @@
         }
 
     def sum_demand(self, service: str) -> float:
-        """Return the demand of a service that the gateways heard lately report."""
+        """Return the demand of a service that the connected gateways report, summed up."""
         reports = [peer.report for peer in self.list_heard() if peer.report is not None]
         return sum(report.demand.get(service, 0.0) for report in reports)
 
     def list_opinions(self) -> dict[str, float]:
-        """Return what the gateways that were heard lately believe the time of day is now."""
+        """Return the present wall-clock time by the estimate of each connected gateway."""
         now_ms = self._clock.now_ms()
         return {
             peer.name: peer.report.believed_ms + now_ms - peer.reported_ms
@@ -305,7 +307,7 @@
         }
 
     def _take_own(self, item: StoredObject) -> None:
-        """Note what the own registration says; an earlier process may have had another address."""
+        """Apply this gateway's own registration; an earlier process may have had another address."""
         self.own_version = None if item.deleted else item.version
         written = Registration.from_object(item)
         self.is_registered = not item.deleted and written.address == self._get_address()
