--- a/hemlockswitch/process/gateway/registrations.py
+++ b/hemlockswitch/process/gateway/registrations.py
@@ -1,4 +1,4 @@
-"""How a gateway is registered in the object service."""
+"""The registration of a gateway in the object service."""
 
 from dataclasses import asdict, dataclass
 from typing import Any, Self
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True)
 class Registration:
-    """What a gateway writes of itself.
+    """The registration that a gateway writes for itself.
 
     Parameters
     ==========
 
-    address : where other gateways reach it; empty if there is none that can be connected to.
-    zone : its availability zone; empty if it is not said.
-    link_mbps : speed of its VM's link; 0 if it is not said.
+    address : where other gateways reach it; empty if there is no address that can be connected to.
+    zone : its availability zone; empty if not stated.
+    link_mbps : speed of its VM's link; 0 if not stated.
     """
 
     address: str = ""
@@ -27,7 +27,7 @@
 
     @classmethod
     def from_object(cls, item: StoredObject) -> Self:
-        """Read an object; what another program wrote in a field counts as not said.
+        """Read an object; a field with an invalid value counts as not stated.
 
         Examples
         ========
