--- a/hemlockswitch/process/gateway/neighbours.py
+++ b/hemlockswitch/process/gateway/neighbours.py
@@ -1,4 +1,4 @@
-"""The other gateways by how they are told: at every report, less often, or through a relay."""
+"""The other gateways, divided by how often they get reports, and the relays of each zone."""
 
 import random
 from collections.abc import Sequence
@@ -15,8 +15,8 @@
 from hemlockswitch.process.gateway.watch_guard import StoreView
 
 RELAYS_PER_ZONE = 2
-"""Gateways of a zone among which one is drawn to pass a change on: they share the work, and one
-that is cut off without a word loses half of what is told."""
+"""Number of gateways of a zone among which the relay of a change is drawn. They share the work, and a relay
+that is cut off without an error loses only half of the changes."""
 
 
 @dataclass
@@ -26,26 +26,26 @@
     name: str
     address: str
     known_ms: float
-    zone: str = ""  # empty while neither its registration nor a report has told it
-    link_mbps: float = 0.0  # likewise
-    version: int = 0  # of its registration; 0 while only its reports are known
-    heard_ms: float = float("-inf")  # directly, or over a relay
+    zone: str = ""  # empty while neither its registration nor a report has stated it
+    link_mbps: float = 0.0  # 0 while neither its registration nor a report has stated it
+    version: int = 0  # of its registration; 0 while only reports of it were received
+    heard_ms: float = float("-inf")  # when it was last received from, directly or over a relay
     report: GatewayReport | None = None
-    reported_ms: float = float("-inf")  # when `report` came
+    reported_ms: float = float("-inf")  # when `report` was received
     view: StoreView = StoreView()
 
 
 @dataclass(frozen=True)
 class Neighbours:
-    """Who hears this gateway's reports, and how often.
+    """The gateways that get this gateway's reports, and how often.
 
     Parameters
     ==========
 
-    by_zone : whether there are too many gateways to tell each of them everything at once.
-    near : those that hear every report: all of a small fleet, those of the own zone of a larger one.
-    far : those that hear reports less often.
-    near_period, far_period : the time between two reports to each of them.
+    by_zone : whether there are too many gateways to send every report to each of them at once.
+    near : the gateways that get every report: all of a small fleet, those of the own zone of a larger one.
+    far : the gateways that get reports less often.
+    near_period, far_period : the time between two reports to the near and to the far gateways.
     """
 
     by_zone: bool
@@ -56,7 +56,7 @@
 
     @classmethod
     def from_peers(cls, peers: list[Peer], zone: str) -> Self:
-        """Divide the other gateways of a gateway in `zone`."""
+        """Divide the peers of a gateway in `zone`."""
         period = ReportPeriod.from_peers(len(peers))
         if len(peers) <= MESH_GATEWAYS:
             return cls(False, peers, [], period, period)
@@ -72,17 +72,18 @@
 
 
 def rank_gateway(name: str, link_mbps: float) -> tuple[float, str]:
-    """Return the place of a gateway among those that may work for its zone, the first ones do.
+    """Return the sort key by which gateways are chosen to relay or watch for their zone, fastest link first.
 
-    Passing changes on for a zone would fill most of a slow link, on which callers' prompts then wait.
+    Relaying the changes of a zone would fill most of a slow link, and callers' prompts would wait on it.
     """
     return (-link_mbps, name)
 
 
 def draw_relays(peers: Sequence[Peer], oldest_ms: float) -> list[str]:
-    """Return the relays of a zone: of the gateways heard lately, or of all while none was.
+    """Return the addresses of a zone's relays, drawn from the peers received from since `oldest_ms`.
 
-    After a restart of all nobody has been heard, and the registrations are still good.
+    If there are none, all peers are considered: after a restart of the fleet nothing has been received
+    yet, and the registrations are still valid.
     """
     heard = [peer for peer in peers if peer.heard_ms >= oldest_ms] or list(peers)
     relays = sorted(heard, key=lambda peer: rank_gateway(peer.name, peer.link_mbps))[
