--- a/hemlockswitch/process/gateway/watch_guard.py
+++ b/hemlockswitch/process/gateway/watch_guard.py
@@ -1,12 +1,12 @@
-"""Finds out that a watch has gone deaf, from what the other gateways report.
+"""Detects stalled watches from the reports of the other gateways.
 
-A store that is down may swallow a watch that is sent to it, and a connection may fall silent while
-the peer's kernel still answers its probes. Such a watch brings nothing until its own time-out of
-some 25 s, while the store already tells the others what changed. Three signs show it: another
-gateway saw an outage end after this watch was sent, another one has a newer configuration, or most
-others agree on another list of backend servers. Each sign renews the watch, which costs one call.
+A store that is down may swallow a watch request, and a connection may go dead while the remote kernel
+still answers its keep-alive probes. Such a watch returns nothing until its own time-out of some 25 s,
+while other gateways already receive changes. There are three signs of a stalled watch: another gateway
+saw an outage end after this watch was sent, another gateway has a newer configuration, or most other
+gateways agree on a different list of backend servers. Each sign renews the watch, which costs one call.
 
-These signs may come late or not at all; `process.gateway.freshness` bounds the age of what is known.
+These signs may come late or not at all; `process.gateway.freshness` bounds the age of the state.
 """
 
 from collections import Counter
@@ -22,11 +22,12 @@
 from hemlockswitch.process.gateway.report_period import ReportPeriod
 
 OUTAGE_MARGIN_MS = 1_500.0
-"""How much earlier than it was noticed an outage may have begun: the holder of the duties calls
-the store each second; and how much later it may have reached another gateway."""
+"""Uncertainty of the beginning of an outage: it may have begun this much before it was noticed, because
+the holder of the duties calls the store once a second, and may have reached another gateway this much
+later."""
 RENEWAL_PAUSE_MS = 1_000.0
-"""A watch that was sent a shorter time ago is not renewed for a difference: what it brings may
-still be on its way, and a difference that stays must cost few calls."""
+"""Minimum age of a watch that is renewed because of a difference: the answer of a younger one may still be
+in transit, and a lasting difference must cost few calls."""
 FEWEST_AGREEING = 2
 
 
@@ -39,18 +40,18 @@
 
 @dataclass(frozen=True)
 class StoreView:
-    """What a gateway knows of the object service.
+    """A gateway's view of the object service.
 
     Parameters
     ==========
 
-    revision : the configuration in force; 0 if there is none.
-    servers_digest : a hash of the backend servers that it believes in, with their states.
-    outage : the last one that it noticed, by this process's clock; None if there was none.
-    relayed : by kind of object, the version up to which it told the other gateways of its zone;
-        empty while it does not watch for others (`process.gateway.relayed_watch`).
-    held_digest : a hash of the requests that it holds back (`request.quarantine`); 0 if none.
-    age_ms : how old the oldest of what it knows was when it said so (`process.gateway.freshness`).
+    revision : the revision of the configuration in force; 0 if there is none.
+    servers_digest : a hash of the recorded backend servers and their states.
+    outage : the last outage that the gateway noticed, by this process's clock; None if there was none.
+    relayed : by kind of object, the version up to which the gateway has relayed changes to its zone;
+        empty while it does not watch for its zone (`process.gateway.relayed_watch`).
+    held_digest : a hash of the quarantined requests (`request.quarantine`); 0 if none.
+    age_ms : the age of the oldest kind in the view when it was reported (`process.gateway.freshness`).
     """
 
     revision: int = 0
@@ -62,15 +63,14 @@
 
 
 class WatchGuard:
-    """Compares the own view with those of the other gateways, and renews watches.
+    """Compares this gateway's view with those of the other gateways, and renews stalled watches.
 
     Parameters
     ==========
 
-    configuration, servers : the followers whose watches are guarded.
-    get_own_view : returns the own view.
-    get_near_period, get_far_period : return the time between two reports of the gateways near this
-        one, and of all others.
+    configuration, servers : the followers whose watches are checked.
+    get_own_view : returns this gateway's view.
+    get_near_period, get_far_period : return the time between two reports of near and of far gateways.
     clock : the time.
     """
 
@@ -92,19 +92,19 @@
         self._differs_since_ms: dict[ObjectFollower, float] = {}
 
     def compare(self, others: list[StoreView]) -> None:
-        """Look for the signs in the latest reports of the gateways in touch."""
+        """Check the latest views of the connected gateways for the signs of a stalled watch."""
         outages = [view.outage for view in others if view.outage is not None]
         for follower in (self._configuration, self._servers):
             self._check_outages(follower, outages)
         own = self._get_own_view()
-        # A newer configuration is newer whatever the age of the report; lists of servers are not.
+        # A higher revision is newer whatever the age of its report, but hashes of servers have no order.
         is_behind = any(view.revision > own.revision for view in others)
         self._note_difference(self._configuration, is_behind, self._get_near_period())
         differs = _differs_from_most(own, others)
         self._note_difference(self._servers, differs, self._get_far_period())
 
     def _check_outages(self, follower: ObjectFollower, outages: list[Outage]) -> None:
-        """Renew a watch that was sent while the store was away."""
+        """Renew a watch that was sent while the store was down."""
         sent_ms = follower.watch_sent_ms
         if sent_ms is None:
             return
@@ -133,9 +133,9 @@
 
 
 def _may_be_swallowed(outage: Outage, sent_ms: float, heard_ms: float) -> bool:
-    """Return whether a watch may have been sent to a store that was away.
+    """Return whether a watch may have been sent to a store that was down.
 
-    A store that answered this gateway well inside the outage was away for the other one only.
+    If the store answered this gateway well inside the outage, it was down for the other gateway only.
     """
     was_sent_inside = outage.began_ms - OUTAGE_MARGIN_MS <= sent_ms <= outage.ended_ms
     was_answered_inside = outage.began_ms + OUTAGE_MARGIN_MS <= heard_ms <= sent_ms
@@ -143,7 +143,7 @@
 
 
 def _differs_from_most(own: StoreView, others: list[StoreView]) -> bool:
-    """Return whether more than half of the others agree on another list of servers."""
+    """Return whether more than half of the other gateways agree on a different list of servers."""
     if len(others) < FEWEST_AGREEING:
         return False
     digest, count = Counter(view.servers_digest for view in others).most_common(1)[0]
