--- a/hemlockswitch/process/gateway/relayed_watch.py
+++ b/hemlockswitch/process/gateway/relayed_watch.py
@@ -1,10 +1,11 @@
-"""A few gateways of each availability zone watch the object service; the others hear from them.
-
-A watch of every gateway makes each change, and each loss of the service's history, cost as many calls as
-there are gateways. Instead, the first gateways of a zone (`fleet.WATCHERS_PER_ZONE`) hold a watch,
-and send every page that it brings to the rest of their zone. Every gateway knows from the reports
-who these are, so nothing is elected. A gateway watches by itself whenever no watcher of its zone
-says that its watch is alive, and asks once when the reports show that a page did not arrive.
+"""Watches of the object service by a few gateways of each availability zone, relayed to the others.
+
+If every gateway watched, each change and each loss of the service's history would cost as many calls as
+there are gateways. Instead, the first gateways of a zone (`zone_watchers.WATCHERS_PER_ZONE`) have a watch
+open, and send every page that it returns to the other gateways of their zone. Every gateway determines
+the watchers from the reports, so there is no election. A gateway watches for itself whenever no watcher
+of its zone reports a live watch, and queries the service once when the reports show that a page did not
+arrive.
 """
 
 from collections import deque
@@ -23,24 +24,25 @@
 from hemlockswitch.process.gateway.messages import WatchedPage
 
 LOOK_MS = 200.0
-"""Time between two looks at who watches while no page comes."""
+"""Time between two checks of the zone's watchers while no page arrives."""
 CATCH_UP_WAIT_MS = 100
-"""How long a call may wait that asks for changes which are known to exist."""
+"""How long a call for changes that are known to exist may wait."""
 ASK_WAIT_MS = 1
-"""The same of a call that asks whether there are any: the shortest wait that there is."""
+"""How long a call that checks for changes may wait: the shortest wait that the service supports."""
 MOST_RELAYED_BYTES = 32 * 1024
-"""A larger page is not sent, only that there is one: to thirty neighbours over a link of 20 Mbit/s
-this much takes 0.4 s, and a configuration of 300 KB would take four seconds, where each of them reads
+"""Maximum size of a relayed page; for a larger page only a notice is sent. To thirty gateways over a link of
+20 Mbit/s this size takes 0.4 s. A configuration of 300 KB would take four seconds, where each gateway reads
 it from the object service in 0.1 s."""
 MOST_PAGES_KEPT = 64
-"""Pages that may come while a call is under way; what is dropped is a gap, and is asked for."""
+"""Maximum number of pages that are queued while a call is in progress. A dropped page leaves a gap, for which
+the service is queried."""
 
 
 class WatcherDirectory(Protocol):
-    """Tells who watches in this gateway's zone; see `process.gateway.fleet.Fleet`."""
+    """The watchers of this gateway's zone; see `process.gateway.zone_watchers.ZoneWatchers`."""
 
     def is_watcher(self) -> bool:
-        """Return whether this gateway is to watch for others."""
+        """Return whether this gateway watches for its zone."""
 
     def find_relayed_version(self, kind: str) -> int:
         """Return the newest version of a kind that a watcher has relayed; 0 if there is none."""
@@ -48,24 +50,25 @@
 
 @dataclass(frozen=True)
 class _ArrivedPage:
-    """A page, and when it would have arrived without a delay."""
+    """A received page, and when it would have arrived without a delay."""
 
     page: WatchedPage
     arrived_ms: float
 
 
 class RelayedWatch:
-    """The reading side of an object service, with pages of another gateway's watch where there are.
+    """The reading side of an object service, which uses pages relayed by other gateways where possible.
 
     Parameters
     ==========
 
     store : the object service.
-    directory : who watches in this zone.
+    directory : the watchers of this zone.
     send_page : sends a page to the gateways of the zone that do not watch.
     clock : the time.
-    patience_ms : how long after a list to wait for the word of a watcher before this gateway watches
-        itself. After a start of all nobody knows yet who watches, and each would.
+    patience_ms : how long after a list to wait for a report of a watcher before this gateway watches for
+        itself. After a start of the whole fleet no gateway has a report of the watchers yet, and each
+        would watch.
     """
 
     def __init__(
@@ -91,7 +94,7 @@
     def list(self, kind: str, prefix: str = "") -> ObjectPage:
         """Return all objects of a kind, from the object service itself.
 
-        After the service has lost its history a watcher lists, and the others need not.
+        A watcher relays the list: after the service has lost its history the other gateways need none.
         """
         asked_ms = self._clock.now_ms()
         page = replace(
@@ -105,7 +108,7 @@
         return page
 
     def watch(self, kind: str, since: int, wait_ms: int, prefix: str = "") -> ObjectPage:
-        """Return what changed after version `since`, from a watcher or from the object service.
+        """Return the changes after version `since`, from a watcher or from the object service.
 
         Raises
         ======
@@ -121,16 +124,16 @@
         self._must_ask = False
         asked_ms = self._clock.now_ms()
         answer = self._store.watch(kind, since, wait_ms, prefix)
-        # Without a change it was answered at the end of the wait; with one, at any time since it was asked.
+        # Without a change the service answers at the end of the wait; with one, at any time since the call.
         has_waited = not answer.items and self._clock.now_ms() >= asked_ms + wait_ms
         answer = replace(answer, confirmed_ms=asked_ms + wait_ms if has_waited else asked_ms)
         self._share(kind, since, answer)
         return answer
 
     def ask(self, kind: str, since: int) -> ObjectPage:
-        """Return what has changed after version `since`, from the object service and at once.
+        """Return the changes after version `since` from the object service, without waiting.
 
-        A change that its watchers have not told is news for the whole zone.
+        If there are any, the zone's watchers have not relayed them, so they are sent to the zone.
 
         Raises
         ======
@@ -145,11 +148,11 @@
         return page
 
     def note_known(self, version: int) -> None:
-        """All changes up to a version are known by another way than a page of `watch`."""
+        """Record that all changes up to a version were received by other means than a page of `watch`."""
         self._known = max(self._known, version)
 
     def _share(self, kind: str, since: int, page: ObjectPage) -> None:
-        """Send what came to the rest of the zone, if this gateway watches for it."""
+        """Send a page to the other gateways of the zone, if this gateway watches for it."""
         if self._directory.is_watcher():
             self._send(kind, since, page)
 
@@ -161,12 +164,12 @@
         self._send_page(message)
 
     def take_page(self, page: WatchedPage, delay_ms: float = 0.0) -> None:
-        """Take a page that a watcher has sent; it was on its way for so much longer than usual."""
+        """Queue a page from a watcher; it was in transit for `delay_ms` longer than usual."""
         self._pages.append(_ArrivedPage(page, self._clock.now_ms() - delay_ms))
         self._arrived.set()
 
     def _wait_for_page(self, kind: str, since: int) -> _ArrivedPage | None:
-        """Return the page that follows what is known; None if the service is to be asked."""
+        """Return the next relayed page; None if the service must be called instead."""
         while self._may_wait_for_watchers(kind):
             self._wait()
         while not self._must_ask:
@@ -181,13 +184,13 @@
         return None
 
     def _may_wait_for_watchers(self, kind: str) -> bool:
-        """Return whether a watcher may still be heard before this gateway watches itself."""
+        """Return whether to wait for a watcher's report before this gateway watches for itself."""
         if self._must_ask or self._clock.now_ms() >= self._patient_until_ms:
             return False
         return not self._directory.find_relayed_version(kind)
 
     def _find_relayed(self, kind: str, since: int) -> int:
-        """Return what the watchers in touch have sent; 0 if this gateway is to watch itself."""
+        """Return the version relayed by connected watchers; 0 if this gateway must watch for itself."""
         watches = self._directory.is_watcher()
         relayed = 0 if watches else self._directory.find_relayed_version(kind)
         relies = relayed > 0
@@ -203,7 +206,7 @@
         return relayed
 
     def _find_page(self, since: int, relayed: int) -> _ArrivedPage | None:
-        """Return the next page, or note that one is missing."""
+        """Return the next queued page; None if there is none or a page is missing, which is recorded."""
         self._arrived.clear()
         while self._pages:
             arrived = self._pages.popleft()
