--- a/hemlockswitch/process/gateway/follower.py
+++ b/hemlockswitch/process/gateway/follower.py
@@ -1,4 +1,4 @@
-"""Following the objects of one kind: listed once, then watched, and listed again when needed."""
+"""Following the objects of one kind: list once, then watch, and list again when needed."""
 
 import contextlib
 from collections.abc import Callable
@@ -15,17 +15,17 @@
 from hemlockswitch.process.gateway.object_versions import ObjectVersions
 
 WATCH_WAIT_MS = 25_000
-"""How long a watch waits: near the longest that platforms allow, since each call costs; a dead
-connection is found by the kernel's keep-alive probes long before."""
+"""How long a watch waits: close to the maximum that platforms allow, since each call has a cost. A dead
+connection is detected by the kernel's keep-alive probes long before."""
 RETRY_MS = 250.0
-"""Pause after a failed call. A change must be known within two seconds of the platform's return,
-so the pause stays well below; the client's own back-off adds to it."""
+"""Pause after a failed call. Changes must be received within two seconds of the platform's return, so the
+pause is much shorter; the client's own back-off adds to it."""
 MOST_CONFIRMATIONS = 16
-"""Confirmations that wait for a page; one or two come in a second."""
+"""Maximum number of confirmations that wait for a page; one or two arrive per second."""
 
 
 class WatchRenewedError(Exception):
-    """The watch is given up for a new one; nothing failed."""
+    """The watch is cancelled to be replaced by a new one; not a failure."""
 
 
 class WatchedStore(Protocol):
@@ -35,32 +35,32 @@
         """Return all objects of a kind."""
 
     def watch(self, kind: str, since: int, wait_ms: int, prefix: str = "") -> ObjectPage:
-        """Return what changed after version `since`."""
+        """Return the changes after version `since`."""
 
 
 class AskedStore(WatchedStore, Protocol):
-    """One that can also be asked for what has changed; see `process.gateway.relayed_watch`."""
+    """A store that can also be queried without waiting; see `process.gateway.relayed_watch`."""
 
     def ask(self, kind: str, since: int) -> ObjectPage:
-        """Return at once what has changed after version `since`."""
+        """Return the changes after version `since` without waiting for one."""
 
     def note_known(self, version: int) -> None:
-        """All changes up to a version are known."""
+        """Record that all changes up to a version were received."""
 
 
 class ObjectConsumer(Protocol):
-    """Takes what a follower learns."""
+    """Receives the objects and changes that a follower reads."""
 
     def replace_all(self, page: ObjectPage) -> None:
-        """These are all objects; others are gone."""
+        """Replace the state with the complete list in `page`; objects not in it were deleted."""
 
     def apply_changes(self, page: ObjectPage) -> None:
-        """These objects changed or were deleted."""
+        """Apply the changed and deleted objects in `page`."""
 
 
 @dataclass(frozen=True)
 class _Confirmation:
-    """What another gateway has told: see `ObjectFollower.take_confirmation`."""
+    """A confirmation of another gateway; see `ObjectFollower.take_confirmation`."""
 
     changed: int
     until: int
@@ -73,21 +73,21 @@
     Explanation
     ===========
 
-    After a watch that failed or was given up everything is listed again: a list has each object
-    once, a watch has each change of it since, which on a slow link may take longer than a call may.
-    After a list that failed the next step is a watch, which other gateways may answer.
+    After a watch that failed or was cancelled all objects are listed again: a list contains each object
+    once, but a watch contains every change since, whose transfer over a slow link may exceed the time-out
+    of a call. After a failed list the next step is a watch, because other gateways may supply its pages.
 
     Parameters
     ==========
 
     store : the object service.
     kind : the kind of objects.
-    consumer : takes what is learned.
+    consumer : receives the objects and changes.
     clock : the time.
     get_settle_ms : returns how long to wait after a change before the next watch, so that changes
         that come together cost one call.
     wait_ms : how long a watch waits. Where changes are rare it must be less than the time for which the
-        service keeps them, or each watch ends with the loss of its history.
+        service retains them, or each watch ends with the loss of its history.
     """
 
     def __init__(
@@ -120,32 +120,32 @@
 
     @property
     def version(self) -> int:
-        """The version up to which the consumer knows the kind."""
+        """The version up to which the consumer has received all changes."""
         return self._versions.known
 
     @property
     def changed_version(self) -> int:
-        """The version of the last change that the consumer knows, or a later one without a change."""
+        """The version of the last change that the consumer received, or a later one without a change."""
         return self._versions.changed
 
     @property
     def live_version(self) -> int:
-        """The version that the consumer knows; 0 while the service does not answer."""
+        """The version up to which the consumer is complete; 0 while the service does not answer."""
         return self.version if self.is_synced and not self.is_lost else 0
 
     def measure_age_ms(self) -> float:
-        """Return how long ago the consumer was known to know all that the service had."""
+        """Return the time since the consumer was last confirmed to match the service."""
         return self._clock.now_ms() - self.confirmed_ms
 
     def run(self) -> None:
-        """Follow until the task is ended."""
+        """Follow until the task is killed."""
         while True:
-            # A renewal may also come between two calls; then there is nothing to give up.
+            # A renewal may also come between two calls, when there is no watch to cancel.
             with contextlib.suppress(WatchRenewedError):
                 self.take_step()
 
     def renew_watch(self) -> None:
-        """Give up the watch that waits now, once, and list everything again."""
+        """Cancel the waiting watch, if there is one, and list all objects again."""
         self._must_list = True
         self._give_up_watch()
 
@@ -155,9 +155,10 @@
             task.kill(WatchRenewedError(), block=False)
 
     def ask(self) -> None:
-        """Ask the service at once for what is not known here, beside the watch that waits.
+        """Query the service for missing changes without waiting, beside the waiting watch.
 
-        A watch that should have brought what comes, or that may have been swallowed, is sent anew.
+        The watch is sent again if it should have returned the changes found, or may have been lost
+        because the service was unavailable.
 
         Raises
         ======
@@ -180,14 +181,14 @@
             self._give_up_watch()
 
     def take_confirmation(self, changed: int, until: int, confirmed_ms: float) -> None:
-        """Take from another gateway that the last change up to version `until` was at `changed`.
+        """Apply another gateway's confirmation that the last change up to version `until` was at `changed`.
 
-        The confirmation waits here until the changes up to there are known.
+        The confirmation is queued until the changes up to `changed` have been received here.
 
         Parameters
         ==========
 
-        confirmed_ms : when the service has said so, by this process's clock.
+        confirmed_ms : when the service confirmed this, by this process's clock.
         """
         self._confirmations = [*self._confirmations, _Confirmation(changed, until, confirmed_ms)][
             -MOST_CONFIRMATIONS:
@@ -195,7 +196,7 @@
         self._use_confirmations()
 
     def _use_confirmations(self) -> None:
-        """Use the confirmations of what is known here, and keep the others."""
+        """Apply the confirmations whose changes have been received, and keep the remaining ones queued."""
         waiting, self._confirmations = self._confirmations, []
         for one in waiting:
             if one.confirmed_ms <= self.confirmed_ms:
@@ -207,7 +208,7 @@
                 self._confirmations.append(one)
 
     def take_step(self) -> None:
-        """Make one call, or rest after a failed one."""
+        """Make one call, and pause if it fails."""
         began_ms = self._clock.now_ms()
         try:
             if self._must_list or not self.is_synced:
@@ -247,7 +248,7 @@
             self._clock.sleep_ms(self._get_settle_ms())
 
     def _take(self, page: ObjectPage) -> bool:
-        """Give the consumer what is news of a page; return whether there was any."""
+        """Pass the new entries of a page to the consumer; return whether there were any."""
         news = self._versions.take(page)
         if news.is_whole:
             self._consumer.replace_all(news)
@@ -268,7 +269,7 @@
     def _note_heard(self) -> None:
         self.heard_ms = self._clock.now_ms()
         if self.is_lost:
-            # A call that fails late, after the service has answered others, shows no outage.
+            # A call that began before the last confirmed answer and failed later shows no outage.
             if self.confirmed_ms <= self._failed_call_ms:
                 self.recovered_ms = self._clock.now_ms()
             log_event(Event.WATCH_RECOVERED, watch=self.kind)
