--- a/hemlockswitch/process/gateway/followed_objects.py
+++ b/hemlockswitch/process/gateway/followed_objects.py
@@ -1,8 +1,8 @@
-"""What a gateway follows in the object service.
+"""The objects that a gateway follows in the object service.
 
-The configuration, the registry of servers and, where the platform has them, the orders of roll-outs. Each
-kind is followed by an `ObjectFollower` over a `RelayedWatch`, so that a zone's watchers watch for all; a
-`WatchGuard` finds watches that have gone deaf.
+These are the configuration, the registry of servers and, where the platform has them, the rollout orders.
+Each kind is followed by an `ObjectFollower` over a `RelayedWatch`, so that a zone's watchers watch for the
+whole zone; a `WatchGuard` detects stalled watches.
 """
 
 from collections.abc import Callable
@@ -28,32 +28,32 @@
 from hemlockswitch.process.gateway.zone_watchers import ZoneWatchers
 
 SETTLE_MS = 400.0
-"""How long changes gather before the next watch: each change wakes the watch of every watcher, and
-each watch is a call. Servers come and go by zones, over half a second. The first change after a
-pause is learned at once."""
+"""How long changes gather before the next watch: each change ends the watch of every watcher, and each
+watch is a call. Servers are added and removed by zones, over half a second. The first change after a
+pause is received without this delay."""
 LONGEST_SETTLE_MS = 600.0
-"""A leaving server must get nothing new two seconds after it said so; this leaves most of it. Changes
-gather for as long while the registry fills after a start."""
+"""How long changes gather while the registry fills after a start. A leaving server must get no new requests
+two seconds after it announced that it leaves; this uses less than a third of that time."""
 
 ORDERS_PATIENCE_MS = 2_000.0
-"""How long a gateway that has listed the orders of roll-outs waits for its zone's watchers: the servers
-that an order brings take longer to boot."""
+"""How long a gateway that has listed the rollout orders waits for its zone's watchers: the servers that an
+order starts take longer to boot."""
 ORDERS_WAIT_MS = 15_000
-"""How long a watch of the orders waits, which are rare; platforms keep changes for some 20 s."""
+"""How long a watch of the rollout orders, which are rare, waits; platforms retain changes for some 20 s."""
 
 
 class FollowedObjects:
-    """The followers of a gateway, and what they have learned.
+    """The followers of a gateway, and the state that they maintain.
 
     Parameters
     ==========
 
     adapter : the object service, its kinds, and their decoders.
-    tables : holds the configuration in force.
-    registry : holds the backend servers.
-    rollouts : holds the orders of roll-outs; None where none are taken.
-    network, fleet : the other gateways, which the zone's watchers send their pages to.
-    hash_held : returns a digest of the requests that are held back.
+    tables : stores the configuration in force.
+    registry : stores the backend servers.
+    rollouts : stores the rollout orders; None where rollouts are not supported.
+    network, fleet : the other gateways, to which a watcher sends its pages.
+    hash_held : returns a digest of the quarantined requests.
     clock : the time.
     """
 
@@ -116,26 +116,26 @@
         patience_ms: float = 0.0,
         wait_ms: int = WATCH_WAIT_MS,
     ) -> ObjectFollower:
-        """Return a follower over a relayed watch; see there for the times."""
+        """Return a follower over a relayed watch; the times are parameters of these classes."""
         watch = RelayedWatch(self._store, self.watchers, self._relay_page, self._clock, patience_ms)
         self._watches[kind] = watch
         return ObjectFollower(watch, kind, consumer, self._clock, get_settle_ms, wait_ms)
 
     @property
     def is_synced(self) -> bool:
-        """Whether a configuration, the servers and the orders of roll-outs are known."""
+        """Whether a configuration is in force, and all followed kinds have been listed."""
         return self._tables.current is not None and all(one.is_synced for one in self.followers)
 
     def knows_all_servers(self) -> bool:
-        """Return whether the registry was followed long enough for every server to be in it."""
+        """Return whether the registry has been followed long enough to contain every server."""
         return self._registry.is_complete(self.servers.first_synced_ms)
 
     def knows_most_servers(self) -> bool:
-        """Return whether the registry was followed for as long as a heartbeat takes."""
+        """Return whether the registry has been followed for at least one heartbeat interval."""
         return self._registry.is_mostly_filled(self.servers.first_synced_ms)
 
     def describe_configuration(self) -> dict[str, Any]:
-        """Return what is known of the configuration, for the status page."""
+        """Return the state of the configuration, for the status page."""
         table = self._tables.current
         if table is None:
             return {"revision": None}
@@ -146,14 +146,14 @@
         }
 
     def measure_ages(self) -> dict[str, float]:
-        """Return the age in ms of what is known of each kind of objects."""
+        """Return the age in ms of the recorded state of each kind of objects."""
         return {one.kind: one.measure_age_ms() for one in self.followers}
 
     def _measure_oldest_ms(self) -> float:
         return max(self.measure_ages().values())
 
     def describe(self) -> dict[str, Any]:
-        """Return the version and the age of what is known of each kind, for the status page."""
+        """Return the version and age of the recorded state of each kind, for the status page."""
         return {
             one.kind: {"version": one.version, "confirmed_ms_ago": round(one.measure_age_ms())}
             for one in self.followers
@@ -161,7 +161,7 @@
         }
 
     def view(self) -> StoreView:
-        """Return what this gateway knows of the object service, for the others."""
+        """Return this gateway's view of the object service, to be reported to other gateways."""
         table = self._tables.current
         return StoreView(
             table.revision if table is not None else 0,
@@ -173,7 +173,7 @@
         )
 
     def _describe_relayed(self) -> dict[str, int]:
-        """Return the versions that this gateway's watches have told its zone; none if it is not to."""
+        """Return the versions that this gateway has relayed to its zone; none if it is not a watcher."""
         if not self.watchers.is_watcher():
             return {}
         return {one.kind: one.live_version for one in self.followers}
