--- a/hemlockswitch/process/gateway/freshness.py
+++ b/hemlockswitch/process/gateway/freshness.py
@@ -1,13 +1,14 @@
-"""Bounds the age of what a gateway knows of the object service, whatever becomes of watches and watchers.
+"""Bounds the age of a gateway's view of the object service, even if watches and watchers fail.
 
-A watch that waits looks the same whether nothing changes or nobody answers any more. So some gateway asks
-the service at short intervals, with one short call, whether there is a change that it does not know, and tells
-all others up to which version there is none. Whoever knows the last change thereby knows that it knows
-everything. The first gateway of the fleet asks soonest; the first ones of the zones ask when no confirmation
-of it has come, and any gateway asks for itself before its knowledge is too old.
+A waiting watch does not show whether nothing changes or the service no longer answers. Therefore one gateway
+queries the service at short intervals, with one short call, for changes that it has not received, and sends
+to all other gateways the version up to which there are none. A gateway that has received the last change
+is thereby confirmed to be up to date. The first gateway of the fleet queries soonest; the first gateways of
+the zones query when its confirmation does not arrive, and any gateway queries for itself before its view is
+too old.
 
-This needs neither a majority nor a list that rests, and costs a fleet of any size one or two calls a second
-for each kind of objects.
+This needs neither a majority nor a stable list of gateways, and costs a fleet of any size one or two calls a
+second for each kind of objects.
 """
 
 import random
@@ -27,20 +28,20 @@
 from hemlockswitch.process.gateway.transit import TransitTimes
 
 START_MS = 2_000.0
-"""How long after its start a gateway does not ask: it has just listed, and does not know yet who else
-asks."""
+"""How long after its start a gateway does not query the service: it has just listed the objects, and has no
+reports yet that show which gateway queries."""
 STALE_MS = 2_000.0
-"""A gateway whose knowledge is this old does not hear the object service: a server that leaves must get
-nothing new two seconds after it said so."""
+"""Age at which a view is stale and the gateway counts as cut off from the object service: a leaving server
+must get no new requests two seconds after it announced that it leaves."""
 LEAST_TOLD_MS = 200.0
-"""A confirmation that is this little younger than one that was heard is not told."""
+"""A confirmation is sent only if it is at least this much newer than the last one received."""
 
 
 class AskTurn(Enum):
-    """How old what a gateway knows may become before it asks: (least, most) in milliseconds.
+    """The age of the view at which a gateway queries the service: (minimum, maximum) in milliseconds.
 
-    The times leave room for a confirmation that is on its way, and for a request to reach its server
-    before two seconds are over.
+    The times leave room for a confirmation in transit, and for a request to reach its server within two
+    seconds.
     """
 
     FLEET = (700.0, 700.0)
@@ -49,14 +50,14 @@
 
 
 class ConfirmationExchange:
-    """Tells the others up to which version a gateway knows a kind of objects, and hears of theirs.
+    """Exchanges confirmations of the version up to which the changes of a kind are complete.
 
     Parameters
     ==========
 
     network, fleet : the other gateways.
-    followers : of each kind.
-    transits : of the messages of the other gateways.
+    followers : the follower of each kind.
+    transits : the transit times of the messages of other gateways.
     clock : the time.
     """
 
@@ -76,7 +77,7 @@
         network.handle(VersionConfirmation, self._take, quick=True)
 
     def tell(self, follower: ObjectFollower) -> None:
-        """Tell every gateway of a small fleet, or one of each zone, which passes it on there."""
+        """Send a confirmation to every gateway of a small fleet, or to one relay of each zone."""
         confirmation = VersionConfirmation(
             follower.kind,
             follower.changed_version,
@@ -105,14 +106,14 @@
 
 
 class FreshnessKeeper:
-    """Asks the service for one kind of objects whenever nothing was confirmed for a while.
+    """Queries the service for one kind of objects when the last confirmation is too old.
 
     Parameters
     ==========
 
-    follower : of the kind.
-    find_turn : returns whether this gateway is to ask sooner than others.
-    tell : tells the other gateways what the service has said.
+    follower : the follower of the kind.
+    find_turn : returns for whom this gateway queries, which determines how soon it does.
+    tell : sends the confirmation to the other gateways.
     clock : the time.
     chance : source of random numbers.
     """
@@ -134,12 +135,12 @@
         self._is_late = False
 
     def run(self) -> None:
-        """Keep the knowledge fresh until the task is ended."""
+        """Keep the view fresh until the task is killed."""
         while True:
             self.take_step()
 
     def take_step(self) -> None:
-        """Wait until what is known is too old, and ask."""
+        """Wait until the last confirmation is too old, and query the service."""
         limit_ms = self._chance.uniform(*self._find_turn().value)
         while (wait_ms := self._find_due_ms(limit_ms) - self._clock.now_ms()) > 0:
             self._clock.sleep_ms(wait_ms)
@@ -161,7 +162,7 @@
         return max(self._follower.confirmed_ms + limit_ms, self._started_ms + START_MS)
 
     def _note_late(self) -> None:
-        """Log when the knowledge has become old, and when it is fresh again."""
+        """Log when the view becomes stale, and when it is fresh again."""
         age_ms = self._follower.measure_age_ms()
         is_late = age_ms >= STALE_MS
         if is_late != self._is_late:
