--- a/hemlockswitch/process/gateway/report_period.py
+++ b/hemlockswitch/process/gateway/report_period.py
@@ -1,64 +1,66 @@
-"""How often gateways report to one another, and every time that follows from it.
+"""The period of the gateways' reports to one another, and all times that depend on it.
 
-A gateway may send a bounded number of reports in a second, so the time between two of them grows
-with the number of gateways that hear it. Whatever judges a report by its age, or waits for one to
-come, takes its time from here: a fixed time that is long beside the period of eight gateways is short
-beside that of two hundred.
+A gateway may send a bounded number of reports per second, so its report period grows with the number of
+receivers. All code that judges a report by its age, or waits for one, uses the times of this module: a
+fixed time that is long compared with the period of eight gateways is short compared with that of two
+hundred.
 """
 
 from dataclasses import dataclass
 from typing import Self
 
 REPORT_MS = 200.0
-"""Time between two reports at a small fleet. What accounts overspend and what servers get too
-much grows with it; a fifth of a second of the largest account's traffic is far below the bounds."""
+"""Report period of a small fleet. The overspending of accounts and the overload of servers grow with it;
+a fifth of a second of the largest account's traffic is far below the bounds."""
 REPORTS_PER_S = 100.0
-"""Reports that a gateway may send in a second to those that hear it at one period: with more than
-twenty of them the period grows, so that control stays a small part of a core."""
+"""Maximum number of reports per second that a gateway sends to the receivers of one period. With more than
+twenty receivers the period grows, so that control uses a small part of a core."""
 MESH_GATEWAYS = int(REPORTS_PER_S * REPORT_MS / 1_000.0)
-"""Up to so many others every gateway can tell all of them at the shortest period."""
+"""Maximum number of peers with which every gateway reports to all of them at the shortest period."""
 NEAR_REPORTS_PER_S = 30.0
 FAR_REPORTS_PER_S = 40.0
-"""The same at a larger fleet, to the gateways of the own zone and to the rest. Loads and spending
-are told at each change, so reports only show who lives, and repair what was lost."""
+"""Maximum numbers of reports per second in a larger fleet, to the gateways of the own zone and to all
+others. Loads and spending are sent at each change, so reports only show which gateways are running, and
+repair lost messages."""
 EARLY_GAP_MS = 40.0
-"""Least time between two reports at the shortest period: what other gateways should hear at once does
-not wait for the next report. The gap grows with the square of the period, so that a large fleet
-spends little more on it."""
+"""Minimum time between two reports at the shortest period, for urgent changes that do not wait for the next
+periodic report. The gap grows with the square of the period, so that a large fleet sends few additional
+reports."""
 MISSED_REPORTS = 2.5
-"""So many periods pass before a report counts as missing: two in a row may be lost on a bad link or
-wait for a busy processor, three seldom are."""
+"""Number of periods after which a report counts as missing: two reports in a row may be lost on a bad link or
+delayed by a busy processor, three rarely are."""
 SILENT_GAPS = 10.0
-"""So many usual gaps between two words of any gateway of a zone pass before the zone counts as silent, if
-that is less than one of its gateways needs to be missed. Gateways report
-each at their own moments, so that a gap as long as this comes by chance once in hours."""
+"""A zone counts as unresponsive after this many average gaps between reports of any of its gateways, if that
+is less than the time after which one of its gateways counts as missing. Gateways report independently of
+one another, so a gap of this length occurs by chance once in hours."""
 OUT_OF_TOUCH_REPORTS = 4.0
 LEAST_OUT_OF_TOUCH_MS = 1_500.0
-"""A gateway that was not heard for this long counts as out of touch, and its part of the limits is
-not spent by the others: several reports are missing."""
+"""A gateway that has not been received from for this number of periods, and at least this time, counts as
+disconnected, since several reports are missing. Its share of the limits is not spent by the others."""
 LEAST_LIFE_MS = 1_500.0
-"""How long a reported load counts at the least: one that is not repeated fades with what the servers
-read meanwhile, and is wrong for no longer than a usual answer takes."""
+"""Minimum time for which a reported load counts. A load that is not reported again decreases by what the
+servers read meanwhile, and is wrong for no longer than a usual answer takes."""
 LEAST_COVERED_MS = 700.0
-"""How lately a gateway must have been heard to be relied on for what it watches, at the least."""
+"""Minimum time since its last report for which a gateway is relied on for the objects that it watches."""
 LEAST_DIFFERENCE_MS = 600.0
-"""How long two views of the object service must differ at the least: changes are gathered for
-about as long before they are asked for."""
+"""Minimum time for which two views of the object service must differ before a watch is renewed: changes are
+gathered for about as long before the next watch."""
 LEAST_TOLD_MS = 1_000.0
-"""How lately a server must have answered a gateway to overrule the others' suspicion, at the least."""
+"""Minimum time for which an answer of a server to this gateway overrules the suspicion of other gateways."""
 LEAST_REPEATED_MS = 3_000.0
-"""How long after an account's last request its sum is repeated, at the least."""
+"""Minimum time after an account's last request for which its sum is repeated in reports."""
 USAGE_MS = 250.0
 USAGE_REPORTS_PER_S = 100.0
-"""Usage counts go to one gateway, which hears at most so many reports of them in a second; what a
-killed gateway has counted since its last one is lost."""
+"""Period of usage reports, and the maximum number of them per second at the one gateway that receives them
+all. What a killed gateway has counted since its last usage report is lost."""
 SETTLE_REPORTS = 2.0
 LEAST_SETTLE_MS = 2_000.0
-"""How long after its end a window of usage is reported: two reports of every gateway have come."""
+"""A window of usage is reported this number of periods, and at least this time, after its end: by then two
+reports of every gateway have arrived."""
 LEAST_TAKEOVER_MS = 1_500.0
 TAKEOVER_MARGIN_MS = 300.0
-"""How long a new holder of the duties waits before its first usage report: it announces itself to the
-others, and they send it their counts within a period."""
+"""A new holder of the duties waits for a usage period and this margin, and at least this time, before its
+first usage report: it announces itself to the others, and they send it their counts within a period."""
 
 
 @dataclass(frozen=True)
@@ -68,7 +70,7 @@
     Parameters
     ==========
 
-    ms : the period.
+    ms : the period in milliseconds.
 
     Examples
     ========
@@ -83,78 +85,78 @@
 
     @classmethod
     def from_peers(cls, peers: int, reports_per_s: float = REPORTS_PER_S) -> Self:
-        """Return the period with which a gateway can tell so many others."""
+        """Return the period with which a gateway can report to this number of peers."""
         return cls(max(REPORT_MS, peers * 1_000.0 / reports_per_s))
 
     @property
     def early_gap_ms(self) -> float:
-        """The least time between two reports when something is to be told at once."""
+        """The minimum time between two reports when a change is urgent."""
         return min(EARLY_GAP_MS * (self.ms / REPORT_MS) ** 2, self.ms)
 
     @property
     def missed_ms(self) -> float:
-        """After this time a report is missing."""
+        """The time after which a report counts as missing."""
         return MISSED_REPORTS * self.ms
 
     @property
     def life_ms(self) -> float:
-        """How long a reported load counts."""
+        """The time for which a reported load counts."""
         return max(LEAST_LIFE_MS, self.missed_ms)
 
     @property
     def out_of_touch_ms(self) -> float:
-        """After this time without a report a gateway is out of touch."""
+        """The time without a message after which a gateway counts as disconnected."""
         return max(LEAST_OUT_OF_TOUCH_MS, OUT_OF_TOUCH_REPORTS * self.ms)
 
     def find_zone_out_of_touch_ms(self, gateways: int) -> float:
-        """Return after which silence a zone with so many gateways is out of touch as a whole."""
+        """Return the time without a message after which a zone with `gateways` gateways is disconnected."""
         gap_ms = self.ms / max(gateways, 1)
         return max(LEAST_OUT_OF_TOUCH_MS, min(self.out_of_touch_ms, SILENT_GAPS * gap_ms))
 
     @property
     def covered_ms(self) -> float:
-        """How lately a gateway must have been heard to be relied on for what it watches."""
+        """The maximum age of the last message of a gateway that is relied on for what it watches."""
         return max(LEAST_COVERED_MS, self.missed_ms)
 
     @property
     def difference_ms(self) -> float:
-        """How long two views of the object service must differ before one of them is wrong."""
+        """The time for which two views of the object service must differ before one counts as wrong."""
         return max(LEAST_DIFFERENCE_MS, self.missed_ms)
 
     @property
     def repeated_ms(self) -> float:
-        """How long what was spent is repeated, so that several reports carry it."""
+        """The time for which spending is repeated, so that several reports contain it."""
         return max(LEAST_REPEATED_MS, self.missed_ms)
 
     @property
     def told_ms(self) -> float:
-        """How lately a server must have answered to overrule the others' suspicion of it."""
+        """The maximum age of a server's answer that overrules the suspicion of other gateways."""
         return max(LEAST_TOLD_MS, self.missed_ms)
 
 
 @dataclass(frozen=True)
 class UsagePeriod:
-    """The time between two usage reports of a gateway, and what waits for them.
+    """The time between two usage reports of a gateway, and the times that depend on it.
 
     Parameters
     ==========
 
-    ms : the period.
+    ms : the period in milliseconds.
     """
 
     ms: float = USAGE_MS
 
     @classmethod
     def from_gateways(cls, gateways: int) -> Self:
-        """Return the period with which one gateway can hear so many."""
+        """Return the period with which one gateway can receive the reports of this number of gateways."""
         return cls(max(USAGE_MS, gateways * 1_000.0 / USAGE_REPORTS_PER_S))
 
     @property
     def settle_ms(self) -> float:
-        """How long after its end a window's counts are complete."""
+        """The time after its end at which a window's counts are complete."""
         return max(LEAST_SETTLE_MS, SETTLE_REPORTS * self.ms)
 
     @property
     def takeover_ms(self) -> float:
-        """How long after a change of the holder it has heard the counts of all."""
+        """The time after which a new holder of the duties has received the counts of all gateways."""
         return max(LEAST_TAKEOVER_MS, self.ms + TAKEOVER_MARGIN_MS)
