--- a/hemlockswitch/process/gateway/reporting.py
+++ b/hemlockswitch/process/gateway/reporting.py
@@ -1,4 +1,4 @@
-"""When reports go out: periodically, at once when others should hear, and while a limit is contended."""
+"""The schedule of reports: periodic, at once for urgent changes, and while a limit is contended."""
 
 import random
 
@@ -10,15 +10,15 @@
 from hemlockswitch.process.gateway.watch_guard import WatchGuard
 
 SPENDING_PAUSE_MS = 50.0
-"""Least time between two reports of a contended account, so that a gateway gets about as many of these
-as ordinary reports."""
+"""Minimum time between two reports of contended accounts, so that a gateway receives about as many of these as
+periodic reports."""
 CHANGE_GAP_MS = 100.0
-"""Least time between two changes that are told; a gateway of a large fleet has few requests in a second,
-so most are told at once."""
+"""Minimum time between two reports of changes. A gateway of a large fleet has few requests per second, so most
+changes are reported at once."""
 FIRST_SPREAD = (0.0, 1.0)
 FAR_SPREAD = (0.75, 1.25)
-"""Between which parts of the period the time before the first report to far gateways lies, and that
-between two of them: gateways that started together must not report in step."""
+"""Ranges, as fractions of the period, from which the time before the first report to far gateways and the time
+between two of these reports are drawn: gateways that started together must not report in step."""
 
 
 class ReportSchedule:
@@ -27,13 +27,13 @@
     Parameters
     ==========
 
-    reports : builds and sends them.
-    fleet : says how often.
-    watch_guard : compares the views that came with the others' reports.
+    reports : builds and sends the reports.
+    fleet : determines the periods.
+    watch_guard : compares the views in the reports of the other gateways.
     clock : the time.
 
-    `changed` is set whenever the own load has changed, and `contended` when some of a contended
-    limit was spent.
+    The signal `changed` is set whenever this gateway's load has changed, and `contended` when some of a
+    contended limit was spent.
     """
 
     def __init__(
@@ -48,12 +48,12 @@
         self._clock = clock
 
     def note_large_prompt(self) -> None:
-        """A prompt was sent that keeps a server busy for long: the others should know at once."""
+        """Report at once after sending a prompt that keeps a server busy for long (small fleet only)."""
         if not self._fleet.reports_by_zone:
             self._urgent.set()
 
     def send_near(self) -> None:
-        """Report to the gateways near this one until the task is ended."""
+        """Report to the near gateways until the task is killed."""
         while True:
             period = self._fleet.get_near_period()
             self._clock.sleep_ms(period.early_gap_ms)
@@ -63,10 +63,10 @@
             self._watch_guard.compare([peer.view for peer in self._fleet.list_heard()])
 
     def send_far(self) -> None:
-        """Report to all others until the task is ended.
+        """Report to the far gateways until the task is killed.
 
-        Gateways that start together hear of one another together; their first reports are spread
-        over a period, so that each zone is heard all the time.
+        Gateways that start together receive one another's registrations together; their first reports are
+        spread over a period, so that reports of each zone arrive continuously.
         """
         spread = FIRST_SPREAD
         while True:
@@ -77,7 +77,7 @@
             spread = FAR_SPREAD if by_zone else FIRST_SPREAD
 
     def send_changes(self) -> None:
-        """Tell what has changed until the task is ended; at a small fleet the reports do."""
+        """Report changes until the task is killed; in a small fleet the periodic reports contain them."""
         while True:
             self.changed.wait()
             self.changed.clear()
@@ -86,9 +86,9 @@
             self._clock.sleep_ms(CHANGE_GAP_MS)
 
     def send_spending(self) -> None:
-        """Report what is spent of contended accounts until the task is ended.
+        """Report the spending of contended accounts until the task is killed.
 
-        At a large fleet it is among the changes, which are told at once whatever is spent.
+        In a large fleet it is part of the changes, which are reported at once for any spending.
         """
         while True:
             self.contended.wait()
@@ -98,7 +98,7 @@
             self._clock.sleep_ms(SPENDING_PAUSE_MS)
 
     def send_usage(self) -> None:
-        """Report usage counts until the task is ended."""
+        """Report usage counts until the task is killed."""
         while True:
             self._clock.sleep_ms(self._fleet.get_usage_period().ms)
             self._reports.send_usage()
