--- a/hemlockswitch/process/gateway/reports.py
+++ b/hemlockswitch/process/gateway/reports.py
@@ -1,11 +1,11 @@
-"""The exchange of reports: built from what this gateway's parts know, and handed on to them.
-
-At a small fleet every gateway tells every other one, several times a second, the load that it puts
-on backend servers and what its accounts have spent; what is spent of a contended limit it tells at
-once. At a larger one it reports as often as their number allows, to those of its zone more often than
-to the others, and tells each change of its load and its accounts to one gateway of each zone, which
-passes it on there (`process.gateway.change_relay`). What was counted for the usage reports goes to
-the holder of the duties alone. docs/CAPACITY.md says where this ends.
+"""The exchange of reports, which are built from the local state and applied to it.
+
+In a small fleet every gateway reports to every other one, several times a second, the load that it puts
+on backend servers and the spending of its accounts; the spending of a contended limit is reported at
+once. In a larger fleet a gateway reports as often as the number of gateways allows, to those of its zone
+more often than to the others, and sends each change of its load and its accounts to one gateway of each
+zone, which relays it there (`process.gateway.change_relay`). Usage counts are sent only to the holder of
+the duties. The limits of this design are in docs/CAPACITY.md.
 """
 
 from collections.abc import Callable, Iterable
@@ -36,18 +36,18 @@
 
 
 class ReportExchange:
-    """Sends this gateway's reports and takes those of others.
+    """Sends this gateway's reports and applies those of other gateways.
 
     Parameters
     ==========
 
-    name : this gateway.
+    name : the name of this gateway.
     incarnation : differs for each start of its process.
     network : the streams to the other gateways.
-    knowledge : what this gateway knows, and where it puts what others tell.
-    limits : what the client accounts have spent.
+    knowledge : the local state, which is reported and to which received reports are applied.
+    limits : the spending of the client accounts.
     leads : returns whether this gateway holds the duties.
-    get_view : returns what this gateway knows of the object service.
+    get_view : returns this gateway's view of the object service.
     clock : the time.
     """
 
@@ -83,22 +83,22 @@
         network.handle(UsageReport, self._take_usage, quick=True)
 
     def send_near(self) -> None:
-        """Tell the gateways near this one everything."""
+        """Send a complete report to the near gateways."""
         sent = [] if self._fleet.reports_by_zone else self._pop_sent()
         report = self._build_report(self._fleet.get_near_period(), sent)
         self._send(self._fleet.list_near(), report)
 
     def send_far(self) -> None:
-        """Tell the gateways that are not near this one the same, less often."""
+        """Send a report without sent prompts to the far gateways."""
         self._send(self._fleet.list_far(), self._build_report(self._fleet.get_far_period(), []))
 
     def announce(self) -> None:
-        """Tell every other gateway at once, as when this one has taken the duties over."""
+        """Report to every other gateway at once, for instance after taking over the duties."""
         self.send_near()
         self.send_far()
 
     def send_changes(self) -> None:
-        """Tell one gateway of each zone what has changed; it passes that on."""
+        """Send the changes to one gateway of each zone, which relays them there."""
         change = ChangeReport(
             self._name,
             self._incarnation,
@@ -113,12 +113,12 @@
             send_to_first(self._network, relays, change)
 
     def send_spending(self) -> None:
-        """Tell every gateway that is in touch what the accounts have spent."""
+        """Send the spending of the accounts to every connected gateway."""
         spent = self._limits.describe_spent()
         self._send(self._fleet.list_heard(), SpendingReport(self._name, self._incarnation, spent))
 
     def send_usage(self) -> None:
-        """Tell the holder of the duties what was counted."""
+        """Send the usage counts to the holder of the duties."""
         holders = [one for one in self._fleet.list_heard() if one.report and one.report.leads]
         if holders:
             usage = self._usage.describe_own()
@@ -181,7 +181,7 @@
         return (round(now_ms - view.outage.began_ms), round(now_ms - view.outage.ended_ms))
 
     def _read_view(self, report: GatewayReport) -> StoreView:
-        """Return the other gateway's view with moments of the own clock."""
+        """Return the view in a report, with times converted to this process's clock."""
         outage = None
         if report.outage_ms_ago:
             now_ms = self._clock.now_ms()
