--- a/hemlockswitch/process/gateway/messages.py
+++ b/hemlockswitch/process/gateway/messages.py
@@ -1,4 +1,4 @@
-"""What gateways tell one another."""
+"""The messages between gateways."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -8,15 +8,15 @@
 from hemlockswitch.connection.stored_objects import ObjectPage, PageSource, StoredObject
 
 Loads = dict[str, tuple[int, float]]
-"""Server incarnation to (requests in progress, prompt tokens that wait)."""
+"""Server incarnation to (requests in progress, waiting prompt tokens)."""
 PromptFields = tuple[str, list[tuple[int, int]]]
-"""A server incarnation, and the (digest, tokens) of each shared beginning of a prompt sent there."""
+"""A server incarnation, and the (digest, tokens) of each shared prefix of a prompt sent there."""
 Results = dict[str, tuple[int, int]]
-"""Server incarnation to how many sends (succeeded, failed)."""
+"""Server incarnation to the numbers of send attempts that (succeeded, failed)."""
 RolloutFields = tuple[str, str, int, float, bool, float, dict[str, list[int]]]
-"""A roll-out's service, target and creation, its age in ms, whether it was stopped, the time in ms until
-the old version ends (negative unless the holder of the duties says so), and by route the numbers of
-answers, failures and slow answers of the new version, and of the others."""
+"""A rollout's service, target and creation, its age in ms, whether it was stopped, the time in ms until
+the old version ends (negative unless the sender is the holder of the duties), and by route the numbers of
+answers, failures and slow answers of the new version, and of the other versions."""
 ChangeFields = tuple[
     str, int, int, Loads, list[PromptFields], dict[str, float], Results, list[RolloutFields]
 ]
@@ -26,28 +26,28 @@
 @register_message("gateway_report")
 @dataclass(frozen=True)
 class GatewayReport:
-    """What a gateway tells the others.
+    """The complete report of a gateway.
 
     Parameters
     ==========
 
-    name : the gateway.
+    name : the name of the gateway.
     incarnation : differs for each start of its process.
-    number : counts the states of the load that the process has told, here and in `ChangeReport`.
-    period_ms : within this time the receiver hears the next report.
-    link_mbps : speed of its VM's link; 0 where it is not known.
-    believed_ms : its time of day.
-    loads : server incarnation to (requests in progress, prompt tokens that wait).
-    demand : service to the prompt tokens in a millisecond that it sends.
-    spent : account to what it has spent since the process began.
-    leads : whether it holds the duties.
+    number : sequence number of the load within the process, shared with `ChangeReport`.
+    period_ms : the time within which the receiver gets the next report.
+    link_mbps : speed of its VM's link; 0 if unknown.
+    believed_ms : its estimate of the wall-clock time.
+    loads : server incarnation to (requests in progress, waiting prompt tokens).
+    demand : service to the prompt tokens per millisecond that the gateway sends.
+    spent : account to its spending since the process began.
+    leads : whether the gateway holds the duties.
     revision, servers_digest, relayed, held_digest : see `process.gateway.watch_guard.StoreView`.
-    outage_ms_ago : when the last outage of the object service began and ended; empty if none.
-    sent : (server incarnation, shared beginnings) of each prompt sent since the last report.
+    outage_ms_ago : how long ago the last outage of the object service began and ended; empty if none.
+    sent : (server incarnation, shared prefixes) of each prompt sent since the last report.
     zone : its availability zone.
     unreachable : incarnations of the backend servers that it cannot connect to.
     models : service to the model of its engines (`process.gateway.service_models`).
-    rollouts : what became of the sends of this process, for each order that is not closed.
+    rollouts : the results of this process's send attempts, for each order that is not closed.
     view_age_ms : see `process.gateway.watch_guard.StoreView`.
     """
 
@@ -77,17 +77,18 @@
 @register_message("change_report")
 @dataclass(frozen=True)
 class ChangeReport:
-    """What has changed at a gateway, for one gateway of each zone, which passes it on there.
+    """The changes at a gateway since its last change report, for a relay in each zone.
 
     Parameters
     ==========
 
     name, incarnation, number, sent : as in `GatewayReport`.
-    loads : the same, of the servers on which the load has changed since the last change that was told.
-    spent : account to what it has spent since the process began, of those that have spent since the
-        last change that was told.
-    results : server incarnation to how many sends (succeeded, failed) since then.
-    rollouts : as in `GatewayReport`, of the orders whose counts have changed since then.
+    loads : as in `GatewayReport`, for the servers on which the load has changed since the last change
+        report.
+    spent : account to its spending since the process began, for the accounts that have spent since the
+        last change report.
+    results : server incarnation to the numbers of send attempts that (succeeded, failed) since then.
+    rollouts : as in `GatewayReport`, for the orders whose counts have changed since then.
     """
 
     name: str
@@ -100,7 +101,7 @@
     rollouts: list[RolloutFields] = field(default_factory=list)
 
     def list_fields(self) -> ChangeFields:
-        """Return the fields, as they stand in `RelayedChanges`."""
+        """Return the fields in the order used by `RelayedChanges`."""
         return (
             self.name,
             self.incarnation,
@@ -116,7 +117,7 @@
 @register_message("relayed_changes")
 @dataclass(frozen=True)
 class RelayedChanges:
-    """Changes at several gateways, passed on inside a zone.
+    """Changes at several gateways, relayed inside a zone.
 
     Parameters
     ==========
@@ -135,23 +136,23 @@
 
     @classmethod
     def from_reports(cls, reports: Iterable[ChangeReport]) -> "RelayedChanges":
-        """Return the message that passes reports on."""
+        """Return the message that relays reports."""
         return cls([one.list_fields() for one in reports])
 
     def to_reports(self) -> list[ChangeReport]:
-        """Return the reports that were passed on."""
+        """Return the relayed reports."""
         return [ChangeReport(*fields) for fields in self.changes]
 
 
 @register_message("account_spending")
 @dataclass(frozen=True)
 class SpendingReport:
-    """What a gateway's accounts have spent, sent at once while a limit is contended.
+    """The spending of a gateway's accounts, sent at once while a limit is contended.
 
     Parameters
     ==========
 
-    spent : account to what it has spent since the process began, as in `GatewayReport`.
+    spent : account to its spending since the process began, as in `GatewayReport`.
     """
 
     name: str
@@ -162,7 +163,7 @@
 @register_message("usage_counts")
 @dataclass(frozen=True)
 class UsageReport:
-    """What a gateway counted in the latest windows, for the holder of the duties.
+    """The usage that a gateway counted in the latest windows, for the holder of the duties.
 
     Parameters
     ==========
@@ -178,19 +179,18 @@
 @register_message("watched_page")
 @dataclass(frozen=True)
 class WatchedPage:
-    """What a watch or a list brought, for gateways that do not watch themselves.
+    """The page returned by a watch or a list, for gateways that do not watch themselves.
 
     Parameters
     ==========
 
     kind : the kind of the objects.
-    since, version : the page has all changes after version `since`, up to `version`.
+    since, version : the page contains all changes after version `since`, up to `version`.
     items : (name, version, value, whether it was deleted, status, version at its creation) of each
         changed object, in order.
-    is_whole : whether these are all objects of the kind; what is not among them is gone.
-    age_ms : how long ago the sender was known to know all that the service had with this page; None if
-        that is not known.
-    sent_ms : when it was sent, by the sender's clock (`process.gateway.transit`).
+    is_whole : whether these are all objects of the kind; objects that are not listed have been deleted.
+    age_ms : how long ago the sender, with this page, was confirmed to match the service; None if unknown.
+    sent_ms : when the message was sent, by the sender's clock (`process.gateway.transit`).
 
     Examples
     ========
@@ -222,11 +222,17 @@
 
     @classmethod
     def make_notice(cls, kind: str, version: int, now_ms: float) -> "WatchedPage":
-        """Return the message that there is something newer, to be asked for."""
+        """Return the notice that there are changes up to `version`, for which to query the service."""
         return cls(kind, version, version, [], sent_ms=now_ms)
 
     def to_object_page(self, arrived_ms: float = 0.0) -> ObjectPage:
-        """Return the page as the object service answered it; it arrived here at `arrived_ms`, but for delays."""
+        """Return the page as the object service returned it.
+
+        Parameters
+        ==========
+
+        arrived_ms : when the message would have arrived here without a delay.
+        """
         items = tuple(StoredObject(self.kind, *item) for item in self.items)
         confirmed_ms = None if self.age_ms is None else arrived_ms - self.age_ms
         return ObjectPage(items, self.version, self.is_whole, PageSource.RELAY, confirmed_ms)
@@ -235,7 +241,7 @@
 @register_message("version_confirmation")
 @dataclass(frozen=True)
 class VersionConfirmation:
-    """What a gateway has heard from the object service about a kind of objects, for all gateways.
+    """A confirmation by the object service that a kind has not changed, sent to all gateways.
 
     Parameters
     ==========
@@ -243,9 +249,9 @@
     kind : the kind of the objects.
     changed : the version of the last change, or a later one at which there was none.
     until : there is no change after `changed` up to this version.
-    age_ms : how long ago the service has said so.
-    sent_ms : when it was sent, by the sender's clock (`process.gateway.transit`).
-    is_passed_on : whether it comes from a relay inside the zone.
+    age_ms : how long ago the service confirmed this.
+    sent_ms : when the message was sent, by the sender's clock (`process.gateway.transit`).
+    is_passed_on : whether the message comes from a relay inside the zone.
     """
 
     kind: str
