--- a/hemlockswitch/process/gateway/change_relay.py
+++ b/hemlockswitch/process/gateway/change_relay.py
@@ -1,11 +1,11 @@
-"""Changes at the gateways of a large fleet, passed on inside each zone.
-
-Where work goes depends on the load that every gateway puts on every backend server, so each should
-know of a prompt that another one has sent within a fraction of the time that a server reads it; the
-same holds for what is spent of a limit that all share. At a large fleet no gateway can tell all
-others so often. It tells one of each zone instead, and that one passes on what it has heard in a
-moment to its neighbours. So a change crosses to another zone once, in place of once for each of its
-gateways.
+"""Changes at the gateways of a large fleet, relayed inside each zone.
+
+Placement depends on the load that every gateway puts on every backend server, so each gateway should
+receive the report of a prompt sent by another one within a fraction of the time that a server takes to
+read it. The same holds for the spending of a shared limit. In a large fleet no gateway can send to all
+others so often. It sends its changes to one gateway of each zone instead, and this relay sends the
+changes gathered within a short time to the gateways of its zone. A change thereby crosses to another zone
+once, instead of once for each gateway there.
 """
 
 from collections.abc import Iterable, Mapping
@@ -24,14 +24,14 @@
 from hemlockswitch.request.dialect import Chain
 
 RELAY_MS = 100.0
-"""How long changes gather before they are passed on: less than a server needs for a large prompt, and
+"""How long changes gather before they are relayed: less than a server needs for a large prompt, and
 long enough that a relay sends few messages."""
 MOST_GATHERED = 1_000
-"""Changes that wait to be passed on; more is dropped, and repaired by the reports that follow."""
+"""Maximum number of changes that wait to be relayed. More are dropped; later reports repair the loss."""
 
 
 def write_loads(loads: Mapping[str, ServerLoad]) -> Loads:
-    """Return loads as messages have them."""
+    """Return loads in the form used by messages."""
     return {server: (load.running, load.waiting_tokens) for server, load in loads.items()}
 
 
@@ -44,31 +44,31 @@
 
 
 def read_sent(sent: list[PromptFields]) -> list[tuple[str, Chain]]:
-    """Return the prompts sent that a message tells."""
+    """Return the sent prompts of a message."""
     return [(server, tuple((digest, tokens) for digest, tokens in chain)) for server, chain in sent]
 
 
 def name_process(name: str, incarnation: int) -> str:
-    """Return a name that differs for each start of a gateway: sums begin anew with it."""
+    """Return a name that differs for each start of a gateway, since its sums start again from zero."""
     return f"{name}/{incarnation}"
 
 
 def send_to_first(network: PeerNetwork, relays: Iterable[str], message: Any) -> None:
-    """Tell the first relay that has a stream; one that was killed refuses connections."""
+    """Send to the first relay that has a stream; a killed relay refuses connections."""
     for address in relays:
         if network.send(address, message):
             return
 
 
 class ChangeRelay:
-    """Takes the changes that others tell, and passes them on to the gateways near this one.
+    """Applies the changes that other gateways send, and relays them to the near gateways.
 
     Parameters
     ==========
 
-    network, fleet : the streams to the other gateways, and who these are.
-    loads, limits, rollouts : what this gateway knows of the load, of the accounts, and of services that
-        move to another version.
+    network, fleet : the streams to the other gateways, and the list of these gateways.
+    loads, limits, rollouts : the local state of the load, of the accounts, and of services that move to
+        another version.
     clock : the time.
     """
 
@@ -94,25 +94,25 @@
 
     @property
     def has_gathered(self) -> bool:
-        """Whether something waits to be passed on."""
+        """Whether changes wait to be relayed."""
         return bool(self._gathered)
 
     def run(self) -> None:
-        """Pass on what comes until the task is ended."""
+        """Relay received changes until the task is killed."""
         while True:
             self._arrived.wait()
             self._clock.sleep_ms(RELAY_MS)
             self.pass_on()
 
     def pass_on(self) -> None:
-        """Tell the gateways near this one what has come since the last time."""
+        """Send the changes gathered since the last call to the near gateways."""
         gathered, self._gathered = self._gathered, []
         self._arrived.clear()
         addresses = [peer.address for peer in self._fleet.list_near()]
         self._network.send_all(addresses, RelayedChanges.from_reports(gathered))
 
     def take(self, _address: str, report: ChangeReport) -> None:
-        """Take what has changed at a gateway, to be passed on."""
+        """Apply the changes at a gateway, and gather them to be relayed."""
         self._learn(report)
         if len(self._gathered) < MOST_GATHERED:
             self._gathered.append(report)
@@ -123,7 +123,7 @@
             self._learn(report)
 
     def _learn(self, report: ChangeReport) -> None:
-        """Take a change, unless it is the own one that comes back."""
+        """Apply a change, unless it is one of this gateway that was relayed back."""
         if report.name == self._fleet.name:
             return
         self._fleet.note_alive(report.name)
