--- a/hemlockswitch/process/gateway/suspect_exchange.py
+++ b/hemlockswitch/process/gateway/suspect_exchange.py
@@ -1,9 +1,9 @@
-"""What gateways tell one another of the requests under which backend servers end.
+"""Exchange between gateways about requests that crash backend servers.
 
-Each change goes to every gateway at once: directly to those near this one, and to two gateways of each
-other zone, which pass it on there. It is rare and small, and each moment of delay may cost a server. A
-message that is lost is made up for by the digest in the reports: gateways near one another that hold
-back other contents tell all they know, and list those that the object service keeps.
+Each change is sent to every gateway at once: directly to the near gateways, and to two gateways of each
+other zone, which relay it there. Changes are rare and small, and any delay may cost a server. A lost
+message is repaired by the digest in the reports: near gateways that quarantine different contents send one
+another all their records, and list the records stored in the object service.
 """
 
 from dataclasses import dataclass
@@ -18,24 +18,24 @@
 from hemlockswitch.request.quarantine import Quarantine, SuspectFields, SuspectRecord
 
 GATHER_MS = 20.0
-"""Least time between two messages: what was in progress on one server ends within milliseconds."""
+"""Minimum time between two messages: the requests in progress on one server end within milliseconds."""
 REPAIR_MS = 1_000.0
-"""Least time between two repairs of one gateway; its reports show after a period whether it has helped."""
+"""Minimum time between two repairs of one gateway; its reports show after a period whether a repair worked."""
 MOST_TOLD = 200
-"""Contents in one message, some 20 KB; more than that is in progress on few servers."""
+"""Maximum number of contents in one message, some 20 KB; few servers have more requests in progress."""
 
 
 @register_message("suspect_report")
 @dataclass(frozen=True)
 class SuspectReport:
-    """Contents under which servers have ended.
+    """Request contents that were in progress when servers crashed.
 
     Parameters
     ==========
 
-    name : the gateway that tells it.
+    name : the name of the sending gateway.
     suspects : the fields of each `SuspectRecord`.
-    is_relayed : whether it was passed on already.
+    is_relayed : whether the message has already been relayed.
     """
 
     name: str
@@ -44,13 +44,13 @@
 
 
 class SuspectExchange:
-    """Tells and takes what gateways know of these contents.
+    """Sends and applies the records of suspected contents.
 
     Parameters
     ==========
 
-    network, fleet : the streams to the other gateways, and who these are.
-    quarantine : what this gateway knows.
+    network, fleet : the streams to the other gateways, and the list of these gateways.
+    quarantine : the records of this gateway.
     clock : the time.
     """
 
@@ -66,7 +66,7 @@
         network.handle(SuspectReport, self.take, quick=True)
 
     def run(self) -> None:
-        """Tell what changes until the task is ended."""
+        """Send changed records until the task is killed."""
         while True:
             self._changed.wait()
             self._changed.clear()
@@ -74,19 +74,19 @@
             self._clock.sleep_ms(GATHER_MS)
 
     def note_change(self) -> None:
-        """Something has changed here that is to be told."""
+        """Wake the task because a record has changed."""
         self._changed.set()
 
     def differ(self) -> bool:
-        """Return whether another gateway holds back something else."""
+        """Return whether another gateway quarantines different contents."""
         return bool(self._list_peers_that_differ())
 
     def are_missed(self) -> bool:
-        """Return whether some gateways are not in touch."""
+        """Return whether some gateways are not connected."""
         return self._fleet.count_in_touch() < self._fleet.count_daemons()
 
     def tell(self) -> None:
-        """Tell every other gateway what has changed here."""
+        """Send the changed records to every other gateway."""
         records = self._quarantine.pop_untold()
         for first in range(0, len(records), MOST_TOLD):
             fields = [one.list_fields() for one in records[first : first + MOST_TOLD]]
@@ -94,9 +94,10 @@
             self._network.send_all(self._list_addresses(), report)
 
     def repair(self) -> None:
-        """Tell the gateways near this one that hold back something else all that is known here.
+        """Send up to `MOST_TOLD` records to the near gateways that quarantine different contents.
 
-        So one that started or was cut off learns it from its neighbours, without the object service.
+        A gateway that started or was cut off thereby gets the records from its peers, without the object
+        service.
         """
         addresses = self._list_differing()
         if not addresses:
@@ -120,12 +121,12 @@
         ]
 
     def _list_peers_that_differ(self) -> list[Peer]:
-        """Return the gateways that hold back something else, by their last reports."""
+        """Return the gateways that quarantine different contents, according to their last reports."""
         digest = self._quarantine.hash_held()
         return [peer for peer in self._fleet.list_heard() if peer.view.held_digest != digest]
 
     def take(self, _address: str, report: SuspectReport) -> None:
-        """Take what another gateway knows, and pass it on to those near this one if need be."""
+        """Apply the records of another gateway, and relay a message from another zone to the near gateways."""
         for fields in report.suspects[:MOST_TOLD]:
             self._quarantine.take(SuspectRecord.from_fields(fields))
         if self._fleet.reports_by_zone and not report.is_relayed:
@@ -133,7 +134,7 @@
             self._network.send_all([peer.address for peer in self._fleet.list_near()], relayed)
 
     def _list_addresses(self) -> list[str]:
-        """Return those near this gateway, and the relays of the zones that are not."""
+        """Return the addresses of the near gateways, and of the relays of the other zones."""
         addresses = [peer.address for peer in self._fleet.list_near()]
         if self._fleet.reports_by_zone:
             relays = [address for zone in self._fleet.draw_relays() for address in zone]
