--- a/hemlockswitch/process/gateway/transit.py
+++ b/hemlockswitch/process/gateway/transit.py
@@ -1,7 +1,7 @@
-"""How much longer than usual a message was on its way.
+"""Measurement of how much longer than usual a message was in transit.
 
-An age that a message tells was true when it was sent. After a partition the streams bring what was held up
-by it, seconds later; taken as it stands such a message would make old knowledge look new.
+An age stated in a message was correct when the message was sent. After a partition the streams deliver
+delayed messages seconds later; without a correction such a message would make old state look new.
 """
 
 from collections import deque
@@ -9,11 +9,12 @@
 from hemlockswitch.core.clock import Clock
 
 MESSAGES = 100
-"""So many messages of a sender are compared; a clock that stood still is forgotten after them."""
+"""Number of messages of a sender that are compared; after as many, an offset from before a clock stalled is
+discarded."""
 
 
 class TransitTimes:
-    """Compares the clocks of senders with the own one, message by message.
+    """Compares the clocks of senders with this process's clock, message by message.
 
     Parameters
     ==========
@@ -38,12 +39,12 @@
         self._offsets: dict[str, deque[float]] = {}
 
     def measure_delay_ms(self, sender: str, sent_ms: float) -> float:
-        """Return how much longer a message was on its way than the fastest one of its sender.
+        """Return how much longer a message was in transit than the fastest recent one of its sender.
 
         Parameters
         ==========
 
-        sent_ms : when it was sent, by the sender's clock.
+        sent_ms : when the message was sent, by the sender's clock.
         """
         offset_ms = self._clock.now_ms() - sent_ms
         offsets = self._offsets.setdefault(sender, deque(maxlen=MESSAGES))
