--- a/hemlockswitch/process/gateway/true_time.py
+++ b/hemlockswitch/process/gateway/true_time.py
@@ -1,7 +1,7 @@
-"""The time of day that the daemons agree on, though some clocks step.
+"""The wall-clock time that the daemons agree on, even if some clocks step.
 
-A window of the usage report begins at a moment of true time. A single daemon's clock may be
-seconds off; the median of all daemons' clocks is not, as long as most are right.
+A window of the usage report begins at a time of this shared clock. A single daemon's clock may be seconds
+off; the median of all daemons' clocks is not, as long as most of them are correct.
 """
 
 import statistics
@@ -11,23 +11,26 @@
 from hemlockswitch.core.clock import NANOSECONDS_PER_MS
 
 WORST_SKEW_MS = 500.0
-"""Clocks differ by some tens of milliseconds when none has stepped; beyond this the median of the
-others is believed."""
+"""Maximum accepted difference from the median of the other daemons, which is adopted beyond it. Clocks differ
+by some tens of milliseconds when none has stepped."""
 FEWEST_OPINIONS = 2
 
 
 def read_boot_ms() -> float:
-    """Return milliseconds since the machine's start, counting the time it was suspended."""
+    """Return milliseconds since the machine's start, including the time for which it was suspended."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) / NANOSECONDS_PER_MS
 
 
 def read_wall_ms() -> float:
-    """Return the machine's time of day in milliseconds since 1970."""
+    """Return the machine's wall-clock time in milliseconds since 1970."""
     return time.time_ns() / NANOSECONDS_PER_MS
 
 
 class TrueTime:
-    """The believed time of day: read once, carried by a clock that never steps, and compared.
+    """An estimate of the wall-clock time, which does not follow steps of the machine's clock.
+
+    The wall clock is read once, advanced by the boot clock, and compared with the estimates of other
+    daemons.
 
     Examples
     ========
@@ -48,11 +51,11 @@
         self._offset_ms = read_wall() - read_boot()
 
     def now_ms(self) -> float:
-        """Return the believed time of day."""
+        """Return the estimated wall-clock time."""
         return self._read_boot() + self._offset_ms
 
     def hear(self, opinions: dict[str, float]) -> None:
-        """Compare with what other daemons believe now, and follow them when far off."""
+        """Compare with the present estimates of other daemons, and adopt their median if far off."""
         if len(opinions) < FEWEST_OPINIONS:
             return
         median_ms = statistics.median(opinions.values())
