--- a/hemlockswitch/process/gateway/knowledge.py
+++ b/hemlockswitch/process/gateway/knowledge.py
@@ -1,4 +1,4 @@
-"""What a gateway knows, as its parts share it."""
+"""The local state of a gateway, shared by its components."""
 
 from dataclasses import dataclass
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Knowledge:
-    """The parts of a gateway that hold what it knows.
+    """The components that store the local state of a gateway.
 
     Parameters
     ==========
@@ -23,12 +23,12 @@
     tables : the configuration in force.
     registry : the backend servers.
     fleet : the other gateways.
-    reachability : which servers and zones cannot be reached.
-    loads : what runs on the servers, and what they have in their caches.
-    models : what was learned of the services.
+    reachability : the servers and zones that cannot be reached.
+    loads : the requests in progress on the servers, and the prompts in their caches.
+    models : the fitted models of the services.
     rollouts : the orders that move services to other versions.
-    usage : what is counted for the usage reports.
-    true_time : the time of day.
+    usage : the counts for the usage reports.
+    true_time : the estimate of the wall-clock time.
     """
 
     tables: TableHolder
