--- a/hemlockswitch/process/gateway/adapter.py
+++ b/hemlockswitch/process/gateway/adapter.py
@@ -1,4 +1,4 @@
-"""The outside systems as the gateway sees them: the interfaces that an adapter implements."""
+"""The interfaces that an adapter implements to connect the gateway to external systems."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,35 +17,35 @@
 
 
 class GatewayStore(WatchedStore, ListedStore, StatusStore, Protocol):
-    """The object service; `PlatformClient` and the adapter's store both are one."""
+    """The object service; implemented by `PlatformClient` and by the adapter's store."""
 
     @property
     def last_outage(self) -> Outage | None:
-        """The last time in which every call failed, once it was over."""
+        """The last completed period in which every call failed; None if there was none."""
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
 
 
 class DutyApi(UsageApi, ScalingApi, Protocol):
-    """Takes what the holder of the duties sends."""
+    """The interface that the holder of the duties calls."""
 
 
 @dataclass(frozen=True)
 class Adapter:
-    """The outside systems of a gateway, behind the product's own interfaces.
+    """The external systems of a gateway, behind the product's own interfaces.
 
     Parameters
     ==========
 
-    dialect : messages of callers and backend servers.
+    dialect : the message formats of callers and backend servers.
     store : the object service.
-    duty_api : the cloud API; None where no duties are taken.
-    config_kind, config_name : the object that holds the newest configuration.
+    duty_api : the cloud API; None if this gateway never takes the duties.
+    config_kind, config_name : the object that contains the newest configuration.
     server_kind : the kind of the backend servers' entries.
-    rollout_kind : the kind of the orders of roll-outs.
-    decode_table, decode_server, decode_rollout : read these objects.
-    encode_rollout_status : returns what to write of an order's state.
+    rollout_kind : the kind of the rollout orders.
+    decode_table, decode_server, decode_rollout : decode these objects.
+    encode_rollout_status : returns the stored form of an order's state.
     """
 
     dialect: Dialect
