--- a/tests/test_change_relay.py
+++ b/tests/test_change_relay.py
@@ -1,8 +1,9 @@
-"""Loads between zones: told at each change to one gateway of a zone, and passed on inside it.
+"""Changes of load that are sent to one gateway of each zone, and relayed inside the zone.
 
-The pattern: a fleet so large that no gateway can tell all others in the time in which a server reads
-a prompt. With 195 gateways each hears of another one every two seconds; a prompt of ten
-thousand tokens is read in 200 ms, so by then others have sent theirs to the same server.
+Guards against crowded servers in a fleet so large that no gateway can report to all others within the time in
+which a server reads a prompt. With 195 gateways each gets the report of another one every two seconds. A
+prompt of ten thousand tokens is read in 200 ms, so without relayed changes other gateways would by then have
+sent their prompts to the same server.
 """
 
 import statistics
@@ -35,7 +36,7 @@
 
 
 class Network:
-    """Hands messages over at once; gateways in `down` get none."""
+    """Delivers messages at once, except to the gateways in `down`."""
 
     def __init__(self):
         self.handlers = {}
@@ -76,7 +77,7 @@
             self.port, self.fleet, self.loads, self.limits, self.rollouts, clock
         )
 
-    def tell(self, load, number, spent=None):
+    def send_change(self, load, number, spent=None):
         report = ChangeReport(self.name, 1, number, load, [], spent or {}, {})
         for relays in self.fleet.draw_relays():
             self.port.send_all(relays[:1], report)
@@ -103,27 +104,29 @@
     return made
 
 
-def pass_on_all(gateways):
+def relay_all(gateways):
     for gateway in gateways:
         if gateway.relay.has_gathered:
             gateway.relay.pass_on()
 
 
-def test_every_other_gateway_hears_of_a_load(gateways, network):
-    gateways[0].tell({"e1": (1, 9_000.0)}, number=1)
-    pass_on_all(gateways)
-    knowing = [one.name for one in gateways if one.count_running() == 1]
-    assert knowing == [one.name for one in gateways[1:]], "the own load does not come back"
+def test_a_load_reaches_every_other_gateway(gateways, network):
+    gateways[0].send_change({"e1": (1, 9_000.0)}, number=1)
+    relay_all(gateways)
+    informed = [one.name for one in gateways if one.count_running() == 1]
+    assert informed == [
+        one.name for one in gateways[1:]
+    ], "the own load is not applied when it returns"
 
 
-def test_what_an_account_spends_is_counted_once_by_every_other_gateway(gateways):
+def test_relayed_spending_is_counted_once_by_every_other_gateway(gateways):
     account = ForwardedAccount("lab", rate_per_s=1_000, burst=1_000)
     listener = gateways[1]
     listener.limits.take(account, 0.0)
     listener.clock.advance(1_000)
     for number, total in ((1, 100.0), (2, 400.0)):
-        gateways[0].tell({}, number, spent={"lab": total})
-        pass_on_all(gateways)
+        gateways[0].send_change({}, number, spent={"lab": total})
+        relay_all(gateways)
     for total in (100.0, 400.0):
         listener.limits.take_report("g00/1", {"lab": total})
     assert listener.limits.take(account, 600.0) is None, "300 of 1,000 are spent"
@@ -131,58 +134,58 @@
 
 
 def test_a_load_crosses_to_each_other_zone_once(gateways, network):
-    gateways[0].tell({"e1": (1, 9_000.0)}, number=1)
-    pass_on_all(gateways)
+    gateways[0].send_change({"e1": (1, 9_000.0)}, number=1)
+    relay_all(gateways)
     zones = {one.address: one.zone for one in gateways}
     crossing = [one for one in network.sent if zones[one[0]] != zones[one[1]]]
     assert len(crossing) == ZONES - 1
 
 
-def test_what_comes_in_a_moment_is_passed_on_in_one_message(gateways, network):
+def test_changes_gathered_together_are_relayed_in_one_message(gateways, network):
     for number in range(1, 6):
         for gateway in gateways[:2]:
-            gateway.tell({"e1": (number, 0.0)}, number)
+            gateway.send_change({"e1": (number, 0.0)}, number)
     network.sent.clear()
-    pass_on_all(gateways)
-    # A gateway is no relay of its own, so it may draw one more in its zone.
+    relay_all(gateways)
+    # A gateway does not draw itself as a relay, so it may draw one more in its zone.
     most = (RELAYS_PER_ZONE + 1) * ZONES * (IN_ZONE - 1)
     assert 0 < len(network.sent) <= most
     assert all(isinstance(message, RelayedChanges) for _, _, message in network.sent)
 
 
-def test_the_newest_load_counts_whatever_way_it_came(gateways, network):
+def test_an_older_change_does_not_replace_a_newer_report(gateways, network):
     listener = gateways[1]
     listener.loads.take_report("g00", {}, order=(1, 7))
-    gateways[0].tell({"e1": (3, 0.0)}, number=6)
-    pass_on_all(gateways)
+    gateways[0].send_change({"e1": (3, 0.0)}, number=6)
+    relay_all(gateways)
     assert listener.count_running() == 0
-    gateways[0].tell({"e1": (2, 0.0)}, number=8)
-    pass_on_all(gateways)
+    gateways[0].send_change({"e1": (2, 0.0)}, number=8)
+    relay_all(gateways)
     assert listener.count_running() == 2
 
 
-def test_a_change_tells_the_servers_that_it_concerns_and_leaves_the_rest(gateways):
-    """A gateway with six requests in progress tells one of them, not all, at each change."""
+def test_a_change_leaves_the_load_on_other_servers_as_it_is(gateways):
+    """A gateway with six requests in progress sends only the server concerned at each change."""
     listener = gateways[1]
     clients = {f"e{number}": (1, 0.0) for number in range(2, 8)}
-    gateways[0].tell(clients | {"e1": (1, 0.0)}, number=1)
-    gateways[0].tell({"e1": (2, 0.0)}, number=2)
-    gateways[0].tell({"e3": (0, 0.0)}, number=3)
-    pass_on_all(gateways)
+    gateways[0].send_change(clients | {"e1": (1, 0.0)}, number=1)
+    gateways[0].send_change({"e1": (2, 0.0)}, number=2)
+    gateways[0].send_change({"e3": (0, 0.0)}, number=3)
+    relay_all(gateways)
     assert listener.count_running() == 2
     assert listener.loads.count_running(["e2", "e4"]) == 2
     assert listener.loads.count_running(["e3"]) == 0
 
 
-def test_a_whole_report_repairs_what_a_lost_change_left(gateways):
+def test_a_complete_report_repairs_a_lost_change(gateways):
     listener = gateways[1]
-    gateways[0].tell({"e1": (2, 0.0)}, number=1)
-    pass_on_all(gateways)
+    gateways[0].send_change({"e1": (2, 0.0)}, number=1)
+    relay_all(gateways)
     listener.loads.take_report("g00", {}, order=(1, 3))
     assert listener.count_running() == 0
 
 
-def test_a_gateway_tells_each_change_of_its_load_once():
+def test_each_change_of_the_own_load_is_reported_once():
     clock = ManualClock()
     loads = ServerLoads(clock)
     ticket = loads.begin(SERVER, None, 0.0, 0.0)
@@ -192,7 +195,7 @@
     assert loads.pop_changed() == {"e1": ServerLoad(0, 0)}
 
 
-def test_a_restarted_gateway_counts_anew(gateways):
+def test_the_numbers_of_a_restarted_gateway_start_again(gateways):
     listener = gateways[1]
     listener.loads.take_report("g00", {}, order=(1, 900))
     report = ChangeReport("g00", 2, 1, {"e1": (4, 0.0)}, [], {}, {})
@@ -200,8 +203,8 @@
     assert listener.count_running() == 4
 
 
-def test_a_killed_relay_loses_what_was_told_to_it_only(gateways, network):
-    """One of the two that may be drawn in the zone is down; the next words find the other one."""
+def test_a_killed_relay_loses_only_the_changes_sent_to_it(gateways, network):
+    """One of the two gateways that may be drawn in the zone is down; other changes go to the second one."""
     down = next(one.address for one in gateways if one.zone == "z1")
     network.down.add(down)
     listeners = [one for one in gateways if one.zone == "z1" and one.address != down]
@@ -209,8 +212,8 @@
     lost = 0
     for number in range(1, 41):
         network.sent.clear()
-        gateways[0].tell({"e1": (number, 0.0)}, number)
-        pass_on_all(gateways)
+        gateways[0].send_change({"e1": (number, 0.0)}, number)
+        relay_all(gateways)
         is_lost = any(receiver == down for _, receiver, _ in network.sent[:ZONES])
         lost += is_lost
         heard = heard if is_lost else number
@@ -218,30 +221,30 @@
     assert 0 < lost < 40, "both relays were drawn"
 
 
-def test_a_change_shows_that_its_gateway_lives(gateways):
-    """After a restart of all: nobody has been heard, and each side would keep a part of the limits."""
+def test_a_change_counts_its_gateway_as_connected(gateways):
+    """Right after a restart of the fleet no reports were received, and shares of the limits would be unused."""
     listener = gateways[1]
     listener.clock.advance(60_000)
     assert listener.fleet.get_share() == pytest.approx(1 / len(gateways))
     for number, gateway in enumerate(gateways):
         if gateway is not listener:
-            gateway.tell({}, number + 1)
-    pass_on_all(gateways)
+            gateway.send_change({}, number + 1)
+    relay_all(gateways)
     listener.clock.advance(200)
     assert listener.fleet.get_share() == 1.0
 
 
-def test_a_change_does_not_move_what_its_gateway_said_of_the_time(gateways):
-    """Opinions are carried on from the report that has them: else all clocks follow one another back."""
+def test_a_change_does_not_shift_the_time_estimate_of_its_gateway(gateways):
+    """An estimate is advanced from its own report; otherwise all clocks would set one another back."""
     listener = gateways[1]
     before = listener.fleet.list_opinions()["g00"]
     listener.clock.advance(1_200)
-    gateways[0].tell({}, number=1)
-    pass_on_all(gateways)
+    gateways[0].send_change({}, number=1)
+    relay_all(gateways)
     assert listener.fleet.list_opinions()["g00"] == before + 1_200
 
 
-def test_prompts_that_were_sent_are_passed_on(gateways):
+def test_sent_prompts_are_relayed(gateways):
     prompt = Prompt((PromptPart("shared", 13_000), PromptPart("own", 500)), 13_500, 50)
     sent = [("e1", list(prompt.shared_chain))]
     gateways[0].relay.take("", ChangeReport("g99", 1, 1, {}, sent, {}, {}))
@@ -250,7 +253,7 @@
     assert candidate.cached_tokens == 13_000
 
 
-def test_a_flood_is_cut_and_not_kept(gateways, network):
+def test_the_number_of_gathered_changes_is_bounded(gateways, network):
     relay = gateways[1].relay
     for number in range(MOST_GATHERED + 50):
         relay.take("10.0.0.1:g00", ChangeReport("g00", 1, number, {}, [], {}, {}))
@@ -259,8 +262,8 @@
     assert {len(message.changes) for _, _, message in network.sent} == {MOST_GATHERED}
 
 
-def test_loads_told_at_each_change_keep_a_large_fleet_from_crowding_servers():
-    """195 gateways, 40 engines, 206 model requests a second, half of them with stated parts.
+def test_relayed_changes_keep_a_large_fleet_from_crowding_servers():
+    """195 gateways, 40 engines, 206 model requests a second, half of them with stated prompt parts.
 
     A report comes every 1,940 ms; relayed changes take some 60 ms, and 96 ms pass between two.
     """
@@ -277,7 +280,7 @@
 
 @pytest.fixture
 def site(monkeypatch):
-    """Six gateways that report as a larger fleet does."""
+    """Six gateways that report like those of a larger fleet."""
     monkeypatch.setattr(neighbours, "MESH_GATEWAYS", 2)
     one = Site(gateways=GATEWAYS)
     one.wait(lambda: all(gateway.fleet.count_in_touch() == GATEWAYS for gateway in one.gateways))
@@ -285,7 +288,7 @@
     one.close()
 
 
-def test_a_send_is_known_to_all_gateways_over_their_streams(site):
+def test_a_request_in_progress_is_reported_to_all_gateways(site):
     site.add_runner("app", work_ms=1_500)
     (server,) = site.gateways[0].registry.list_all()
     call = gevent.spawn(site.ask, "/check/x")
@@ -295,7 +298,7 @@
     site.wait(lambda: all(one.loads.count_running([server.incarnation]) == 0 for one in others))
 
 
-def test_a_failure_is_known_to_all_gateways_over_their_streams(site):
+def test_a_failed_request_is_reported_to_all_gateways(site):
     runner = site.add_runner("app")
     runner.fail(fail=True)
     (server,) = site.gateways[0].registry.list_all()
