--- a/tests/test_deaf_watchers.py
+++ b/tests/test_deaf_watchers.py
@@ -1,9 +1,8 @@
-"""Watchers of a zone that lose the object service without a word, while the others are in touch with it.
+"""Watchers of a zone that are cut off from the object service without an error, while other gateways are not.
 
-The pattern: a service that is silent for some gateways swallows their watches, so that nothing fails
-before the watch's own time-out of 28 s. Other gateways of the zone rely on them meanwhile, and would
-send requests to servers that left seconds ago, use a configuration whose keys were taken away, or
-know nothing of an order.
+If the service does not answer some gateways, their watches stall, and no call fails before the watch's own
+time-out of 28 s. The other gateways of the zone rely on these watchers meanwhile. They would send requests to
+servers that left seconds ago, use a configuration whose keys have been revoked, or miss a rollout order.
 """
 
 import gevent
@@ -13,7 +12,7 @@
 
 GATEWAYS = 6
 FLAP_S = 0.15
-"""Time between two changes of another server: less than any repair could wait for a list to rest."""
+"""Time between two changes of another server: too short for a repair that waits until the list is stable."""
 
 
 @pytest.fixture
@@ -39,12 +38,12 @@
 
 
 def relies(gateway):
-    """Return whether a gateway relies on the zone's watchers for every kind of objects."""
+    """Return whether a gateway uses the zone's watchers for every kind of objects."""
     return all(watch._relies for watch in gateway.followed._watches.values())
 
 
 def change_everything(site):
-    """End the watches that gateways sent before they knew the watchers, by a change of each kind."""
+    """Change each kind, to end the watches that gateways sent before the watchers were determined."""
     site.store.put("config", "main", make_manifest(version=2))
     site.runners[0].write("ready", cold_left_ms=1)
     put_order(site, "v2")
@@ -66,7 +65,7 @@
 
 
 def silence_watchers(site):
-    """Silence the zone's watchers, and return the gateways that are in touch."""
+    """Cut the zone's watchers off from the object service, and return the other gateways."""
     watchers = find_watchers(site)
     for gateway in watchers:
         site.silence(gateway)
@@ -74,7 +73,7 @@
 
 
 def flap(runner):
-    """Change a server's entry all the time."""
+    """Change a server's entry every `FLAP_S` seconds."""
     number = 0
     while True:
         number += 1
@@ -82,15 +81,15 @@
         gevent.sleep(FLAP_S)
 
 
-def test_a_leaving_server_is_learned_while_the_watchers_are_deaf(site):
+def test_a_leaving_server_is_detected_while_the_watchers_are_stalled(site):
     in_touch = silence_watchers(site)
     site.runners[0].write("draining")
     site.wait(lambda: not any(lists(gateway, site.runners[0]) for gateway in in_touch))
 
 
-# Guards against requests to servers that left, where a zone relies on watchers that hear nothing and
-# the list never rests long enough for a comparison of whole lists.
-def test_a_leaving_server_is_learned_though_the_list_changes_all_the_time(site):
+# Guards against requests to servers that left, where a zone relies on stalled watchers and the list is
+# never stable for long enough to compare complete lists.
+def test_a_leaving_server_is_detected_though_the_list_changes_all_the_time(site):
     in_touch = silence_watchers(site)
     task = gevent.spawn(flap, site.runners[1])
     site.runners[0].write("draining")
@@ -100,13 +99,13 @@
         task.kill()
 
 
-def test_a_configuration_is_learned_while_the_watchers_are_deaf(site):
+def test_a_configuration_is_received_while_the_watchers_are_stalled(site):
     in_touch = silence_watchers(site)
     site.store.put("config", "main", make_manifest(version=3))
     site.wait(lambda: all(gateway.tables.current.revision == 3 for gateway in in_touch))
 
 
-def test_an_order_is_learned_while_the_watchers_are_deaf(site):
+def test_a_rollout_order_is_received_while_the_watchers_are_stalled(site):
     in_touch = silence_watchers(site)
     put_order(site, "v3")
     site.wait(lambda: all(knows_order(gateway, "v3") for gateway in in_touch))
