--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,7 +1,8 @@
-"""What is told of servers that fail: soon known to all, not by one gateway's word alone.
+"""Failure rates of servers, from results that gateways report to one another.
 
-The pattern: a large fleet, in which each gateway sends a server a request every half minute, and two
-of three servers fail half of their requests while they call themselves healthy.
+Guards against two faults in a large fleet, where each gateway sends a server a request every half minute, and
+two of three servers fail half of their requests while they report themselves healthy: every gateway running
+into these servers on its own, and one gateway's reports alone taking the work away from a server.
 """
 
 import random
@@ -23,7 +24,7 @@
     return ManualClock(now_ms=1_000_000)
 
 
-def test_several_gateways_together_weigh_like_an_own_failure(clock):
+def test_failures_reported_by_several_gateways_weigh_like_an_own_failure(clock):
     own, told = ServerFailures(clock), ServerFailures(clock)
     own.note_own("e1", failed=True)
     for number in range(5):
@@ -31,7 +32,7 @@
     assert told.get_rate("e1") >= own.get_rate("e1")
 
 
-def test_one_gateway_alone_does_not_empty_a_server(clock):
+def test_failures_reported_by_one_gateway_have_limited_weight(clock):
     failures = ServerFailures(clock)
     for _ in range(100):
         failures.take_told("g1", {"e1": (0, 50)})
@@ -41,7 +42,7 @@
     assert failures.get_rate("e1") < 0.4
 
 
-def test_successes_of_others_bring_a_server_back(clock):
+def test_reported_successes_lower_the_failure_rate(clock):
     failures = ServerFailures(clock)
     for number in range(6):
         failures.take_told(f"g{number}", {"e1": (0, 1)})
@@ -51,7 +52,7 @@
     assert failures.get_rate("e1") < before / 2
 
 
-def test_each_result_is_told_once(clock):
+def test_each_result_is_reported_once(clock):
     failures = ServerFailures(clock)
     failures.note_own("e1", failed=True)
     failures.note_own("e1", failed=False)
@@ -60,7 +61,7 @@
     assert failures.pop_untold() == {}
 
 
-def test_a_server_that_is_gone_is_forgotten(clock):
+def test_the_rates_of_a_removed_server_are_discarded(clock):
     failures = ServerFailures(clock)
     failures.note_own("e1", failed=True)
     failures.take_told("g1", {"e1": (0, MOST_TOLD_FAILURES)})
@@ -70,7 +71,7 @@
 
 
 class GreyFleet:
-    """Gateways that send calls to servers of which some fail half of them."""
+    """Gateways that send calls to servers, some of which fail half of the calls."""
 
     def __init__(self, seed, *, tells, gateways=100, servers=30, grey=20):
         self.rng = random.Random(seed)
@@ -104,7 +105,7 @@
         return failed
 
 
-def test_a_fleet_that_tells_meets_grey_servers_less_often():
+def test_reported_failures_halve_the_calls_to_failing_servers():
     told = sum(GreyFleet(seed, tells=True).count_failed(600) for seed in (1, 2, 3))
     alone = sum(GreyFleet(seed, tells=False).count_failed(600) for seed in (1, 2, 3))
     assert told <= 0.5 * alone
