--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,7 @@
-"""When a gateway asks the object service for what it may not know, and what it makes of the answer."""
+"""Queries of the object service for missing changes: when a gateway sends them, and how it uses the answers.
+
+Guards against a stale view: a watch that no longer answers looks like one that waits for a change.
+"""
 
 import random
 from types import SimpleNamespace
@@ -26,7 +29,7 @@
 
 
 class Store:
-    """Answers a list with one server at version 5, and every watch as it is told."""
+    """Answers a list with one server at version 5, and every watch with the next of `answers`."""
 
     def __init__(self):
         self.answers = []
@@ -89,7 +92,7 @@
 
 
 @pytest.mark.parametrize("turn", AskTurn)
-def test_what_is_known_is_asked_for_before_it_is_too_old(turn):
+def test_the_service_is_queried_before_the_view_is_too_old(turn):
     fixture = Fixture(turn)
     fixture.keeper.take_step()
     passed_ms = fixture.clock.now_ms() - 100_000 - START_MS
@@ -99,7 +102,7 @@
     assert fixture.told == [(5, 5)]
 
 
-def test_a_change_that_no_watch_brought_is_learned_by_asking():
+def test_a_change_that_no_watch_returned_is_found_by_a_query():
     fixture = Fixture()
     fixture.store.answers = [ObjectPage((StoredObject("servers", "a", 8, "leaving"),), 9)]
     fixture.keeper.take_step()
@@ -107,12 +110,12 @@
     assert fixture.told == [(8, 9)]
 
 
-def test_a_confirmation_of_what_is_known_spares_the_question():
+def test_a_confirmation_of_the_recorded_version_replaces_a_query():
     fixture = Fixture()
     fixture.clock.advance(600)
     fixture.follower.take_confirmation(5, 12, fixture.clock.now_ms() - 20)
     assert fixture.age() == 20
-    assert fixture.follower.version == 12, "the next watch need not go back"
+    assert fixture.follower.version == 12, "the next watch starts at the confirmed version"
     fixture.clock.advance(300)
     assert fixture.store.asked == []
 
@@ -142,8 +145,8 @@
         self.sent += [(address, message) for address in addresses]
 
 
-# Guards against old knowledge that looks new, when a partition has held a confirmation up.
-def test_a_confirmation_that_was_held_up_is_as_old_as_it_is():
+# Guards against an old view that looks new after a partition has delayed a confirmation.
+def test_the_age_of_a_delayed_confirmation_includes_the_delay():
     fixture, port = Fixture(), Port()
     fleet = SimpleNamespace(reports_by_zone=True, list_near=lambda: [SimpleNamespace(address="n")])
     followers = {"servers": fixture.follower}
@@ -159,21 +162,21 @@
     take("g1", VersionConfirmation("servers", 5, 20, age_ms=4.0, sent_ms=sent_ms + 200.0))
     assert fixture.age() == 4_804
     ages = [message.age_ms for _, message in port.sent]
-    assert ages == [4.0, 4_804.0], "what is passed on is as old"
+    assert ages == [4.0, 4_804.0], "the relayed confirmation has the same age"
 
 
-def test_a_service_that_does_not_answer_makes_what_is_known_old():
+def test_the_view_ages_while_the_service_does_not_answer():
     fixture = Fixture()
     fixture.store.answers = [AWAY] * 20
     for _ in range(10):
         fixture.keeper.take_step()
     assert fixture.age() >= STALE_MS
     assert fixture.told == []
-    assert fixture.consumer.known == {"a": "live"}, "it serves by what it knows"
-    assert fixture.follower.live_version == 0, "nobody is to rely on it"
+    assert fixture.consumer.known == {"a": "live"}, "the last state stays in use"
+    assert fixture.follower.live_version == 0, "other gateways must not rely on this watch"
 
 
-def test_a_question_beyond_the_history_leads_to_a_list():
+def test_a_query_beyond_the_history_leads_to_a_list():
     fixture = Fixture()
     fixture.store.answers = [HistoryGoneError(5)]
     fixture.keeper.take_step()
@@ -182,7 +185,7 @@
     assert fixture.follower.is_synced
 
 
-def test_a_call_that_fails_late_is_no_outage_in_which_entries_lapsed():
+def test_a_call_that_fails_after_a_confirmation_is_not_an_outage():
     fixture = Fixture()
     fixture.store.answers = [AWAY]
     fixture.keeper.take_step()
