--- a/tests/test_freshness_replay.py
+++ b/tests/test_freshness_replay.py
@@ -1,9 +1,9 @@
-"""How soon a whole fleet knows that a server leaves, in simulated time, with faults on every way.
+"""The time until all gateways of a fleet detect a leaving server, in simulated time and with faults.
 
-The pattern: servers leave while watchers of zones hear nothing, gateways end, messages between them are lost,
-and the list of servers changes all the time. Every gateway in touch with the object service must send
-nothing new to such a server two seconds after the service's word, and making a connection takes up to half
-a second of that.
+Guards against requests to servers that have left. Servers leave while watchers of zones are cut off from the
+object service, gateways stop, messages between them are lost, and the list of servers changes all the time.
+Two seconds after the service has the change, no gateway connected to it may send new requests to such a
+server, and opening a connection takes up to half a second of that time.
 """
 
 import pytest
@@ -24,7 +24,7 @@
     fleet.run(10_000)
     for _ in range(
         2
-    ):  # The watches that gateways sent before they knew the watchers end with a change.
+    ):  # A change ends the watches that gateways sent before the watchers were determined.
         fleet.store.put(SERVERS, "new", "ready")
         fleet.store.put(CONFIG, "main", None)
         fleet.run(2_000)
@@ -32,13 +32,13 @@
 
 
 def assert_learned(fleet, name):
-    """Check that every gateway in touch knows in time that a server leaves."""
+    """Check that every connected gateway detects in time that a server leaves."""
     fleet.run(LEARNED_MS)
     assert fleet.find_unaware(name) == []
 
 
 def leave(fleet, number):
-    """Let a server leave, with or without a word before its entry goes, and return its name."""
+    """Let a server leave, with a changed or a removed entry, and return its name."""
     name = STABLE[number]
     if number % 2:
         fleet.store.remove(SERVERS, name)
@@ -52,20 +52,20 @@
 
 
 @pytest.mark.parametrize(("zones", "in_zone"), SIZES)
-def test_a_calm_fleet_asks_little_whatever_its_size(zones, in_zone):
+def test_the_calls_of_a_fleet_without_faults_do_not_grow_with_its_size(zones, in_zone):
     fleet = make_fleet(zones, in_zone)
     before = fleet.store.calls
     fleet.run(10_000)
     calls = fleet.store.calls - before
     fleet.close()
     followed_kinds = 2
-    watches = 2 * zones * followed_kinds  # that end, as they wait for 25 s
+    watches = 2 * zones * followed_kinds  # ended watches, which wait for 25 s
     assert calls <= 10 * 2 * followed_kinds + watches, f"{calls} calls in ten seconds"
 
 
-# Guards against requests to servers that left, where a zone relies on watchers that hear nothing.
+# Guards against requests to servers that left, where a zone relies on watchers that are cut off.
 @pytest.mark.parametrize(("zones", "in_zone"), [(1, 6), (5, 12)])
-def test_a_zone_whose_watchers_are_deaf_learns_in_time(zones, in_zone):
+def test_a_zone_with_stalled_watchers_detects_a_leaving_server_in_time(zones, in_zone):
     fleet = make_fleet(zones, in_zone)
     fleet.silence(list_zone(fleet, "z0")[:2])
     fleet.run(2_000)
@@ -75,14 +75,14 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 @pytest.mark.parametrize(("zones", "in_zone"), SIZES)
-def test_every_gateway_in_touch_learns_in_time_whatever_happens(zones, in_zone, seed):
+def test_every_connected_gateway_detects_a_leaving_server_in_time(zones, in_zone, seed):
     fleet = make_fleet(zones, in_zone, seed, lost=0.03)
     play_faults(fleet)
     fleet.close()
 
 
 def play_faults(fleet):
-    """Let servers leave in series while things go wrong."""
+    """Let servers leave one after another, with a random fault before each."""
     chance = fleet.chance
     task = fleet.keep_changing(CHANGING, chance.choice([150.0, 400.0, 1_500.0]))
     for number in range(len(STABLE)):
@@ -93,7 +93,7 @@
 
 
 def draw_fault(fleet):
-    """Silence the service for some, let it be back, or end a gateway."""
+    """Cut gateways off from the service, connect them again, or kill a gateway."""
     chance = fleet.chance
     living = [one for one in fleet.gateways.values() if one.lives]
     fault = chance.choice(["silence", "watchers", "heal", "kill"])
