--- a/tests/freshness_fleet.py
+++ b/tests/freshness_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet that follows the registry of backend servers, replayed in simulated time without a network.
+"""A fleet that follows the registry of backend servers, simulated without a network.
 
-Every gateway has the parts that follow the object service, as the daemon has them: followers, relayed
-watches, guard, and the words that bound the age of what is known. The object service, the messages and the
-faults are the replay's.
+Every gateway has the components of the daemon that follow the object service: followers, relayed watches,
+watch guard, and the confirmations that bound the age of the view. The object service, the messages and the
+faults are simulated.
 """
 
 import heapq
@@ -31,12 +31,12 @@
 ANSWER_MS = 4.0
 MESSAGE_MS = 2.0
 IN_TOUCH_MS = 4_000.0
-"""A gateway is in touch when nothing was wrong with it for this long."""
+"""A gateway counts as connected if it has not been disturbed for this long."""
 LOOK_MS = 25.0
 
 
 class SimulatedClock:
-    """Time that goes on to the next wake-up when nothing is left to be done at this moment."""
+    """Simulated time that advances to the next wake-up when no task can run."""
 
     def __init__(self):
         self._now_ms = 1_000.0
@@ -50,13 +50,13 @@
         self.wait(Signal(), duration_ms)
 
     def wait(self, signal, most_ms):
-        """Wait until a signal is set, or for so long."""
+        """Wait until a signal is set, or for at most `most_ms`."""
         self._last += 1
         heapq.heappush(self._wakes, (self._now_ms + max(most_ms, 0.0), self._last, signal))
         signal.wait()
 
     def run_until(self, end_ms):
-        """Let everything happen up to a moment."""
+        """Run all tasks until `end_ms`."""
         gevent.idle()
         while self._wakes and self._wakes[0][0] <= end_ms:
             self._now_ms, _, signal = heapq.heappop(self._wakes)
@@ -66,7 +66,7 @@
 
 
 class SimulatedStore:
-    """The object service: kinds of objects, their changes, and calls that it does not answer."""
+    """The object service: objects by kind, their changes, and callers that it does not answer."""
 
     def __init__(self, clock):
         self.version = 1
@@ -153,7 +153,7 @@
 
 @dataclass
 class SimulatedGateway:
-    """One gateway: its parts, and what is wrong with it."""
+    """One gateway: its components, and when it was last disturbed."""
 
     name: str
     zone: str
@@ -172,14 +172,14 @@
 
 
 class FreshnessFleet:
-    """Gateways in zones, the object service, and what each gateway knows at each moment.
+    """Gateways in zones, which follow one object service.
 
     Parameters
     ==========
 
-    zones, in_zone : how many there are.
-    seed : of all that is drawn.
-    lost : part of the messages between gateways that do not arrive.
+    zones, in_zone : the number of zones, and of gateways in each.
+    seed : the seed of all random choices.
+    lost : the fraction of the messages between gateways that are lost.
     """
 
     def __init__(self, zones, in_zone, seed=1, lost=0.0):
@@ -217,7 +217,7 @@
         self.gateways[name] = SimulatedGateway(name, zone, port, fleet, registry, followed)
 
     def start(self):
-        """Start all, in any order within 0.3 s."""
+        """Start all gateways in random order within 0.3 s."""
         for gateway in self.gateways.values():
             for other in self.gateways.values():
                 if other is not gateway:
@@ -239,7 +239,7 @@
             gevent.killall(gateway.tasks)
 
     def deliver(self, sender, target, message):
-        """Hand a message over after the way there, unless it is lost."""
+        """Deliver a message after the time in transit, unless it is lost."""
         if self.chance.random() >= self._lost:
             gevent.spawn(self._hand_over, sender, target, message)
 
@@ -249,7 +249,7 @@
             target.port.handlers[type(message)](sender, message)
 
     def _send_reports(self, gateway):
-        """Report to the gateways near this one, and now and then to the others."""
+        """Report to the near gateways at the near period, and to all at the far period."""
         told_far_ms = self.clock.now_ms()
         while True:
             self.clock.sleep_ms(gateway.fleet.get_near_period().ms)
@@ -270,33 +270,33 @@
         receiver.fleet.note_report(sender.name, report, view or sender.followed.view())
 
     def kill(self, gateway):
-        """End a gateway."""
+        """Kill a gateway."""
         gateway.lives = False
         gevent.killall(gateway.tasks)
 
     def silence(self, gateways):
-        """Let the object service answer these no more."""
+        """Cut gateways off: the object service does not answer them any more."""
         for gateway in gateways:
             self.store.silent_to.add(gateway.name)
             gateway.disturbed_ms = float("inf")
 
     def heal(self):
-        """Let it answer everybody again."""
+        """Let the object service answer all gateways again."""
         for name in self.store.silent_to:
             self.gateways[name].disturbed_ms = self.clock.now_ms()
         self.store.silent_to.clear()
 
     def list_in_touch(self):
-        """Return the gateways with which nothing was wrong for a while."""
+        """Return the gateways that have not been disturbed for `IN_TOUCH_MS`."""
         oldest_ms = self.clock.now_ms() - IN_TOUCH_MS
         return [one for one in self.gateways.values() if one.lives and one.disturbed_ms < oldest_ms]
 
     def run(self, duration_ms):
-        """Let so much time pass."""
+        """Advance the simulated time."""
         self.clock.run_until(self.clock.now_ms() + duration_ms)
 
     def keep_changing(self, names, pause_ms):
-        """Change some servers all the time, in a task that is returned."""
+        """Start a task that changes servers all the time, and return it."""
         return gevent.spawn(self._keep_changing, names, pause_ms)
 
     def _keep_changing(self, names, pause_ms):
@@ -312,7 +312,7 @@
             self.clock.sleep_ms(self.chance.uniform(0.5, 1.5) * pause_ms)
 
     def find_unaware(self, name):
-        """Return the gateways in touch that would send to a server."""
+        """Return the connected gateways that would send requests to a server."""
         return [
             one.name
             for one in self.list_in_touch()
