--- a/tests/test_gateway_fleet.py
+++ b/tests/test_gateway_fleet.py
@@ -1,4 +1,4 @@
-"""The gateways that a gateway knows: replaced VMs, and the part of the limits that they had."""
+"""The registered gateways: registrations of replaced VMs, and their shares of the limits."""
 
 from dataclasses import replace
 
@@ -66,21 +66,21 @@
             fleet.note_report(f"10.0.0.1:{name}", make_report(name), StoreView())
 
 
-def test_a_replaced_vm_gives_its_part_of_the_limits_back(fleet, clock):
+def test_the_share_of_a_replaced_vm_returns_to_the_fleet(fleet, clock):
     store = Store("g1", "g2", "g3")
     fleet.refresh(store)
     live(fleet, clock, "g2", "g3", for_ms=3_000)
     assert fleet.get_share() == 1
     live(fleet, clock, "g2", for_ms=5_000)
     fleet.remove_gone(store)
-    assert fleet.get_share() == pytest.approx(2 / 3), "in a partition it keeps its part"
+    assert fleet.get_share() == pytest.approx(2 / 3), "in a partition it keeps its share"
     live(fleet, clock, "g2", for_ms=int(GONE_MS))
     fleet.remove_gone(store)
     assert sorted(store.versions) == ["g1", "g2"]
     assert fleet.get_share() == 1
 
 
-def test_a_vm_that_was_never_heard_is_removed_as_well(fleet, clock):
+def test_a_vm_that_never_reported_is_removed_as_well(fleet, clock):
     store = Store("g1", "old")
     fleet.refresh(store)
     live(fleet, clock, for_ms=int(GONE_MS) + 1_000)
@@ -88,7 +88,7 @@
     assert sorted(store.versions) == ["g1"]
 
 
-def test_a_registration_that_was_written_anew_stays(fleet, clock):
+def test_a_registration_that_was_written_again_stays(fleet, clock):
     store = Store("g1", "g2")
     fleet.refresh(store)
     live(fleet, clock, for_ms=int(GONE_MS) + 1_000)
@@ -121,7 +121,7 @@
     assert fleet.count_daemons() == 2
 
 
-def test_the_kind_of_registrations_is_the_projects_own():
+def test_the_kind_of_registrations_is_unchanged():
     assert GATEWAY_KIND == "gateways"
 
 
@@ -129,8 +129,8 @@
     return GatewayReport(name, 1, 0.0, {}, {}, {}, zone=zone)
 
 
-def test_a_holder_that_died_is_missed_first_by_its_zone(clock):
-    """A lease lapses after four seconds; with 195 gateways far ones hear each other as seldom."""
+def test_the_loss_of_the_duty_holder_is_detected_first_in_its_zone(clock):
+    """A lease lapses after four seconds; with 195 gateways far ones get reports as rarely as that."""
     fleet = Fleet("g3", lambda: "10.0.0.1:0", clock, "z1")
     near = replace(make_zoned_report("g1", "z1"), leads=True, period_ms=1_000.0)
     fleet.note_report("10.0.0.1:g1", near, StoreView())
@@ -140,7 +140,7 @@
     assert not fleet.has_other_leader()
 
 
-def test_the_gateways_with_the_fastest_links_pass_changes_on(clock):
+def test_the_gateways_with_the_fastest_links_relay_changes(clock):
     fleet = Fleet("g3", lambda: "10.0.0.1:0", clock, "z1", link_mbps=10.0)
     for name, link_mbps in (("g1", 10.0), ("g7", 200.0), ("g8", 200.0)):
         report = replace(make_zoned_report(name, "z1"), link_mbps=link_mbps)
