--- a/tests/test_gateway_registry.py
+++ b/tests/test_gateway_registry.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of backend servers and of the configuration, over outages."""
+"""The recorded backend servers and configuration of a gateway, during and after outages."""
 
 import gevent
 
@@ -49,7 +49,7 @@
         return sorted(server.name for server in self.registry.list_ready("s"))
 
 
-def test_a_leaving_or_removed_server_gets_nothing_new():
+def test_a_leaving_or_removed_server_gets_no_new_requests():
     fixture = Fixture()
     fixture.registry.replace_all(page(entry("a"), entry("b"), entry("c")))
     fixture.registry.apply_changes(page(entry("a", "leaving"), entry("b", deleted=True)))
@@ -57,14 +57,14 @@
     assert fixture.gone == ["a", "b"]
 
 
-def test_a_new_list_removes_what_it_does_not_have():
+def test_a_new_list_removes_servers_that_it_does_not_contain():
     fixture = Fixture()
     fixture.registry.replace_all(page(entry("a"), entry("b")))
     fixture.registry.replace_all(page(entry("b")))
     assert fixture.names() == ["b"]
 
 
-def test_an_entry_that_lapsed_in_an_outage_is_kept_for_a_moment():
+def test_an_entry_that_lapsed_in_an_outage_is_retained_for_a_limited_time():
     fixture = Fixture()
     fixture.registry.replace_all(page(entry("a"), entry("b")))
     recovered_ms = fixture.clock.now_ms()
@@ -73,15 +73,15 @@
     assert fixture.names() == ["a", "b"]
     fixture.registry.apply_changes(page(entry("a")))
     fixture.clock.advance(HOLD_MS + 1)
-    assert fixture.names() == ["a"], "b did not come back"
+    assert fixture.names() == ["a"], "b did not register again"
 
 
 NEW_SERVERS = {600: 1, 1_200: 6, 1_800: 4, 2_400: 3, 3_000: 11, 3_600: 3, 4_100: 1, 4_500: 1}
-"""New servers by the ms since the first list: thirty that started together."""
+"""Number of new servers by ms since the first list, of thirty servers that started together."""
 
 
 def test_a_registry_that_still_fills_is_not_complete():
-    """Orders 3 s after the first list knew 9 of 30 copies, and 13 of the others were taken away."""
+    """Scaling orders 3 s after the first list counted 9 of 30 copies, and 13 of the others were removed."""
     fixture = Fixture()
     synced_ms = fixture.clock.now_ms()
     fixture.registry.replace_all(page())
@@ -96,7 +96,7 @@
     assert 4_500 < complete_after_ms <= 6_000
 
 
-def test_a_registry_is_complete_soon_when_nothing_new_comes():
+def test_a_registry_without_new_servers_is_complete_after_the_fill_time():
     fixture = Fixture()
     assert not fixture.registry.is_complete(None)
     synced_ms = fixture.clock.now_ms()
@@ -104,10 +104,10 @@
     fixture.clock.advance(FILLS_MS)
     assert fixture.registry.is_complete(synced_ms)
     fixture.registry.apply_changes(page(entry("c")))
-    assert fixture.registry.is_complete(synced_ms), "it stays so"
+    assert fixture.registry.is_complete(synced_ms), "it stays complete"
 
 
-def test_servers_that_come_all_the_time_do_not_hold_orders_up():
+def test_servers_that_register_all_the_time_do_not_delay_orders():
     fixture = Fixture()
     synced_ms = fixture.clock.now_ms()
     for number in range(int(LONGEST_FILL_MS / 500)):
@@ -129,9 +129,11 @@
     assert registry.hash_servers() == one
 
 
-def test_most_entries_that_go_at_once_are_kept_for_a_moment():
-    """The store came back after 5.4 s with every entry lapsed, and
-    gateways whose watch had outlived the outage refused 133 requests in the next two seconds."""
+def test_most_entries_removed_at_once_are_retained_for_a_limited_time():
+    """After an outage of 5.4 s every entry had lapsed.
+
+    Gateways whose watch had outlived the outage refused 133 requests in the next two seconds.
+    """
     fixture = Fixture()
     names = [f"s{number}" for number in range(8)]
     fixture.registry.replace_all(page(*map(entry, names)))
@@ -139,12 +141,12 @@
     assert fixture.names() == names
     fixture.registry.apply_changes(page(*map(entry, names[:5])))
     fixture.clock.advance(HOLD_MS + 1)
-    assert fixture.names() == names[:5], "who is still missing is gone"
+    assert fixture.names() == names[:5], "servers that are still missing are removed"
 
 
-# Guards against requests to servers that are gone, when the time until a removal is known and the time for
-# which entries are kept add up.
-def test_entries_whose_removal_is_learned_late_are_kept_for_less():
+# Guards against requests to stopped servers, when the delay until a removal is received and the time for which
+# entries are retained add up.
+def test_entries_whose_removal_is_received_late_are_retained_for_less():
     fixture = Fixture()
     names = [f"s{number}" for number in range(8)]
     fixture.registry.replace_all(page(*map(entry, names)))
@@ -155,7 +157,7 @@
     assert fixture.names() == []
 
 
-def test_a_zone_that_goes_is_gone_at_once():
+def test_the_servers_of_a_removed_zone_are_dropped_at_once():
     fixture = Fixture()
     names = [f"s{number}" for number in range(8)]
     fixture.registry.replace_all(page(*map(entry, names)))
@@ -163,7 +165,7 @@
     assert fixture.names() == names[3:]
 
 
-def test_a_leaving_server_is_not_kept_after_an_outage():
+def test_a_leaving_server_is_not_retained_after_an_outage():
     fixture = Fixture()
     fixture.registry.replace_all(page(entry("a", "leaving")))
     fixture.registry.get_recovered_ms = fixture.clock.now_ms
@@ -171,7 +173,7 @@
     assert fixture.registry.list_all() == []
 
 
-def test_a_removal_long_after_an_outage_counts_at_once():
+def test_a_removal_long_after_an_outage_is_applied_at_once():
     fixture = Fixture()
     fixture.registry.replace_all(page(entry("a")))
     recovered_ms = fixture.clock.now_ms()
@@ -181,7 +183,7 @@
     assert fixture.names() == []
 
 
-def test_a_misdirected_server_is_left_out_for_a_while():
+def test_a_misdirected_server_is_excluded_for_a_limited_time():
     fixture = Fixture()
     fixture.registry.replace_all(page(entry("a"), entry("b")))
     fixture.registry.note_misdirected("a")
@@ -190,7 +192,7 @@
     assert fixture.names() == ["a", "b"]
 
 
-def test_a_broken_entry_is_passed_over():
+def test_an_invalid_entry_is_ignored():
     fixture = Fixture()
     fixture.registry.replace_all(page(entry("a", "broken"), entry("b")))
     assert fixture.names() == ["b"]
@@ -216,7 +218,7 @@
     assert holder.current.revision == 7
 
 
-def test_a_revision_that_cannot_be_read_leaves_the_one_in_force():
+def test_an_invalid_revision_does_not_replace_the_one_in_force():
     holder = TableHolder("main", decode_table)
     holder.apply_changes(page(config(3), config(-1), config(9, "other")))
     assert holder.current.revision == 3
@@ -274,7 +276,7 @@
     assert consumer.heard == [("all", 1), ("changes", 1)]
 
 
-def test_an_outage_is_followed_by_a_watch_from_where_it_was():
+def test_a_watch_after_an_outage_starts_at_the_last_version():
     store, _, follower = follow(page(version=5), AWAY, AWAY, page(entry("b"), version=9))
     assert store.calls[-1] == ("watch", 5)
     assert follower.recovered_ms > 50_000
@@ -290,7 +292,7 @@
 
 
 class SlowStore:
-    """Lists at once; a watch never gets through, as on a narrow link with much history to send."""
+    """Lists at once; a watch never completes, as on a slow link with much history to transfer."""
 
     def __init__(self):
         self.version = 5
@@ -302,9 +304,11 @@
         gevent.sleep(60)
 
 
-def test_a_watch_that_is_given_up_again_and_again_does_not_keep_the_newest_away():
-    """After an outage three changes of 300 KB took over two
-    seconds on a link of 5 Mbit/s, and the watch was renewed each 1.1 s."""
+def test_the_newest_state_is_received_though_each_watch_is_cancelled():
+    """After an outage three changes of 300 KB took more than two seconds on a link of 5 Mbit/s.
+
+    The watch was renewed every 1.1 s, so it never completed.
+    """
     store, consumer = SlowStore(), Consumer()
     follower = ObjectFollower(store, "config", consumer, SystemClock())
     task = gevent.spawn(follower.run)
@@ -317,7 +321,7 @@
     task.kill()
 
 
-def test_a_forgotten_history_is_followed_by_a_new_list():
+def test_a_lost_history_is_followed_by_a_new_list():
     store, consumer, _ = follow(page(version=5), HistoryGoneError(5), page(entry("a"), version=9))
     assert store.calls == ["list", ("watch", 5), "list"]
     assert consumer.heard[-1] == ("all", 1)
@@ -328,7 +332,7 @@
     assert store.calls[-1] == ("watch", 9)
 
 
-def test_a_page_with_many_changes_is_one_line_with_all_names(monkeypatch):
+def test_a_page_with_many_changes_is_logged_as_one_line(monkeypatch):
     lines = []
     monkeypatch.setattr(
         registry_module, "log_event", lambda event, **fields: lines.append((event, fields))
