--- a/tests/test_object_versions.py
+++ b/tests/test_object_versions.py
@@ -1,4 +1,4 @@
-"""Pages that come by several ways and overtake one another."""
+"""Recorded object versions, for pages that arrive by several paths and overtake one another."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -24,7 +24,7 @@
     return [item.name for item in news.items]
 
 
-# Guards against a leaving server that becomes live again by a page that is older than what is known.
+# Guards against a leaving server that becomes live again by a page older than the recorded state.
 def test_an_older_entry_does_not_replace_a_newer_one():
     versions = ObjectVersions()
     assert names(versions.take(page(put("a", 9, "leaving")))) == ["a"]
@@ -32,7 +32,7 @@
     assert versions.known == 9
 
 
-def test_an_entry_that_was_removed_does_not_come_back_by_an_older_page():
+def test_an_older_page_does_not_restore_a_removed_entry():
     versions = ObjectVersions()
     versions.take(page(put("a", 5)))
     assert names(versions.take(page(remove("a", 8)))) == ["a"]
@@ -40,23 +40,23 @@
     assert names(versions.take(page(put("a", 9)))) == ["a"]
 
 
-def test_a_removal_may_bear_the_version_of_the_last_change():
+def test_a_removal_may_have_the_version_of_the_last_change():
     versions = ObjectVersions()
     versions.take(page(put("a", 5)))
     assert names(versions.take(page(remove("a", 5), version=8))) == ["a"]
     assert versions.changed == 8, "the removal was at 8 or before"
 
 
-def test_a_list_removes_what_it_does_not_have_and_an_older_list_nothing():
+def test_a_list_removes_missing_objects_and_an_older_list_none():
     versions = ObjectVersions()
     versions.take(page(put("a", 5), put("b", 6)))
     assert versions.take(page(put("b", 6), version=9, is_whole=True)).is_whole
     older = versions.take(page(put("a", 5), put("b", 6), version=7, is_whole=True))
     assert not older.is_whole and not older.items
-    assert names(versions.take(page(put("a", 8)))) == [], "the list showed that it is gone"
+    assert names(versions.take(page(put("a", 8)))) == [], "the list showed its removal"
 
 
-def test_a_confirmation_counts_once_the_last_change_is_known():
+def test_a_confirmation_applies_once_the_last_change_is_recorded():
     versions = ObjectVersions()
     versions.take(page(put("a", 5)))
     assert not versions.note_unchanged(changed=6, until=20)
@@ -66,7 +66,7 @@
     assert versions.known == 20
 
 
-def test_what_is_remembered_of_removed_objects_is_bounded():
+def test_the_number_of_recorded_removals_is_bounded():
     versions = ObjectVersions()
     for number in range(MOST_REMOVED + 10):
         versions.take(page(put(f"s{number}", 2 * number + 1)))
@@ -78,8 +78,8 @@
 
 
 @given(changes=CHANGES, order=st.randoms(use_true_random=False))
-def test_whatever_the_order_of_pages_the_newest_entries_stand(changes, order):
-    """Every page has all changes since the beginning up to its version, as after lost ones."""
+def test_the_newest_entries_result_from_any_order_of_pages(changes, order):
+    """Every page contains all changes from the start up to its version, as after lost pages."""
     items = [
         put(name, version) if is_put else remove(name, version)
         for version, (name, is_put) in enumerate(changes, start=1)
