--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -1,9 +1,9 @@
-"""Who can be reached while a zone is cut off, and after it.
+"""Detection of unreachable servers and zones during a partition, and after it.
 
-The pattern: an availability zone is partitioned from the others for five seconds, silently; callers
-still reach its gateways. Requests that are sent across the cut wait for their whole time, and those
-that may run only once are lost. Figures: reports come every 200 ms, a connection usually takes 3 to
-6 ms; with a fixed time of 500 ms for a connection 125 sends ended without one in such a cut.
+Guards against requests sent into a partition, which wait until their deadline, and are lost if they may run
+only once. An availability zone is cut off from the others for five seconds, packets are dropped without an
+error, and callers still reach its gateways. Reports come every 200 ms, and a connection usually takes 3 to
+6 ms; with a fixed connection time-out of 500 ms, 125 send attempts failed to connect in such a partition.
 """
 
 import pytest
@@ -34,7 +34,7 @@
 
 
 class Site:
-    """A gateway of z1 that hears of the other zones as long as `heard` names them."""
+    """A gateway of z1 that gets reports from the zones in `heard`."""
 
     def __init__(self):
         self.clock = ManualClock(now_ms=1_000_000)
@@ -60,7 +60,7 @@
     return Site()
 
 
-def test_a_zone_that_falls_silent_gets_nothing_and_is_back_with_its_first_word(site):
+def test_an_unresponsive_zone_is_suspected_until_a_connection_opens(site):
     site.run(3_000)
     assert site.lost == []
     site.run(SILENT_MS + 2 * LOOK_MS, heard=("z1", "z3"))
@@ -70,25 +70,25 @@
     assert site.names() == [server.name for server in SERVERS]
 
 
-def test_in_the_zone_that_is_cut_off_only_its_own_servers_are_left(site):
+def test_a_gateway_that_is_cut_off_uses_the_servers_of_its_own_zone(site):
     site.run(SILENT_MS + 2 * LOOK_MS, heard=("z1",))
     assert sorted(site.lost) == ["z2", "z3"]
     assert site.names() == ["z1-1", "z1-2"]
 
 
-def test_the_own_zone_is_no_suspect_though_its_other_gateways_are_gone(site):
+def test_the_own_zone_is_not_suspected_without_reports_of_its_gateways(site):
     site.run(5_000, heard=("z2", "z3"))
     assert site.lost == []
 
 
-def test_a_zone_whose_gateways_were_killed_is_well_while_its_servers_answer(site):
+def test_a_zone_with_killed_gateways_is_not_suspected_while_its_servers_answer(site):
     for _ in range(20):
         site.run(REPORT_MS, heard=("z1", "z3"))
         site.reach.note_answer(SERVERS[2])
     assert site.lost == []
 
 
-def test_two_silent_servers_of_a_zone_are_enough(site):
+def test_two_servers_that_time_out_make_their_zone_suspected(site):
     site.reach.note_unreachable(SERVERS[2], is_silent=True)
     assert site.lost == []
     assert "z2-1" not in site.names() and "z2-2" in site.names()
@@ -96,7 +96,7 @@
     assert site.lost == ["z2"]
 
 
-def test_two_lost_servers_of_a_zone_that_answers_are_two_lost_servers(site):
+def test_two_servers_that_time_out_with_an_answer_between_do_not_concern_the_zone(site):
     site.reach.note_unreachable(SERVERS[2], is_silent=True)
     site.reach.note_answer(make_server("z2-3", "z2"))
     site.reach.note_unreachable(SERVERS[3], is_silent=True)
@@ -110,7 +110,7 @@
     assert site.names() == ["z1-1", "z1-2", "z3-1", "z3-2"]
 
 
-def test_a_server_that_starts_again_is_no_suspect(site):
+def test_a_restarted_server_is_not_suspected(site):
     before = BackendServer("r", "z2", "10.0.0.1:80", "llm", started_unix_ms=1)
     after = BackendServer("r", "z2", "10.0.0.1:80", "llm", started_unix_ms=2)
     site.reach.note_unreachable(before, is_silent=True)
@@ -118,13 +118,13 @@
     assert not site.reach.is_suspect(after)
 
 
-def test_where_all_are_suspects_all_are_left(site):
+def test_all_servers_are_used_if_all_are_suspected(site):
     for server in SERVERS:
         site.reach.note_unreachable(server, is_silent=False)
     assert site.names() == [server.name for server in SERVERS]
 
 
-def test_a_process_that_stood_still_suspects_nobody(site):
+def test_a_stalled_process_suspects_no_zone(site):
     site.run(1_000)
     site.clock.advance(5_000)
     site.reach.look()
@@ -133,7 +133,7 @@
     assert site.lost == []
 
 
-def test_the_silence_right_after_a_return_counts_for_nothing(site):
+def test_missing_reports_right_after_a_return_are_ignored(site):
     site.run(SILENT_MS + 2 * LOOK_MS, heard=("z1", "z3"))
     site.reach.note_connected(SERVERS[2], took_ms=4)
     site.run(RETURN_MS, heard=("z1", "z3"))
@@ -142,7 +142,7 @@
     assert site.lost == ["z2", "z2"]
 
 
-def test_a_neighbour_of_the_own_zone_is_believed_until_the_server_answers(site):
+def test_a_suspicion_in_the_own_zone_is_adopted_until_the_server_answers(site):
     site.reach.note_answer(SERVERS[4])
     site.reach.take_unreachable("z1", ["z3-1", "z3-2"], SERVERS)
     assert site.names() == ["z1-1", "z1-2", "z2-1", "z2-2", "z3-1"], "z3-1 has just answered"
@@ -153,12 +153,13 @@
     assert site.reach.describe_unreachable() == ["z3-1"]
 
 
-def test_another_zone_is_not_believed_as_it_may_be_on_the_other_side(site):
+def test_a_suspicion_in_another_zone_is_ignored(site):
+    """The other zone may be on the other side of the partition."""
     site.reach.take_unreachable("z2", ["z1-1", "z3-1"], SERVERS)
     assert site.reach.describe_unreachable() == []
 
 
-def test_a_connection_may_take_some_times_the_usual(site):
+def test_the_connection_timeout_follows_the_usual_connection_time(site):
     assert site.reach.find_connect_timeout_ms() == MOST_CONNECT_MS
     for _ in range(50):
         site.reach.note_connected(SERVERS[0], took_ms=3)
@@ -179,7 +180,7 @@
     assert site.reach.list_probes(SERVERS[:2]) == []
 
 
-def test_a_server_that_is_gone_is_forgotten(site):
+def test_the_state_of_a_removed_server_is_discarded(site):
     site.reach.note_unreachable(SERVERS[2], is_silent=True)
     site.reach.forget(SERVERS[2])
     assert site.reach.describe_unreachable() == []
