--- a/tests/test_relayed_watch.py
+++ b/tests/test_relayed_watch.py
@@ -1,8 +1,8 @@
-"""Gateways that hear of the registry from the watchers of their zone.
+"""Gateways that get changes of the registry from the watchers of their zone.
 
-The pattern: 61 gateways and 82 changes a minute cost 5,000 calls when every gateway watches;
-with two watchers in each of four zones, they cost 656. What may go
-wrong on the way: a page is lost, the watchers die, are frozen, or hear nothing any more.
+With 61 gateways, 82 changes a minute cost 5,000 calls if every gateway watches, and 656 with two watchers in
+each of four zones. Guards against changes that are missed because a page is lost, or because the watchers are
+killed, frozen, or cut off from the object service.
 """
 
 import gevent
@@ -26,7 +26,7 @@
 
 
 class Store:
-    """Answers every watch at once and keeps what was asked."""
+    """Answers every watch at once and records the calls."""
 
     def __init__(self):
         self.asked = []
@@ -43,7 +43,7 @@
 
 
 class Directory:
-    """Who watches."""
+    """The watchers of the zone."""
 
     def __init__(self):
         self.watches = False
@@ -64,7 +64,7 @@
         self.watch = RelayedWatch(self.store, self.directory, self.sent.append, SystemClock())
 
     def take(self, since):
-        """Return the names that a watch brings, or what is raised."""
+        """Return the names of the objects that a watch returns."""
         with gevent.Timeout(LIMIT_S):
             return [one.name for one in self.watch.watch(KIND, since, WAIT_MS).items]
 
@@ -78,14 +78,14 @@
     return WatchedPage(KIND, since, version, [(name, version, {}, False)])
 
 
-def test_a_watcher_sends_what_its_watch_brings(fixture):
+def test_a_watcher_sends_the_pages_of_its_watch(fixture):
     fixture.directory.watches = True
     assert fixture.take(5) == ["from-store"]
     assert fixture.store.asked == [(5, WAIT_MS)]
     assert fixture.sent == [WatchedPage(KIND, 5, 6, [("from-store", 6, {}, False, None, 0)])]
 
 
-def test_the_others_take_the_page_and_make_no_call(fixture):
+def test_a_gateway_that_gets_a_page_makes_no_call(fixture):
     fixture.directory.relayed = 5
     gevent.spawn_later(0.05, fixture.watch.take_page, make_page(5, 6))
     assert fixture.take(5) == ["from-watcher"]
@@ -93,7 +93,7 @@
     assert fixture.sent == []
 
 
-def test_the_same_change_from_the_second_watcher_is_passed_over(fixture):
+def test_a_change_that_a_second_watcher_relays_is_ignored(fixture):
     fixture.directory.relayed = 5
     fixture.watch.take_page(make_page(5, 6, "first"))
     fixture.watch.take_page(make_page(5, 6, "again"))
@@ -103,14 +103,14 @@
     assert fixture.store.asked == []
 
 
-def test_a_gap_between_pages_is_asked_for_once(fixture):
+def test_a_gap_between_pages_is_queried_once(fixture):
     fixture.directory.relayed = 5
     fixture.watch.take_page(make_page(7, 8))
     assert fixture.take(5) == ["from-store"]
     assert fixture.store.asked == [(5, CATCH_UP_WAIT_MS)]
 
 
-def test_a_lost_page_shows_in_the_reports_and_is_asked_for_once(fixture):
+def test_a_lost_page_is_detected_by_reports_and_queried_once(fixture):
     fixture.directory.relayed = 9
     assert fixture.take(5) == ["from-store"]
     assert fixture.store.asked == [(5, CATCH_UP_WAIT_MS)]
@@ -118,28 +118,28 @@
     assert fixture.take(9) == ["from-watcher"]
 
 
-def test_a_gateway_without_a_live_watcher_watches_itself(fixture):
+def test_a_gateway_without_a_live_watcher_watches_for_itself(fixture):
     assert fixture.take(5) == ["from-store"]
     assert fixture.store.asked == [(5, WAIT_MS)]
-    assert fixture.sent == [], "it is not in charge of the others"
+    assert fixture.sent == [], "it is not a watcher of its zone"
 
 
 @pytest.mark.parametrize("change", [("relayed", 0), ("watches", True)])
-def test_a_wait_ends_when_this_gateway_must_watch_itself(fixture, change):
+def test_a_wait_ends_when_this_gateway_must_watch_for_itself(fixture, change):
     fixture.directory.relayed = 5
     gevent.spawn_later(0.05, setattr, fixture.directory, *change)
     assert fixture.take(5) == ["from-store"]
     assert fixture.store.asked == [(5, WAIT_MS)]
 
 
-def test_a_page_that_a_gateway_asks_for_itself_counts_as_watched(fixture):
+def test_a_page_of_an_own_query_counts_as_watched(fixture):
     fixture.directory.relayed = 6
     assert fixture.watch.ask(KIND, 5).source is PageSource.WATCH
     fixture.watch.take_page(make_page(6, 7))
     assert fixture.watch.watch(KIND, 6, WAIT_MS).source is PageSource.RELAY
 
 
-def test_an_answer_that_fails_is_asked_for_again(fixture):
+def test_a_failed_query_is_repeated(fixture):
     fixture.directory.relayed = 9
     fixture.store.error = PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "down")
     with pytest.raises(PlatformError):
@@ -149,8 +149,8 @@
     assert len(fixture.store.asked) == 2
 
 
-def test_a_watcher_that_lists_anew_spares_the_others_the_list(fixture):
-    """After a loss of history each gateway would make two calls: a watch in vain, and a list."""
+def test_a_list_of_a_watcher_replaces_the_lists_of_other_gateways(fixture):
+    """After a loss of history each gateway would make two calls: a failed watch, and a list."""
     fixture.directory.watches = True
     assert fixture.watch.list(KIND).is_whole
     (message,) = fixture.sent
@@ -162,7 +162,7 @@
     assert other.store.asked == []
 
 
-def test_a_page_that_is_too_large_for_the_links_is_only_announced(fixture):
+def test_for_a_page_that_is_too_large_only_a_notice_is_sent(fixture):
     fixture.directory.watches = True
     value = {"routes": "x" * MOST_RELAYED_BYTES}
     fixture.store.watch = lambda kind, since, wait_ms, prefix: ObjectPage(
@@ -197,7 +197,7 @@
 
 
 def knows(gateway, sequence):
-    """Return whether a gateway knows the runner's latest state."""
+    """Return whether a gateway has recorded the runner's latest state."""
     wanted = "leaving" if sequence % 2 else "live"
     return [one.state.value for one in gateway.registry.list_all()] == [wanted]
 
@@ -206,9 +206,9 @@
     site.runners[0].write("draining" if sequence % 2 else "ready")
 
 
-def test_two_gateways_of_a_zone_watch_and_all_learn_of_each_change(site):
+def test_each_change_reaches_all_gateways_of_a_zone_through_two_watchers(site):
     assert len(find_watchers(site)) == 2
-    change_runner(site, 1)  # pending watches of the others end with it
+    change_runner(site, 1)  # It ends the pending watches of the other gateways.
     site.wait(lambda: all(knows(gateway, 1) for gateway in site.gateways))
     before = site.store.watch_calls[KIND]
     for sequence in range(2, CHANGES + 2):
@@ -218,7 +218,7 @@
     assert calls <= 2 * (CHANGES + 2), f"{calls} calls, {GATEWAYS * CHANGES} when each one watches"
 
 
-def test_changes_are_learned_after_both_watchers_are_gone(site):
+def test_changes_are_received_after_both_watchers_stopped(site):
     change_runner(site, 1)
     site.wait(lambda: all(knows(gateway, 1) for gateway in site.gateways))
     for watcher in find_watchers(site):
@@ -230,8 +230,8 @@
     site.wait(lambda: len(find_watchers(site)) == 2)
 
 
-def test_changes_are_learned_while_the_watchers_are_deaf(site):
-    """A page that is sent and does not arrive: the reports show what is missing."""
+def test_changes_are_received_though_the_watchers_relay_no_page(site):
+    """The reports show which version a lost page had."""
     change_runner(site, 1)
     site.wait(lambda: all(knows(gateway, 1) for gateway in site.gateways))
     for watcher in find_watchers(site):
@@ -255,7 +255,7 @@
     )
 
 
-def test_changes_of_the_configuration_cost_the_watchers_calls_alone(site):
+def test_changes_of_the_configuration_cost_only_the_calls_of_the_watchers(site):
     change_configuration(site, 2)
     before = site.store.watch_calls["config"]
     for version in range(3, 3 + CHANGES):
@@ -264,11 +264,11 @@
     assert calls <= 2 * (CHANGES + 2), f"{calls} calls, {GATEWAYS * CHANGES} when each one watches"
 
 
-def test_a_large_configuration_reaches_all(site):
+def test_a_large_configuration_reaches_all_gateways(site):
     change_configuration(site, 2, routes=400)
 
 
-def test_a_configuration_is_learned_after_both_watchers_are_gone(site):
+def test_a_configuration_is_received_after_both_watchers_stopped(site):
     change_configuration(site, 2)
     for watcher in find_watchers(site):
         site.gateways.remove(watcher)
@@ -277,7 +277,7 @@
     change_configuration(site, 3)
 
 
-def make_patient(fixture, patience_ms):
+def list_and_wait(fixture, patience_ms):
     fixture.watch = RelayedWatch(
         fixture.store, fixture.directory, fixture.sent.append, SystemClock(), patience_ms
     )
@@ -286,8 +286,10 @@
 
 
 def test_after_a_list_a_watcher_is_waited_for(fixture):
-    make_patient(fixture, 2_000)
-    fixture.directory.watches = True  # Nobody was heard yet, so this gateway takes itself for one.
+    list_and_wait(fixture, 2_000)
+    fixture.directory.watches = (
+        True  # Without reports yet, this gateway selects itself as a watcher.
+    )
     gevent.spawn_later(0.05, setattr, fixture.directory, "watches", False)
     gevent.spawn_later(0.05, setattr, fixture.directory, "relayed", 9)
     gevent.spawn_later(0.1, fixture.watch.take_page, make_page(9, 10))
@@ -296,12 +298,12 @@
 
 
 def test_without_a_watcher_the_wait_ends(fixture):
-    make_patient(fixture, 100)
+    list_and_wait(fixture, 100)
     assert fixture.take(9) == ["from-store"]
     assert fixture.store.asked == [(9, WAIT_MS)]
 
 
-def test_a_watch_of_rare_objects_ends_before_the_service_forgets():
+def test_a_watch_of_rare_objects_ends_before_its_history_is_lost():
     asked = []
 
     class QuietStore(Store):
