--- a/tests/test_report_period.py
+++ b/tests/test_report_period.py
@@ -1,8 +1,8 @@
-"""Times that judge reports follow from their period, at every size of the fleet.
+"""Times that judge reports depend on the report period, at every size of the fleet.
 
-A fixed time that is long beside the reports of eight gateways is shorter than the pause between
-those of two hundred: loads would then be forgotten before they are repeated, and gateways that live
-would count as gone. The sizes are a small site, two larger ones, and the size to design for.
+A fixed time that is long compared with the report period of eight gateways is shorter than that of two
+hundred: loads would then be discarded before they are reported again, and running gateways would count as
+stopped. The sizes are a small site, two larger ones, and the maximum size to design for.
 """
 
 import random
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("gateways", SIZES)
-def test_nothing_that_judges_a_report_is_shorter_than_two_periods(gateways):
+def test_no_time_that_judges_a_report_is_shorter_than_two_periods(gateways):
     period = ReportPeriod.from_peers(gateways - 1)
     for time_ms in (
         period.life_ms,
@@ -65,7 +65,7 @@
     return fleet
 
 
-def test_a_small_fleet_tells_everybody_at_the_shortest_period():
+def test_a_small_fleet_reports_to_all_gateways_at_the_shortest_period():
     fleet = make_fleet(MESH_GATEWAYS + 1, zones=4)
     assert not fleet.reports_by_zone
     assert len(fleet.list_near()) == MESH_GATEWAYS
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize(("gateways", "zones"), [(60, 4), (195, 6), (1_700, 16)])
-def test_a_larger_one_tells_its_zone_more_often_and_each_other_zone_through_one(gateways, zones):
+def test_a_larger_fleet_reports_to_the_own_zone_more_often_and_uses_relays(gateways, zones):
     fleet = make_fleet(gateways, zones)
     assert {peer.zone for peer in fleet.list_near()} == {"z0"}
     assert len(fleet.list_near()) + len(fleet.list_far()) == gateways - 1
@@ -82,35 +82,35 @@
     assert len(fleet.draw_relays()) == zones
 
 
-def hear_again(fleet, gateways, zones, silent):
+def report_all(fleet, gateways, zones, silent):
     for number in range(1, gateways):
         if f"z{number % zones}" != silent:
             report = GatewayReport(f"g{number}", 1, 0.0, {}, {}, {}, zone=f"z{number % zones}")
             fleet.note_report(f"10.0.0.0:{number}", report, StoreView())
 
 
-def test_the_limits_part_of_a_zone_that_is_cut_off_is_given_up_within_seconds():
-    """192 gateways in six zones; each of the lost zone would be missed after 13 s."""
+def test_the_share_of_a_zone_that_is_cut_off_is_dropped_within_seconds():
+    """192 gateways in six zones; each gateway of the lost zone alone would time out after 13 s."""
     clock = ManualClock(now_ms=1_000_000)
     fleet = make_fleet(192, zones=6, clock=clock)
     assert fleet.get_share() == 1.0
     clock.advance(2_000)
-    hear_again(fleet, 192, 6, silent="z1")
+    report_all(fleet, 192, 6, silent="z1")
     assert fleet.get_share() == pytest.approx(5 / 6)
-    hear_again(fleet, 192, 6, silent="")
+    report_all(fleet, 192, 6, silent="")
     clock.advance(200)
     assert fleet.get_share() == 1.0
 
 
-def test_a_gateway_whose_zone_is_not_known_yet_is_told_like_one_of_another_zone():
+def test_a_gateway_of_unknown_zone_counts_as_far():
     fleet = make_fleet(30, zones=4)
     fleet.note_report("10.0.0.9:1", GatewayReport("new", 1, 0.0, {}, {}, {}), StoreView())
     assert "new" in {peer.name for peer in fleet.list_far()}
 
 
 @pytest.mark.parametrize("gateways", SIZES)
-def test_a_zone_is_not_silent_between_the_reports_of_its_gateways(gateways):
-    """Each gateway of the zone reports once in a period, at a moment of its own."""
+def test_a_zone_is_not_suspected_between_the_reports_of_its_gateways(gateways):
+    """Each gateway of the zone reports once in a period, at its own offset."""
     clock = ManualClock(now_ms=1_000_000)
     lost = []
     reach = Reachability("z0", ReportPeriod, clock, lost.append)
@@ -126,7 +126,7 @@
     assert lost == []
 
 
-def test_a_zone_with_many_gateways_is_missed_soon_although_each_reports_seldom():
+def test_a_zone_with_many_gateways_is_suspected_soon_though_each_reports_rarely():
     clock = ManualClock(now_ms=1_000_000)
     lost = []
     reach = Reachability("z0", ReportPeriod, clock, lost.append)
@@ -137,15 +137,15 @@
     for _ in range(8):
         clock.advance(LOOK_MS)
         reach.look()
-    assert lost == ["z1"], "each of them would be missed after 4,850 ms"
+    assert lost == ["z1"], "each gateway alone would time out after 4,850 ms"
 
 
 class StoppedError(Exception):
-    """The clock of a test has run out."""
+    """The simulated time of a test has ended."""
 
 
 class Clock(ManualClock):
-    """Sleeps at once, and ends the task that sleeps at `end_ms`."""
+    """Advances instead of sleeping, and stops the task that sleeps beyond `end_ms`."""
 
     end_ms = 0.0
 
@@ -156,7 +156,7 @@
 
 
 class GrowingFleet:
-    """A fleet that is small until a list shows all of it."""
+    """A fleet that is small until its gateways are listed at `listed_ms`."""
 
     def __init__(self, clock, listed_ms):
         self.clock, self.listed_ms = clock, listed_ms
@@ -177,8 +177,8 @@
         self.at_ms.append(self.clock.now_ms())
 
 
-def test_gateways_that_learn_of_one_another_together_do_not_report_in_step():
-    """Thirty of a zone, whose lists all show the fleet at the same moment."""
+def test_gateways_that_list_one_another_together_do_not_report_in_step():
+    """Thirty gateways of a zone, whose lists all show the fleet at the same moment."""
     random.seed(3)
     at_ms = []
     for _ in range(30):
