--- a/tests/test_suspect_exchange.py
+++ b/tests/test_suspect_exchange.py
@@ -1,4 +1,4 @@
-"""Word of servers that end, over a fleet in which no gateway tells all others directly."""
+"""Reports of requests that crash servers, in a fleet in which no gateway sends to all others directly."""
 
 import pytest
 
@@ -29,13 +29,13 @@
         port = network.connect(self.address)
         self.exchange = SuspectExchange(port, self.fleet, self.quarantine, clock)
 
-    def hear(self, other):
-        """Take another gateway's report."""
+    def receive_report(self, other):
+        """Apply another gateway's report."""
         view = StoreView(held_digest=other.quarantine.hash_held())
         report = GatewayReport(other.name, 1, 0.0, {}, {}, {}, zone=other.zone)
         self.fleet.note_report(other.address, report, view)
 
-    def end_servers(self, content=CONTENT):
+    def crash_servers(self, content=CONTENT):
         for number in range(MOST_ENDS):
             self.quarantine.note_end(content, f"s{number}")
 
@@ -59,29 +59,29 @@
     for one in gateways:
         for other in gateways:
             if other is not one:
-                one.hear(other)
+                one.receive_report(other)
 
 
 def list_unaware(gateways):
     return [one.name for one in gateways if not one.quarantine.list_held()]
 
 
-def test_every_gateway_of_every_zone_hears_of_it_at_once(gateways):
-    gateways[0].end_servers()
+def test_a_suspect_reaches_every_gateway_of_every_zone_at_once(gateways):
+    gateways[0].crash_servers()
     gateways[0].exchange.tell()
     assert list_unaware(gateways) == []
 
 
-def test_a_zone_hears_of_it_while_one_of_its_gateways_does_not(network, gateways):
+def test_a_suspect_reaches_a_zone_with_a_gateway_that_is_down(network, gateways):
     network.down = {gateways[1].address}
-    gateways[0].end_servers()
+    gateways[0].crash_servers()
     gateways[0].exchange.tell()
     assert list_unaware(gateways) == [gateways[1].name]
 
 
-def test_neighbours_repair_a_gateway_that_was_cut_off(network, gateways):
+def test_near_gateways_repair_a_gateway_that_was_cut_off(network, gateways):
     network.down = {gateways[4].address}
-    gateways[0].end_servers()
+    gateways[0].crash_servers()
     gateways[0].exchange.tell()
     network.down = set()
     assert list_unaware(gateways) == [gateways[4].name]
@@ -89,11 +89,11 @@
     network.sent.clear()
     gateways[0].exchange.repair()
     assert list_unaware(gateways) == []
-    assert len(network.sent) == 1, "the others know, and other zones are not told"
+    assert len(network.sent) == 1, "only the gateway that differs gets a message"
 
 
-def test_a_gateway_that_stays_different_is_repaired_once_a_second(network, gateways):
-    gateways[0].end_servers()
+def test_a_gateway_that_still_differs_is_repaired_once_a_second(network, gateways):
+    gateways[0].crash_servers()
     network.down = {one.address for one in gateways}
     exchange_reports(gateways)
     for _ in range(3):
@@ -104,14 +104,14 @@
     assert len(network.sent) == 2 * (IN_ZONE - 1)
 
 
-def test_nothing_is_sent_while_nothing_is_suspected(network, gateways):
+def test_no_message_is_sent_without_suspects(network, gateways):
     for gateway in gateways:
         gateway.exchange.tell()
         gateway.exchange.repair()
     assert network.sent == []
 
 
-def test_many_contents_are_told_in_messages_of_bounded_size(network, gateways):
+def test_many_contents_are_sent_in_messages_of_bounded_size(network, gateways):
     for number in range(MOST_TOLD + 1):
         gateways[0].quarantine.note_end(f"content-{number}", "s1")
     gateways[0].exchange.tell()
@@ -120,7 +120,7 @@
     assert len(gateways[5].quarantine.describe()) == MOST_TOLD + 1
 
 
-def test_of_too_long_a_message_the_first_part_is_taken(gateways):
+def test_the_excess_records_of_a_message_are_ignored(gateways):
     fields = [(f"content-{number}", ["s1"], [], 0) for number in range(MOST_TOLD + 50)]
     gateways[0].exchange.take("", SuspectReport("other", fields, is_relayed=True))
     assert len(gateways[0].quarantine.describe()) == MOST_TOLD
