--- a/tests/test_view_age.py
+++ b/tests/test_view_age.py
@@ -1,4 +1,4 @@
-"""What a gateway tells of the age of its knowledge: status page, metrics, and lines."""
+"""The age of a gateway's view of the object service, in its status page, metrics and log lines."""
 
 import pytest
 import structlog
@@ -17,7 +17,7 @@
     one.close()
 
 
-def test_the_age_of_each_kind_is_told(site):
+def test_the_age_of_each_kind_is_reported(site):
     gateway = site.gateways[0]
     assert set(gateway.followed.describe()) == {"config", "servers"}
     ages = gateway.followed.measure_ages()
@@ -25,7 +25,7 @@
     assert b'hemlock_view_age_seconds{kind="servers"}' in gateway.observer.metrics.render()
 
 
-def test_a_request_tells_on_which_knowledge_its_server_was_chosen(site):
+def test_the_log_line_of_a_request_has_the_age_of_the_server_list(site):
     with structlog.testing.capture_logs() as lines:
         assert site.ask("/check/1", method="GET").status == 200
         site.wait(lambda: any(line["event"] == "request_ended" for line in lines))
@@ -33,10 +33,10 @@
     assert 0 <= ended["list_age_ms"] < 60_000
 
 
-def test_a_learned_change_tells_by_which_way_it_came(site):
+def test_the_log_line_of_a_change_has_its_source(site):
     change(
         site, "draining"
-    )  # Watches that the others sent before they knew the watchers end with it.
+    )  # It ends the watches that gateways sent before the watchers were determined.
     stop_own_queries(site)
     with structlog.testing.capture_logs() as lines:
         change(site, "ready")
@@ -45,16 +45,16 @@
 
 
 def change(site, state):
-    """Write the runner's state and wait until every gateway knows it."""
+    """Write the runner's state and wait until every gateway has recorded it."""
     wanted = "leaving" if state == "draining" else "live"
     site.runners[0].write(state)
     site.wait(lambda: all(knows(gateway, wanted) for gateway in site.gateways))
 
 
 def stop_own_queries(site):
-    """Keep the gateways that don't watch from asking the object service themselves.
+    """Keep the gateways that do not watch from querying the object service themselves.
 
-    On a slow machine one of them may ask before the relayed page comes; that counts as `watch`.
+    On a slow machine one of them may query before the relayed page arrives, which counts as `watch`.
     """
     for gateway in site.gateways:
         if not gateway.followed.watchers.is_watcher():
