--- a/tests/test_watch_guard.py
+++ b/tests/test_watch_guard.py
@@ -1,7 +1,7 @@
-"""Watches that have gone deaf, as the other gateways' reports show them.
+"""Detection of stalled watches from the other gateways' reports.
 
-The pattern: the store is down and silent for 5.4 s and swallows the watches that are sent to it;
-gateways that then waited out the watch's 25 s sent requests to servers that had left.
+Guards against requests to servers that have left: the store is down for 5.4 s and swallows the watches that are
+sent to it, and a gateway without this check waits for the watch's time-out of 25 s.
 """
 
 import pytest
@@ -16,7 +16,7 @@
 
 
 class Follower:
-    """What the guard needs of an `ObjectFollower`."""
+    """The part of an `ObjectFollower` that the guard uses."""
 
     def __init__(self, kind, sent_ms):
         self.kind = kind
@@ -53,7 +53,7 @@
         return self.configuration.renewed, self.servers.renewed
 
 
-def test_nothing_is_renewed_while_all_agree():
+def test_no_watch_is_renewed_while_all_views_agree():
     fixture = Fixture()
     fixture.compare(SAME, SAME, SAME, for_ms=10_000)
     assert fixture.renewed == (0, 0)
@@ -66,33 +66,33 @@
     assert fixture.renewed == (renewed, renewed)
 
 
-def test_an_outage_that_many_saw_renews_a_watch_once():
-    """With 58 gateways 57 reports of one outage gave a watch up 57 times."""
+def test_an_outage_that_many_gateways_saw_renews_a_watch_once():
+    """With 58 gateways, 57 reports of one outage cancelled a watch 57 times."""
     fixture = Fixture(sent_ms=12_000)
     fixture.compare(*(StoreView(3, 7, Outage(11_000, 16_000 + more)) for more in range(57)))
     assert fixture.renewed == (1, 1)
 
 
 @pytest.mark.parametrize(("heard_ms", "renewed"), [(11_900, 1), (13_000, 0)])
-def test_an_outage_in_which_the_store_answered_here_was_not_ours(heard_ms, renewed):
-    """The store was away for some gateways, at different times."""
+def test_an_outage_in_which_the_store_answered_this_gateway_is_ignored(heard_ms, renewed):
+    """The store was down for some gateways, at different times."""
     fixture = Fixture(sent_ms=13_100)
     fixture.servers.heard_ms = heard_ms
     fixture.compare(SAME, StoreView(3, 7, Outage(11_000, 16_000)))
     assert fixture.servers.renewed == renewed
 
 
-def test_a_newer_configuration_elsewhere_renews_the_watch_of_it():
+def test_a_newer_configuration_of_another_gateway_renews_its_watch():
     fixture = Fixture()
     newer = StoreView(4, 7)
     fixture.compare(SAME, newer, for_ms=200)
-    assert fixture.renewed == (0, 0), "it may be on its way"
+    assert fixture.renewed == (0, 0), "it may be in transit"
     fixture.compare(SAME, newer, for_ms=600)
     assert fixture.configuration.renewed >= 1
     assert fixture.servers.renewed == 0
 
 
-def test_another_list_at_most_gateways_renews_the_watch_of_servers():
+def test_a_list_on_which_most_gateways_agree_renews_the_watch_of_servers():
     fixture = Fixture()
     other = StoreView(3, 8)
     fixture.compare(other, other, SAME, for_ms=1_000)
@@ -100,13 +100,13 @@
     assert fixture.renewed[1] >= 1
 
 
-def test_a_few_gateways_that_are_cut_off_do_not_make_the_others_call():
+def test_a_minority_of_gateways_that_differ_renews_no_watch():
     fixture = Fixture()
     fixture.compare(StoreView(3, 8), SAME, SAME, SAME, for_ms=10_000)
     assert fixture.renewed == (0, 0)
 
 
-def test_a_difference_that_comes_and_goes_is_a_change_on_its_way():
+def test_a_difference_that_does_not_last_renews_no_watch():
     fixture = Fixture()
     other = StoreView(3, 8)
     for _ in range(20):
@@ -115,7 +115,7 @@
     assert fixture.renewed == (0, 0)
 
 
-def test_an_outage_is_told_once_it_is_over_and_single_refusals_are_none():
+def test_an_outage_is_reported_once_it_is_over_and_a_single_failure_is_none():
     clock = ManualClock(now_ms=1_000)
     backoff = Backoff(clock)
     backoff.record_failure(began_ms=1_000)
