--- a/tests/test_zone_watchers.py
+++ b/tests/test_zone_watchers.py
@@ -1,4 +1,4 @@
-"""Which gateways watch the object service for the others of their zone."""
+"""Selection of the gateways that watch the object service on behalf of their zone."""
 
 from dataclasses import replace
 
@@ -17,7 +17,7 @@
     return GatewayReport(name, 1, 0.0, {}, {}, {}, zone=zone)
 
 
-def hear(fleet, name, zone, relayed_version=0):
+def receive_report(fleet, name, zone, relayed_version=0):
     view = StoreView(relayed={"servers": relayed_version})
     fleet.note_report(f"10.0.0.1:{name}", make_zoned_report(name, zone), view)
 
@@ -39,15 +39,15 @@
 
 def test_the_first_two_gateways_of_a_zone_watch_for_it(fleet, watchers):
     assert watchers.is_watcher(), "alone"
-    hear(fleet, "g0", "z2")
-    hear(fleet, "g1", "z1")
+    receive_report(fleet, "g0", "z2")
+    receive_report(fleet, "g1", "z1")
     assert watchers.is_watcher()
-    hear(fleet, "g2", "z1")
+    receive_report(fleet, "g2", "z1")
     assert not watchers.is_watcher()
 
 
-def test_the_gateways_with_the_fastest_links_work_for_their_zone(clock):
-    """Two VMs of a zone have links of 200 Mbit/s; what is passed on would fill one of 10."""
+def test_the_gateways_with_the_fastest_links_watch_for_their_zone(clock):
+    """Two VMs of a zone have links of 200 Mbit/s; the relayed pages would fill one of 10."""
     fleet = Fleet("g3", lambda: "10.0.0.1:0", clock, "z1", link_mbps=10.0)
     for name, link_mbps in (("g1", 10.0), ("g7", 200.0), ("g8", 200.0)):
         report = replace(make_zoned_report(name, "z1"), link_mbps=link_mbps)
@@ -58,50 +58,50 @@
     assert watchers.list_relay_addresses() == ["10.0.0.1:g1"]
 
 
-def test_a_silent_watcher_is_replaced_by_the_next_gateway(fleet, watchers, clock):
-    hear(fleet, "g1", "z1")
-    hear(fleet, "g2", "z1")
+def test_an_unresponsive_watcher_is_replaced_by_the_next_gateway(fleet, watchers, clock):
+    receive_report(fleet, "g1", "z1")
+    receive_report(fleet, "g2", "z1")
     clock.advance(int(LEAST_COVERED_MS) + 1)
-    hear(fleet, "g2", "z1")
+    receive_report(fleet, "g2", "z1")
     assert watchers.is_watcher()
 
 
 def test_only_watchers_of_the_own_zone_relay(fleet, watchers):
-    hear(fleet, "g0", "z2", relayed_version=20)
-    hear(fleet, "g1", "z1", relayed_version=0)
+    receive_report(fleet, "g0", "z2", relayed_version=20)
+    receive_report(fleet, "g1", "z1", relayed_version=0)
     assert watchers.find_relayed_version("servers") == 0, "its watch does not answer"
-    hear(fleet, "g2", "z1", relayed_version=7)
+    receive_report(fleet, "g2", "z1", relayed_version=7)
     assert watchers.find_relayed_version("servers") == 7
-    hear(fleet, "g4", "z1")
+    receive_report(fleet, "g4", "z1")
     assert watchers.list_relay_addresses() == ["10.0.0.1:g4"]
 
 
-def hear_age(fleet, name, zone, age_ms):
+def receive_age(fleet, name, zone, age_ms):
     view = StoreView(relayed={"servers": 7}, age_ms=age_ms)
     fleet.note_report(f"10.0.0.1:{name}", make_zoned_report(name, zone), view)
 
 
-def test_gateways_that_do_not_hear_the_object_service_watch_for_nobody(fleet, watchers):
-    hear_age(fleet, "g1", "z1", STALE_MS + 1)
-    hear_age(fleet, "g2", "z1", STALE_MS + 1)
+def test_gateways_with_a_stale_view_are_not_watchers(fleet, watchers):
+    receive_age(fleet, "g1", "z1", STALE_MS + 1)
+    receive_age(fleet, "g2", "z1", STALE_MS + 1)
     assert watchers.is_watcher()
     assert watchers.find_relayed_version("servers") == 0
-    hear_age(fleet, "g4", "z1", 300.0)
+    receive_age(fleet, "g4", "z1", 300.0)
     assert watchers.find_relayed_version("servers") == 7
 
 
-def test_where_nobody_hears_the_object_service_the_first_ones_stay_watchers(fleet, clock):
+def test_the_watchers_stay_the_same_if_all_views_are_stale(fleet, clock):
     watchers = ZoneWatchers(fleet, clock, lambda: STALE_MS + 1)
-    hear_age(fleet, "g1", "z1", STALE_MS + 1)
-    hear_age(fleet, "g2", "z1", STALE_MS + 1)
+    receive_age(fleet, "g1", "z1", STALE_MS + 1)
+    receive_age(fleet, "g2", "z1", STALE_MS + 1)
     assert not watchers.is_watcher()
 
 
-def test_the_first_gateway_that_hears_asks_for_the_fleet(fleet, watchers):
+def test_the_first_gateway_with_a_current_view_queries_for_the_fleet(fleet, watchers):
     assert watchers.find_ask_turn() is AskTurn.FLEET, "alone"
-    hear_age(fleet, "g0", "z2", 300.0)
+    receive_age(fleet, "g0", "z2", 300.0)
     assert watchers.find_ask_turn() is AskTurn.ZONE
-    hear_age(fleet, "g1", "z1", 300.0)
+    receive_age(fleet, "g1", "z1", 300.0)
     assert watchers.find_ask_turn() is AskTurn.SELF
-    hear_age(fleet, "g1", "z1", STALE_MS + 1)
+    receive_age(fleet, "g1", "z1", STALE_MS + 1)
     assert watchers.find_ask_turn() is AskTurn.ZONE
