--- a/hemlockswitch/process/gateway/rollout_progress.py
+++ b/hemlockswitch/process/gateway/rollout_progress.py
@@ -1,8 +1,8 @@
-"""One order of a roll-out at one gateway: what was sent, what came of it, and where the order stands.
+"""Progress of one rollout order at one gateway: its requests, their answers, and the order's state.
 
-Every gateway counts the answers of both versions and tells its counts to the others with its reports.
-Each of them judges the sums by itself, so the traffic to a bad version ends without a word from the
-holder of the duties; that one alone decides on the move, and writes how the order ended.
+Every gateway counts the answers of both versions and sends its counts to its peers with its reports.
+Each gateway judges the sums by itself, so that traffic to a bad version stops without a message from
+the holder of the duties. Only the holder decides on the move and writes the final state.
 """
 
 import random
@@ -20,43 +20,48 @@
 
 CLOSE_MARGIN_MS = 1_500.0
 CLOSE_MARGIN_SHARE = 0.15
-"""How long before its time limit an order is closed: a write of a slow object service takes as long."""
+"""An order is closed this long before its time limit, at most this fraction of the limit: a write to a
+slow object service takes as long."""
 MOVE_MS = 2_500.0
 MOVE_SHARE = 0.2
-"""How long before that the move begins: most streams that began on the old version end within it."""
+"""The move begins this long before the order is closed, at most this fraction of the time limit: most
+streams that began on the old version end within that time."""
 LEAST_MOVE_MS = 500.0
-"""Time of a move that begins late: the other gateways hear of it and plain calls end within it."""
+"""Duration of a move that begins late: within it, reports of the move reach the other gateways and
+plain calls end."""
 ABANDON_MS = 2_000.0
 ABANDON_MOVE_MS = 8_000.0
-"""How long after its time limit a gateway gives up an order that nobody has closed; one whose version
-was found good is left for the next holder of the duties."""
+"""A gateway abandons an order that was not closed this long after its time limit. The longer delay
+applies once the move has begun: the version was found good, and the next holder of the duties may
+still close the order."""
 USUAL_DURATION_MS = 1_000.0
-"""How long an answer is taken to last on a route before one was seen."""
+"""Assumed duration of an answer on a route on which none has ended yet."""
 DURATION_WEIGHT = 0.1
 MOVED_DURATION_SHARE = 0.6
-"""A request moves that begins later than this part of its usual duration before the old version ends:
-there are fewer that may move than are still being answered then, and later ones surely are."""
+"""A request goes to the new version if the old version ends before this fraction of the request's usual
+duration has passed. Fewer requests may move than would still be in progress at that time, and the ones
+that start latest are the most certain to be."""
 BREAK_MS = 1_000.0
-"""Connections that one server breaks within this time have one cause, and count once."""
+"""Connections that a server breaks within this time have one cause, and count once."""
 TRIAL_GAP_MS = 25.0
-"""Least time between two trials of a gateway."""
+"""Minimum time between two trials by one gateway."""
 NO_MOVE = -1.0
 NO_ANSWERS = [0] * 6
-"""What a gateway tells of a route on which it has no answers; see `_write_tallies`."""
+"""Reported counts of a route without answers, laid out as by `_write_tallies`."""
 MOST_LIMIT_MS = 86_400_000.0
 
 
 @dataclass(frozen=True)
 class RolloutTimes:
-    """When an order's steps are due, in ms after the order.
+    """Due times of the steps of an order, in ms after the order was given.
 
     Parameters
     ==========
 
     move_ms : when the move may begin.
-    close_ms, latest_close_ms : when the order is closed, and when at the latest for a move that began
-        late.
-    limit_ms : its time limit.
+    close_ms : when the order is closed.
+    latest_close_ms : when the order is closed at the latest, if the move began late.
+    limit_ms : the time limit of the order.
 
     Examples
     ========
@@ -72,7 +77,7 @@
 
     @classmethod
     def from_limit(cls, limit_ms: float) -> "RolloutTimes":
-        """Return the times of an order with a time limit."""
+        """Return the times of an order with the time limit `limit_ms`."""
         close_ms = limit_ms - min(CLOSE_MARGIN_MS, CLOSE_MARGIN_SHARE * limit_ms)
         latest_close_ms = (close_ms + limit_ms) / 2
         move_ms = close_ms - min(MOVE_MS, MOVE_SHARE * limit_ms)
@@ -80,15 +85,15 @@
 
 
 class RolloutProgress:
-    """The state of an order at one gateway.
+    """State of an order at one gateway.
 
     Parameters
     ==========
 
-    order : the order as it was last read.
+    order : the order as last read.
     bound : how many requests the new version may get before the order is closed.
-    daemons : how many gateways share that bound; None while that is not known.
-    now_ms : the time.
+    daemons : how many gateways share that bound; None while the number is unknown.
+    now_ms : the current time.
     chance : source of random numbers.
     """
 
@@ -107,10 +112,10 @@
         self.stopped_for = ""
         self.has_changed = False
         self.sent_to_target = 0
-        self.waiting_trials = 0  # sends to the new version of which nothing is known yet
+        self.waiting_trials = 0  # attempts on the new version that are not counted yet
         self.has_seen_target = False
         self.has_seen_others = False
-        # What an earlier process has spent of the slack is not known.
+        # How much of the slack an earlier process has spent is unknown.
         sharing = daemons if order.state is None else None
         self._credit = ExposureCredit(bound, sharing, chance)
         self._own: dict[str, RouteTallies] = {}
@@ -128,50 +133,51 @@
 
     @property
     def is_in_force(self) -> bool:
-        """Whether the order was just given, and names the only version that this gateway has seen."""
+        """Whether the order is new and names the only version that this gateway has seen."""
         is_new = self.order.state is None
         return is_new and self.has_seen_target and not self.has_seen_others
 
     def note_seen(
         self, target: Sequence[BackendServer], others: Sequence[BackendServer], now_ms: float
     ) -> None:
-        """Note which servers of the service there are, and until when the new ones are cold."""
+        """Record which versions have servers, and until when the new servers are cold."""
         self.has_seen_target = self.has_seen_target or bool(target)
         self.has_seen_others = self.has_seen_others or bool(others)
         for server in target:
             self._warm_at_ms.setdefault(server.incarnation, now_ms + server.cold_left_ms)
 
     def is_cold(self, server: BackendServer, now_ms: float) -> bool:
-        """Return whether a new server is slow for having just started."""
+        """Return whether a new server is still slow because it has just started."""
         return self._warm_at_ms.get(server.incarnation, 0.0) > now_ms
 
     def get_age_ms(self, now_ms: float) -> float:
-        """Return how long ago the order was given, as far as is known."""
+        """Return the age of the order, by the earliest time recorded for it."""
         return now_ms - self.began_ms
 
     def note_age(self, age_ms: float, now_ms: float) -> None:
-        """Take another gateway's word, or the stored one, of how old the order is."""
+        """Apply the age of the order as reported by another gateway or as stored."""
         if 0 <= age_ms <= MOST_LIMIT_MS:
             self.began_ms = min(self.began_ms, now_ms - age_ms)
 
     def count_send(self, route: str) -> None:
-        """Count a send to a server of the service."""
+        """Count a send attempt to a server of the service."""
         self._credit.earn(route)
 
     def find_bound(self) -> float:
-        """Return how many requests this gateway may have sent to the new version by now."""
+        """Return the number of requests that this gateway may have sent to the new version by now."""
         return self._credit.find_bound()
 
     def may_try(self, route: str, now_ms: float) -> bool:
         """Return whether a new request may try the new version.
 
-        One that is not judged yet gets few requests at a time: their answers may end its trial.
+        A version that is not judged yet gets few requests at a time, since their answers may end its
+        trial.
         """
         is_busy = self.waiting_trials > 0 or now_ms - self._paid_ms < TRIAL_GAP_MS
         return self._credit.may_try(route) and not is_busy
 
     def pay(self, route: str, now_ms: float) -> None:
-        """Count a request that is about to go to the new version."""
+        """Charge the credit for a request that is about to be sent to the new version."""
         self._credit.pay(route)
         self._paid_ms = now_ms
         self.sent_to_target += 1
@@ -184,16 +190,16 @@
         return now_ms + MOVED_DURATION_SHARE * usual_ms > self.close_ms
 
     def note_duration(self, route: str, took_ms: float) -> None:
-        """Learn how long answers of a route last."""
+        """Update the mean duration of answers on a route."""
         known_ms = self._durations_ms.setdefault(route, took_ms)
         self._durations_ms[route] = known_ms + DURATION_WEIGHT * (took_ms - known_ms)
 
     def get_duration_ms(self, route: str) -> float | None:
-        """Return how long answers of a route last; None before one was seen."""
+        """Return the mean duration of answers on a route; None before the first one has ended."""
         return self._durations_ms.get(route)
 
     def count_answer(self, route: str, tally: Tally, *, is_target: bool) -> None:
-        """Count what came of a send."""
+        """Count the result of a send attempt."""
         change = RouteTallies(target=tally) if is_target else RouteTallies(others=tally)
         self._own[route] = self._own.get(route, RouteTallies()) + change
         self._sums[route] = self._sums.get(route, RouteTallies()) + change
@@ -202,33 +208,33 @@
             self._check_answers()
 
     def note_break(self, server: str, now_ms: float) -> bool:
-        """Return whether a connection that a server broke counts, and was not the end of others."""
+        """Record a connection broken by a server; return whether it counts as a separate failure."""
         counts = now_ms - self._broke_ms.get(server, float("-inf")) > BREAK_MS
         if counts:
             self._broke_ms[server] = now_ms
         return counts
 
     def get_sums(self) -> Mapping[str, RouteTallies]:
-        """Return the answers over all gateways, by route."""
+        """Return the answer counts over all gateways, by route."""
         return self._sums
 
     def get_own(self) -> RouteTallies:
-        """Return the answers to this gateway's own sends, over all routes."""
+        """Return this gateway's own answer counts over all routes."""
         return sum(self._own.values(), RouteTallies())
 
     def judge(self) -> Verdict:
-        """Return what the answers over all gateways say."""
+        """Return the verdict on the new version from the answers over all gateways."""
         return judge(self._sums)
 
     def begin_move(self, close_ms: float) -> None:
-        """Move to the new version what would outlast the old one, which ends at `close_ms`."""
+        """Begin to send requests that would outlast the old version, until `close_ms`, to the new one."""
         if self.close_ms is None:
             log_event(Event.ROLLOUT_MOVING, **self.describe_order(), **self.describe_sums())
         self.close_ms = close_ms
         self.has_changed = True
 
     def stop(self, reason: str) -> None:
-        """Send nothing more to the new version."""
+        """Stop sending requests to the new version."""
         if self.stopped_for:
             return
         self.stopped_for = reason
@@ -242,11 +248,11 @@
         )
 
     def describe_order(self) -> dict[str, Any]:
-        """Return the fields by which log lines name the order."""
+        """Return the log fields that identify the order."""
         return {"service": self.order.service, "target": self.order.target}
 
     def describe_sums(self) -> dict[str, Any]:
-        """Return the counts that decide, for log lines and the status page."""
+        """Return the verdict and the counts behind it, for log lines and the status page."""
         routes = {
             route: {
                 "target": [one.target.answers, one.target.failures, one.target.slow],
@@ -257,7 +263,7 @@
         return {"verdict": self.judge().value, "routes": routes}
 
     def write_fields(self, now_ms: float, *, leads: bool) -> RolloutFields:
-        """Return what this gateway tells the others."""
+        """Return this gateway's report on the order, for its peers."""
         close_in_ms = NO_MOVE
         if leads and self.close_ms is not None:
             close_in_ms = max(self.close_ms - now_ms, 0.0)
@@ -267,34 +273,34 @@
         return service, target, created, age_ms, bool(self.stopped_for), close_in_ms, routes
 
     def take_fields(self, process: str, fields: RolloutFields, now_ms: float) -> None:
-        """Take what another gateway tells; its counts only ever grow."""
+        """Apply another gateway's report; the counts of a gateway never decrease."""
         _, _, _, age_ms, is_stopped, close_in_ms, routes = fields
         self.note_age(age_ms, now_ms)
         told = self._told.setdefault(process, {})
         for route, numbers in routes.items():
             known = told.get(route, NO_ANSWERS)
             if sum(numbers) <= sum(known):
-                continue  # An older message, or nothing new.
+                continue  # an outdated or repeated report
             told[route] = numbers
             change = _read_tallies([new - old for new, old in zip(numbers, known, strict=True)])
             self._sums[route] = self._sums.get(route, RouteTallies()) + change
             if change.target.bad > 0:
                 self._check_answers()
         if is_stopped and self.is_open:
-            self.stop("told by another gateway")
+            self.stop("stopped by another gateway")
         if close_in_ms >= 0 and self.is_open:
             self.begin_move(now_ms + close_in_ms)
 
     def check(self, now_ms: float) -> None:
-        """Stop by what the counts say, or if nobody has closed the order in time."""
+        """Stop the rollout if the new version is judged bad, or if the order was not closed in time."""
         self._check_answers()
         patience_ms = ABANDON_MS if self.close_ms is None else ABANDON_MOVE_MS
         if self.is_open and self.get_age_ms(now_ms) > self.times.limit_ms + patience_ms:
-            self.stop("nobody has closed it in time")
+            self.stop("order not closed within its time limit")
 
     def _check_answers(self) -> None:
         if self.is_open and self.judge() is Verdict.BAD:
-            self.stop("its answers are worse")
+            self.stop("answers of the new version are worse than those of the old one")
 
 
 def _write_tallies(one: RouteTallies) -> list[int]:
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -99,7 +99,10 @@
 def test_a_version_that_fails_gets_nothing_more(gateway):
     gateway.read(make_order())
     gateway.ask_many(400, failing="v2")
-    assert gateway.progress.stopped_for == "its answers are worse"
+    assert (
+        gateway.progress.stopped_for
+        == "answers of the new version are worse than those of the old one"
+    )
     assert gateway.ask_many(50).count("v2") == 0
     assert gateway.ask(servers=NEW) is None, "it is not the way out if the old servers are gone"
 
@@ -175,7 +178,7 @@
     began_new = SendWish(SERVICE, ROUTE, is_first=False, begun_version="v2")
     assert {one.version for one in gateway.rollouts.select(began_old, [*OLD, *NEW])} == {"v1"}
     assert {one.version for one in gateway.rollouts.select(began_new, [*OLD, *NEW])} == {"v2"}
-    gateway.progress.stop("told by another gateway")
+    gateway.progress.stop("stopped by another gateway")
     assert {one.version for one in gateway.rollouts.select(began_new, [*OLD, *NEW])} == {"v1"}
 
 
@@ -267,7 +270,7 @@
     gateway.read(make_order())
     gateway.clock.advance(LIMIT_S * 1_000 + ABANDON_MS + 1)
     gateway.rollouts.look()
-    assert gateway.progress.stopped_for == "nobody has closed it in time"
+    assert gateway.progress.stopped_for == "order not closed within its time limit"
 
 
 def test_a_silent_answer_counts_as_slow_before_it_ends(gateway):
