--- a/hemlockswitch/process/gateway/rollout_duty.py
+++ b/hemlockswitch/process/gateway/rollout_duty.py
@@ -1,4 +1,4 @@
-"""The duty that decides on orders of roll-outs, and writes what became of them."""
+"""Duty that decides on rollout orders and writes their states to the object service."""
 
 from collections.abc import Callable, Collection
 from typing import Any, Protocol
@@ -17,12 +17,12 @@
 from hemlockswitch.version.rollout import OrderIdentity, RolloutOrder, RolloutState
 
 BEGIN_KIND = "rollout-begins"
-"""When each order was taken up, and whether its version was found good: kept, since no gateway may
-outlast the order."""
+"""Kind of the stored records of when each order began and whether its version was found good. They are
+stored because possibly no gateway lives as long as the order."""
 DRAIN_GRACE_MS = 500.0
-"""How long to wait for what still runs on the old version once the move should be over."""
+"""How long to wait for requests in progress on the old version after the planned end of the move."""
 WRITE_MS = 500.0
-"""Before the time limit: the time for a turn of the duties and a write of the object service."""
+"""Time reserved before the time limit for one turn of the duties and one write to the object service."""
 
 
 class StatusStore(ConditionalStore, Protocol):
@@ -33,26 +33,26 @@
 
 
 class OpenRollouts(Protocol):
-    """The orders that are not closed; see `process.gateway.rollouts`."""
+    """Source of the open orders; see `process.gateway.rollouts`."""
 
     def list_open(self) -> list[RolloutProgress]:
-        """Return them."""
+        """Return the orders that are not closed."""
 
 
 class RolloutDuty:
-    """Takes orders up, moves services, and closes orders, while the duties are held.
+    """Accepts orders, moves services and closes orders while this gateway holds the duties.
 
     Parameters
     ==========
 
-    rollouts : what is known of the orders here.
-    store : where they lie.
-    kind : the kind of the orders there.
+    rollouts : source of the open orders and their progress at this gateway.
+    store : the object service that stores the orders.
+    kind : the kind of the orders in the store.
     encode_status : returns the status to write for a state.
-    list_servers : returns the backend servers that are registered.
-    count_running : returns the requests in progress on some servers, over all gateways.
-    true_time : the time of day.
-    clock : the time.
+    list_servers : returns the registered backend servers.
+    count_running : returns the number of requests in progress on given servers, over all gateways.
+    true_time : source of the wall-clock time.
+    clock : source of the monotonic time.
     """
 
     def __init__(
@@ -78,18 +78,18 @@
         self._found_good: set[OrderIdentity] = set()
 
     def take_over(self) -> None:
-        """Begin as a new holder: what an earlier one has kept is still to be read."""
+        """Reset the state as a new holder; the records of earlier holders are read again."""
         self._begun.clear()
         self._found_good.clear()
 
     def take_turn(self, get_fencing: Callable[[], int]) -> None:
-        """Do what is due for each order.
+        """Perform the steps that are due for each order.
 
         Raises
         ======
 
-        LeaseError : the duties are not held any more.
-        PlatformError : the object service did not answer; it is to be tried again.
+        LeaseError : the lease is no longer held.
+        PlatformError : the object service did not answer; the step has to be retried.
         """
         for progress in self._rollouts.list_open():
             if progress.order.identity not in self._begun:
@@ -101,7 +101,7 @@
                 self._keep_good(progress)
 
     def _keep_begin(self, progress: RolloutProgress) -> None:
-        """Write when the order was taken up, or learn when an earlier holder did so."""
+        """Store when the order began, or read the record that an earlier holder stored."""
         order = progress.order
         now_ms = self._clock.now_ms()
         began_unix_ms = self._true_time.now_ms() - progress.get_age_ms(now_ms)
@@ -125,7 +125,7 @@
             self._begun.add(order.identity)
 
     def _keep_good(self, progress: RolloutProgress) -> None:
-        """Write that the version was found good: the answers that say so end with the processes."""
+        """Store that the version was found good: the answer counts are lost when the processes end."""
         order = progress.order
         if order.identity in self._found_good:
             return
@@ -138,7 +138,7 @@
             self._found_good.add(order.identity)
 
     def _decide(self, progress: RolloutProgress) -> RolloutState | None:
-        """Return the state that an order should have now; None if nothing is to be written."""
+        """Return the state to write for an order; None if there is nothing to write."""
         now_ms = self._clock.now_ms()
         age_ms = progress.get_age_ms(now_ms)
         if progress.stopped_for:
@@ -153,17 +153,21 @@
         return RolloutState.COMPLETED if self._is_moved(progress, now_ms) else None
 
     def _begin_move(self, progress: RolloutProgress, now_ms: float) -> RolloutState | None:
-        """Begin the move once the new version is good; end the order when it is too late for that."""
+        """Begin the move if the new version is good; roll back if it is too late for a verdict."""
         planned_ms = progress.began_ms + progress.times.close_ms
         close_ms = max(planned_ms, now_ms + LEAST_MOVE_MS)
         if self._is_good(progress):
-            # Also late: the answers have decided, only the duties were not held in time.
+            # Also when late: the answers have decided, and only the lease was not held in time.
             progress.begin_move(close_ms)
             return None
         if close_ms <= progress.began_ms + progress.times.latest_close_ms:
             return None
         has_come = any(self._is_target(one, progress.order) for one in self._list_servers())
-        progress.stop("not judged in time" if has_come else "no server of it came")
+        progress.stop(
+            "not judged within the time limit"
+            if has_come
+            else "no server of the new version registered"
+        )
         return RolloutState.ROLLED_BACK
 
     def _is_good(self, progress: RolloutProgress) -> bool:
@@ -173,7 +177,7 @@
         return verdict is Verdict.GOOD or (was_good and verdict is not Verdict.BAD)
 
     def _is_moved(self, progress: RolloutProgress, now_ms: float) -> bool:
-        """Return whether the old servers may stop: nothing runs there, or there is no more time."""
+        """Return whether the old servers may stop: they are idle, or no time is left to wait."""
         assert progress.close_ms is not None
         if now_ms < progress.close_ms:
             return False
@@ -191,9 +195,9 @@
         return [one for one in servers if one.version != order.target]
 
     def _names_version_in_force(self, order: RolloutOrder) -> bool:
-        """Return whether all servers of the service have the version that the order names.
+        """Return whether all servers of the service run the version that the order names.
 
-        This says something only of an order that was just given: later the old servers may be lost.
+        This is conclusive only for a new order: later, the old servers may have been lost.
         """
         servers = [one for one in self._list_servers() if one.serves == order.service]
         return bool(servers) and not self._list_old(order)
@@ -219,7 +223,7 @@
 
 
 def _is_of_order(value: Any, order: RolloutOrder) -> bool:
-    """Return whether a stored beginning is that of this order."""
+    """Return whether a stored record belongs to this order."""
     try:
         is_same = (value["target"], value["created"]) == (order.target, order.created)
         return is_same and float(value["began_unix_ms"]) >= 0
--- a/tests/test_rollout_duty.py
+++ b/tests/test_rollout_duty.py
@@ -218,7 +218,7 @@
     progress.has_seen_target = False  # No request of this gateway has met one.
     holder.play(LIMIT_MS)
     assert holder.store.states == ["running", "rolled_back"]
-    assert progress.stopped_for == "not judged in time"
+    assert progress.stopped_for == "not judged within the time limit"
 
 
 def test_answers_that_come_late_still_decide(holder):
@@ -234,7 +234,7 @@
     progress = holder.progress
     holder.play(LIMIT_MS)
     assert holder.store.states == ["running", "rolled_back"]
-    assert progress.stopped_for == "no server of it came"
+    assert progress.stopped_for == "no server of the new version registered"
 
 
 def test_an_order_for_the_version_in_force_is_completed():
