--- a/hemlockswitch/process/gateway/__init__.py
+++ b/hemlockswitch/process/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway: a daemon that forwards requests by routes, and takes its turn at control.
+"""The gateway: a daemon that forwards requests by routes and shares the control duties with its peers.
 
-`GatewayDaemon` is the public entry; the other modules are its parts.
+`GatewayDaemon` is the public entry point; the other modules are internal.
 """
