--- a/hemlockswitch/process/gateway/accounts.py
+++ b/hemlockswitch/process/gateway/accounts.py
@@ -1,9 +1,9 @@
-"""The limits of client accounts over all daemons, from what each daemon says it has spent.
+"""Rate limits of client accounts over all daemons, enforced with reports of each daemon's spending.
 
-Each daemon keeps a bucket for each account and takes from it both its own requests and those that
-the other daemons report, several times a second, and at once when little is left. Daemons that are
-not heard count as a part of the limit that is theirs: in a cut each side admits only its part, so the
-sum stays in the limit.
+Each daemon has a token bucket for each account, and deducts both its own requests and those that its
+peers report, several times a second and at once when little is left. Daemons that are not connected
+retain their share of the limit: in a network partition each side admits only its own share, so that
+the sum stays within the limit.
 """
 
 from collections import defaultdict
@@ -14,25 +14,26 @@
 from hemlockswitch.version.serving_table import ForwardedAccount
 
 START_SLACK_SHARE = 1 / 6
-"""Part of the tolerated excess that a new process's bucket begins with, at most the burst. When all
-daemons restart, each account gets this much anew, and once more before the daemons hear of one
-another. With a sixth, a hot account stays in its bound over two restarts in one window; with a
-third it does not (tests/test_gateway_accounts.py)."""
+"""Fraction of the tolerated excess with which the bucket of a new process starts, at most the burst.
+When all daemons restart, each account gets this amount again, and once more before the daemons receive
+each other's reports. With a sixth, a busy account stays within its limit over two restarts in one
+window; with a third it does not (tests/test_gateway_accounts.py)."""
 CONTENDED_SHARE = 0.75
-"""Below this part of its capacity a bucket counts as contended: what is spent of it is told to the
-other daemons at once, not with the next report, since each of them could spend the rest again."""
+"""Below this fraction of its capacity a bucket counts as contended: spending from it is reported to the
+peers at once instead of with the next report, since each of them could spend the remaining amount
+again."""
 SHORTEST_WAIT_MS = 100.0
 LONGEST_WAIT_MS = 4_000.0
-"""Bounds of the time to come back that a refused caller is told."""
+"""Limits of the retry delay sent to a refused caller."""
 
 
 class AccountBucket:
-    """What one account may spend, as one daemon believes.
+    """Token bucket of one account, as estimated by one daemon.
 
     Parameters
     ==========
 
-    start : what it holds at `now_ms`.
+    start : level of the bucket at `now_ms`.
 
     Examples
     ========
@@ -55,18 +56,18 @@
         self._updated_ms = now_ms
 
     def set_limit(self, now_ms: float, rate_per_s: float, burst: float, share: float) -> None:
-        """Use another limit from now on."""
+        """Change the limit from `now_ms` on."""
         self._refill(now_ms, share)
         self._rate_per_s = rate_per_s
         self._burst = burst
 
     def take(self, now_ms: float, amount: float, share: float) -> float | None:
-        """Spend `amount`; return None, or the ms to wait when there is not enough.
+        """Spend `amount` and return None, or return the ms to wait if the level is too low.
 
         Parameters
         ==========
 
-        share : part of the limit that the daemons in touch with this one have together.
+        share : fraction of the limit that belongs to this daemon and its connected peers.
         """
         self._refill(now_ms, share)
         needed = min(amount, self._capacity(share))
@@ -78,12 +79,12 @@
         return min(max(wait_ms, SHORTEST_WAIT_MS), LONGEST_WAIT_MS)
 
     def spend(self, now_ms: float, amount: float, share: float) -> None:
-        """Take what another daemon has spent, whatever the level."""
+        """Deduct an amount that another daemon has spent, whatever the level."""
         self._refill(now_ms, share)
         self._level -= amount
 
     def is_contended(self, share: float) -> bool:
-        """Return whether little is left of what the bucket may hold."""
+        """Return whether the level is below the contended fraction of the capacity."""
         return self._level < CONTENDED_SHARE * self._capacity(share)
 
     def _capacity(self, share: float) -> float:
@@ -96,15 +97,15 @@
 
 
 class SharedLimits:
-    """All accounts' limits at this daemon.
+    """Limits of all accounts at this daemon.
 
     Parameters
     ==========
 
-    clock : the time.
-    get_share : returns the part of the limits that the daemons in touch have together.
-    on_contended : called when some of a contended bucket was spent, to tell the others.
-    get_period : returns the longest time between two reports.
+    clock : source of the current time.
+    get_share : returns the fraction of the limits that belongs to this daemon and its connected peers.
+    on_contended : called when a request has spent from a contended bucket, to report it to the peers.
+    get_period : returns the maximum interval between reports.
     slack : by how much the use of an account may exceed its limit over all daemons.
     """
 
@@ -130,7 +131,7 @@
         self._seen: dict[tuple[str, str], float] = {}
 
     def take(self, account: ForwardedAccount, amount: float) -> float | None:
-        """Spend `amount` of an account; return None, or how long to wait in ms."""
+        """Spend `amount` of an account and return None, or return the ms to wait."""
         bucket = self._find_bucket(account)
         share = self._get_share()
         wait_ms = bucket.take(self._clock.now_ms(), amount, share)
@@ -144,9 +145,9 @@
         return None
 
     def describe_spent(self) -> dict[str, float]:
-        """Return what the accounts in use have spent here, for the other daemons.
+        """Return the sums spent here by the accounts in use, for the other daemons.
 
-        Each sum is repeated by several reports, so that a lost one changes nothing.
+        Each sum is repeated in several reports, so that the loss of one report has no effect.
         """
         oldest_ms = self._clock.now_ms() - self._get_period().repeated_ms
         return {
@@ -162,9 +163,9 @@
         return changed
 
     def take_report(self, daemon: str, spent: Mapping[str, float]) -> None:
-        """Take another daemon's sums; `daemon` differs for each start of a process.
+        """Apply another daemon's sums; `daemon` differs for each start of a process.
 
-        Sums come by several ways; one that is older than what is known changes nothing.
+        Sums arrive over several paths; one that is lower than the recorded sum is ignored.
         """
         if not spent:
             return
@@ -177,7 +178,7 @@
                 bucket.spend(self._clock.now_ms(), total - before, share)
 
     def _find_bucket(self, account: ForwardedAccount) -> AccountBucket:
-        """Return the account's bucket; a new one has filled since the process began."""
+        """Return the account's bucket; a new bucket has been filling since the process started."""
         limit = (account.rate_per_s, account.burst)
         now_ms = self._clock.now_ms()
         bucket = self._buckets.get(account.name)
