--- a/hemlockswitch/process/gateway/configuration.py
+++ b/hemlockswitch/process/gateway/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force: the newest revision that this process has seen, never an older one."""
+"""The configuration in force: the newest revision seen by this process, never replaced by an older one."""
 
 from collections.abc import Callable
 
@@ -12,13 +12,13 @@
 
 
 class TableHolder:
-    """Holds the serving table; consumes the followed configuration object.
+    """Current serving table, updated from the configuration object in the object service.
 
     Parameters
     ==========
 
-    name : the object that holds the newest configuration.
-    decode : turns the object into a table; raises `ConfigurationError`.
+    name : name of the object that contains the newest configuration.
+    decode : converts the object into a table; raises `ConfigurationError`.
     """
 
     def __init__(self, name: str, decode: Decoder) -> None:
@@ -28,15 +28,15 @@
 
     @property
     def bounds(self) -> CallerBounds:
-        """What callers may send; defaults before the first configuration."""
+        """Limits on callers' requests; defaults before the first configuration."""
         return self.current.bounds if self.current is not None else CallerBounds()
 
     def replace_all(self, page: ObjectPage) -> None:
-        """Take a whole list."""
+        """Apply a complete list of objects."""
         self.apply_changes(page)
 
     def apply_changes(self, page: ObjectPage) -> None:
-        """Take the newest configuration among changed objects."""
+        """Apply the configuration object if it is among the changed objects."""
         for item in page.items:
             if item.name == self._name and not item.deleted:
                 self._take(item)
