--- a/hemlockswitch/process/gateway/copies_plan.py
+++ b/hemlockswitch/process/gateway/copies_plan.py
@@ -1,4 +1,7 @@
-"""How many copies of a service are needed, and of which kind in which zone: pure functions."""
+"""Planning of copies: how many a service needs, of which machine class and in which zone.
+
+All functions are pure.
+"""
 
 import math
 from collections.abc import Mapping
@@ -19,13 +22,13 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """The work that callers ask of a service now, over all gateways.
+    """Current demand for a service, over all gateways.
 
     Parameters
     ==========
 
-    prefill_tokens_per_ms : prompt tokens that were not expected in a cache.
-    running : requests in progress.
+    prefill_tokens_per_ms : rate of prompt tokens that were not expected in a cache.
+    running : number of requests in progress.
     """
 
     prefill_tokens_per_ms: float = 0.0
@@ -34,16 +37,16 @@
 
 @dataclass(frozen=True)
 class CopiesSituation:
-    """What a plan is made from.
+    """Inputs of a copy plan.
 
     Parameters
     ==========
 
     zones : the availability zones of the site.
-    live : copies by pool that serve and are not leaving.
-    dry : pools where none were to be had a moment ago.
-    fewest : copies that are needed whatever the demand seems to be.
-    tokens_per_ms : how fast an engine reads prompts, as far as was observed.
+    live : number of copies by pool that serve and are not leaving.
+    dry : pools that recently had no copies to offer.
+    fewest : minimum number of copies, whatever the measured demand.
+    tokens_per_ms : observed prefill rate of an engine.
     """
 
     service: ForwardedService
@@ -56,39 +59,40 @@
 
 
 TARGET_PREFILL_SHARE = 0.55
-"""Part of the engines' reading time that is planned for. Prompts arrive at random: at half of the
-capacity the mean wait is about one prompt's reading. The rate is the one that was observed, with the
-steps of the batch in it."""
+"""Planned utilization of the engines' prefill capacity. Prompts arrive at random: at half of the
+capacity, the mean wait is about the prefill time of one prompt. The capacity is the observed prefill
+rate, which includes the decode steps of the batch."""
 TARGET_SLOT_SHARE = 0.6
-"""Part of the batches' slots that is planned for: token steps slow down as batches fill."""
+"""Planned utilization of the batch slots: decode steps slow down as batches fill."""
 FEWEST_COPIES = 3
-"""Whatever the measured demand: what a lost copy had cached must be read again by the others, which
-the demand shows only afterwards."""
+"""Minimum number of copies, whatever the measured demand. The remaining copies must prefill again what a
+lost copy had cached, and the measured demand shows this only afterwards."""
 FOUND_SHARE = 0.85
-"""Part of the copies at the full price found at a takeover that is needed until the demand is
-measured: operators size their fleets for the peak, and cold caches need more reading than the
-demand shows."""
+"""Fraction of the on-demand copies found at a takeover that counts as needed until the demand is
+measured: operators size their fleets for the peak, and cold caches need more prefill than the demand
+shows."""
 KEPT_SHARE = 0.4
-"""The same part of all copies. Reclaimable ones were ordered by an earlier holder and are twice
-what is needed: a larger part would raise the orders at each takeover."""
+"""Fraction of all copies found at a takeover that counts as needed until the demand is measured.
+Reclaimable copies were ordered by an earlier holder at twice the need, so a larger fraction would raise
+the orders at each takeover."""
 PRIOR_MS = 12_000.0
-"""How long after the first requests the measured demand is not trusted alone: three times the time
-constant with which it is measured, in which the shared parts have been read once."""
+"""Time after the first requests in which the copies found at a takeover still count as needed: three
+times the time constant of the measured demand, in which the shared prompt parts are prefilled once."""
 RESERVE_FACTOR = 1.25
-"""With this many times what is needed in reclaimable copies that serve, copies at the full price
-are given back at once: after a first start they are most of what is paid until the first request."""
+"""If the reclaimable copies that serve are this multiple of the need, on-demand copies are released
+without delay: after a first start they are most of the cost until the first request."""
 CHEAP_PRICE = 0.35
-"""Up to this part of the full price, copies for the loss of a second zone cost less than the
-stand-ins that are ordered in a wave, and boot too late, at the full price."""
+"""Up to this fraction of the full price, reclaimable copies that cover the loss of a second zone cost
+less than the on-demand copies that a wave of reclaims requires, which boot too late."""
 
 
 def count_needed(situation: CopiesSituation) -> int:
-    """Return how many copies the demand needs, without reserve for a loss."""
+    """Return how many copies are needed, without a reserve for losses."""
     return max(_count_by_demand(situation), situation.fewest)
 
 
 def _count_by_demand(situation: CopiesSituation) -> int:
-    """Return how many copies the measured demand needs, whatever was found at a takeover."""
+    """Return how many copies the measured demand needs, ignoring the copies found at a takeover."""
     engine = situation.service.engine
     slots = engine.slots if engine is not None else 1
     demand = situation.demand
@@ -98,19 +102,19 @@
 
 
 def plan_copies(situation: CopiesSituation) -> dict[Pool, int]:
-    """Return how many copies to have in every pool.
+    """Return how many copies every pool should have.
 
     Explanation
     ===========
 
-    Reclaimable copies carry the demand, spread so that what is needed is left when one zone's are
-    reclaimed at once; two zones' where they are cheap, since waves of reclaims go from zone to zone
-    before the first one has any again. Copies that are not reclaimable stand in for those that are
-    missing, in the cheapest zones: while a wave of reclaims goes round, nothing else is to be had.
-    As soon as one zone has none to give, they also stand in for what the next zone would take,
-    since they boot as long as a wave takes to the next zone; for that the measured demand counts
-    alone. In calm times none is kept: the reserve is reclaimable, and one copy at the full price
-    costs as much as a zone's worth of it.
+    Reclaimable copies serve the demand. They are spread so that enough remain when all copies of one
+    zone are reclaimed at once, or of two zones where copies are cheap, since a wave of reclaims moves
+    from zone to zone before the first zone offers copies again. On-demand copies replace the missing
+    ones in the cheapest zones: during a wave, nothing else is available. As soon as one zone has no
+    copies to offer, on-demand copies also replace what the next zone would lose, since they boot for
+    as long as a wave takes to reach the next zone; this counts only the measured demand. Without a
+    wave no on-demand copies are retained: the reserve is reclaimable, and one on-demand copy costs as
+    much as the reserve of a zone.
     """
     needed = count_needed(situation)
     wanted = _plan_reclaimable(situation, needed)
@@ -123,17 +127,17 @@
 
 
 def _count_largest_zone(situation: CopiesSituation, wanted: Mapping[Pool, int]) -> int:
-    """Return how many of the wanted reclaimable copies the next wave may take."""
+    """Return how many of the wanted copies the next wave of reclaims may remove: one pool's."""
     return max(
         (min(situation.live.get(pool, 0), count) for pool, count in wanted.items()), default=0
     )
 
 
 def has_reserve(situation: CopiesSituation, wanted: Mapping[Pool, int]) -> bool:
-    """Return whether the reclaimable copies of a plan that serve now are well above the need.
+    """Return whether the serving reclaimable copies of a plan exceed the need by the reserve factor.
 
-    Copies at the full price may leave no room for that many: then it is enough that all which fit
-    beside them serve, as long as there are more to be had in every zone.
+    On-demand copies may leave no room for that many. In that case it is enough that all planned
+    reclaimable copies serve and cover the need, as long as no pool is dry.
     """
     reclaimable = {
         pool: count
@@ -151,18 +155,18 @@
 
 
 def _plan_reclaimable(situation: CopiesSituation, needed: int) -> dict[Pool, int]:
-    """Return the reclaimable copies by zone; none beyond the present ones where it is dry."""
+    """Return the planned reclaimable copies by pool; a dry pool gets none beyond the present ones."""
     scaling = situation.service.scaling
     assert scaling is not None
     lost_zones = 2 if scaling.reclaimable_price <= CHEAP_PRICE else 1
     per_zone = math.ceil(needed / max(len(situation.zones) - lost_zones, 1))
-    # One place in each zone stays free for a copy that is not reclaimable.
+    # Leave room in each zone for one on-demand copy.
     per_zone = min(per_zone, max(scaling.max_copies - 1, 1))
     wanted: dict[Pool, int] = {}
     for zone in situation.zones:
         pool = Pool(zone, MachineClass.RECLAIMABLE)
         present = situation.live.get(pool, 0)
-        # The bound is on both classes together: what has no room now is ordered once it has.
+        # The limit applies to both classes together; copies without room now are ordered later.
         room = scaling.max_copies - situation.live.get(Pool(zone, MachineClass.ON_DEMAND), 0)
         most = present if pool in situation.dry else max(room, present)
         wanted[pool] = min(per_zone, most)
@@ -172,7 +176,7 @@
 def _plan_on_demand(
     situation: CopiesSituation, count: int, reclaimable: Mapping[Pool, int]
 ) -> dict[Pool, int]:
-    """Return `count` copies over the zones, the cheapest first, as evenly as the bounds allow."""
+    """Distribute `count` copies over the zones, cheapest first, as evenly as the limits allow."""
     scaling = situation.service.scaling
     assert scaling is not None
     by_price = sorted(situation.zones, key=lambda zone: scaling.zone_prices.get(zone, 1.0))
@@ -190,7 +194,7 @@
 
 
 def count_prior(live: Mapping[Pool, int]) -> int:
-    """Return how many of the copies found count as needed."""
+    """Return how many of the copies found at a takeover count as needed."""
     found = sum(
         number for pool, number in live.items() if pool.machine_class is MachineClass.ON_DEMAND
     )
