--- a/hemlockswitch/process/gateway/daemon.py
+++ b/hemlockswitch/process/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway daemon: its parts, wired together, started and stopped in order."""
+"""The gateway daemon: construction of its components, and their start and stop in order."""
 
 import time
 from collections.abc import Callable
@@ -47,23 +47,23 @@
 
 SWEEP_MS = 1_000.0
 LISTEN_ON_STOP_MS = 2_500.0
-"""How long to accept connections after a stop signal: balancers ask for readiness once a second
-and take a daemon out after two answers, so new connections come for up to two seconds. What comes
-later than three seconds could not count on being finished in the time that is left."""
+"""How long to accept connections after a stop signal. Balancers check readiness once a second and remove
+a daemon after two answers, so new connections arrive for up to two seconds. Requests that arrive after
+three seconds might not finish in the remaining time."""
 FORCE_MARGIN_MS = 500.0
-"""The process ends by itself this long before the platform ends it by force."""
+"""The process exits this long before the platform kills it."""
 STOP_STEP_MS = 50.0
 
 
 class GatewayDaemon:
-    """One `hemlock-gateway` process.
+    """A `hemlock-gateway` process.
 
     Parameters
     ==========
 
-    settings : the checked settings file.
-    adapter : the outside systems.
-    clock : the process's clock.
+    settings : the validated settings file.
+    adapter : access to the external systems.
+    clock : the clock of the process.
     """
 
     def __init__(self, settings: GatewaySettings, adapter: Adapter, clock: Clock) -> None:
@@ -78,7 +78,7 @@
         self._build_servers()
 
     def _build_knowledge(self) -> None:
-        """Build what the daemon knows: configuration, backend servers, other gateways."""
+        """Build the local state of the daemon: configuration, backend servers, other gateways."""
         adapter, clock = self._adapter, self._clock
         self.true_time = TrueTime()
         self._incarnation = time.time_ns()
@@ -132,7 +132,7 @@
         )
 
     def _build_rollouts(self) -> Rollouts:
-        """Build what follows the orders that move services to new versions."""
+        """Build the tracking of rollout orders."""
         settings = self.settings
         bound = None
         if settings.rollout_share is not None:
@@ -140,7 +140,7 @@
         return Rollouts(self._adapter.decode_rollout, bound, self.fleet.count_listed, self._clock)
 
     def _build_forwarding(self) -> None:
-        """Build the path of a request."""
+        """Build the components that process requests."""
         settings, clock = self.settings, self._clock
         self.limits = SharedLimits(
             clock,
@@ -184,7 +184,7 @@
         )
 
     def _build_guard(self) -> None:
-        """Build what holds back requests under which backend servers end."""
+        """Build the guard, which quarantines requests that crash backend servers."""
         clock, quarantine = self._clock, self.quarantine
         self.prober = Prober(self.reachability, self.pool, self.registry.list_all, clock)
         self.suspects = SuspectExchange(self.network, self.fleet, quarantine, clock)
@@ -201,7 +201,7 @@
         self.observer.metrics.describe_rollouts = self.rollouts.count_answers
 
     def _build_duties(self) -> None:
-        """Build the duties, if there is an API that takes them."""
+        """Build the duties, if the adapter has an API for them."""
         self.duties = build_duties(
             self.settings,
             self._adapter,
@@ -236,7 +236,7 @@
         )
 
     def start(self) -> dict[str, str]:
-        """Open the sockets, spawn the tasks, and return the addresses that are bound."""
+        """Open the sockets, spawn the tasks and return the bound addresses."""
         peer_address = self.network.start()
         listen_address = self.callers.start()
         page_addresses = self.pages.start()
@@ -249,7 +249,7 @@
         return {"listen": listen_address, "peer": peer_address, **page_addresses}
 
     def _list_tasks(self) -> dict[str, Callable[[], None]]:
-        """Return what runs until the process ends, by name."""
+        """Return the background tasks, which run until the process ends, by name."""
         tasks: dict[str, Callable[[], None]] = {
             "registrations": self._refresh_fleet,
             "near reports": self.schedule.send_near,
@@ -277,7 +277,7 @@
         return self._readiness.is_ready()
 
     def stop(self) -> None:
-        """Leave the balancer, finish the requests in progress, and close."""
+        """Report as not ready to the balancer, finish the requests in progress, and close."""
         began_ms = self._clock.now_ms()
         self._readiness.stop()
         self.callers.begin_closing()
@@ -297,7 +297,7 @@
         self._close()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Use changed settings; addresses and names stay until the next start."""
+        """Apply changed settings; changed addresses and names take effect at the next start."""
         changed = sorted(
             name
             for name in type(settings).__struct_fields__
