--- a/hemlockswitch/process/gateway/duties.py
+++ b/hemlockswitch/process/gateway/duties.py
@@ -1,4 +1,4 @@
-"""The duties of one gateway at a time, under the lease: usage reports, copies, and roll-outs."""
+"""Duties performed by the gateway that holds the lease: usage reports, copy orders and rollouts."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -16,16 +16,16 @@
 
 LEASE_NAME = "duties"
 TURN_MS = 250.0
-"""Time between two looks at what is due; a reclaimed copy is replaced that much later."""
+"""Interval between checks for due work; it delays the replacement of a reclaimed copy."""
 RENEWALS_IN_TERM = 4
 STOP_SHARE = 0.35
-"""Part of the term, at its end, in which a holder no longer acts; above the time-out of a call."""
+"""Final fraction of the term in which the holder no longer acts; longer than the timeout of a call."""
 MARGIN_SHARE = 0.15
-"""What a successor waits beyond the term, for clocks that run at different rates."""
+"""Fraction of the term that a successor waits after it, since clocks run at different rates."""
 
 
 def make_lease_times(term_ms: float) -> LeaseTimes:
-    """Return the lease's durations for a term.
+    """Return the durations of a lease with the given term.
 
     Examples
     ========
@@ -43,22 +43,22 @@
 
 
 class OtherLeaders(Protocol):
-    """Tells whether another gateway is known to hold the duties."""
+    """Reports whether another gateway holds the duties."""
 
     def has_other_leader(self) -> bool:
-        """Return whether another gateway says so."""
+        """Return whether another gateway has reported that it holds the duties."""
 
 
 class DutyRunner:
-    """Keeps or seeks the lease and does what is due while it is held.
+    """Acquires and renews the lease, and performs the duties that are due while it is held.
 
     Explanation
     ===========
 
-    A gateway that hears from the holder does not look at the lease at all, which saves calls of
-    the object service. Every act reads the clock for the lease first, so that a process that was
-    suspended does not act on a lease that lapsed meanwhile. A new holder announces itself, so that
-    the others send it their usage counts from then on.
+    A gateway that receives reports from the holder does not read the lease, which saves calls to
+    the object service. Every action first checks the lease against the clock, so that a process
+    that was suspended does not act on a lease that expired in the meantime. A new holder announces
+    itself, so that its peers start sending it their usage counts.
     """
 
     def __init__(
@@ -87,30 +87,30 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this gateway may act now."""
+        """Whether this gateway currently holds the lease."""
         return self._lease.is_held
 
     def keep_lease(self) -> None:
-        """Renew or seek the lease until it is given back or the task is ended."""
+        """Renew or acquire the lease until it is released or the task is cancelled."""
         while not self._is_released:
             if not self._lease.is_held and self._others.has_other_leader():
                 self._clock.sleep_ms(TURN_MS)
                 continue
             pause_ms = self._lease.take_turn()
             if self._is_released:
-                # The call was under way when the process was told to stop.
+                # The call was in progress when the process was asked to stop.
                 self._lease.release()
                 return
             self._clock.sleep_ms(pause_ms)
 
     def act(self) -> None:
-        """Do what is due until the task is ended."""
+        """Perform due duties until the task is cancelled."""
         while True:
             self._clock.sleep_ms(TURN_MS)
             self.take_turn()
 
     def take_turn(self) -> None:
-        """Do what is due now, if the lease is held."""
+        """Perform the duties that are due now, if the lease is held."""
         if not self._lease.is_held:
             self._was_held = False
             return
@@ -131,17 +131,17 @@
                 log_event(Event.DUTY_FAILED, "warning", detail=error.detail)
 
     def keep_usage(self) -> None:
-        """Keep the counts that are not reported yet until the task is ended."""
+        """Store the usage counts that are not reported yet until the task is cancelled."""
         while True:
             self._clock.sleep_ms(KEEP_MS)
             if self._was_held and self._lease.is_held:
                 save_while_held(self._keeper)
 
     def release(self) -> None:
-        """Give the lease back, so that a successor need not wait, and do not seek it again.
+        """Release the lease, so that a successor need not wait, and do not acquire it again.
 
-        A stopping gateway that takes it once more ends with it some seconds later, and its
-        successor must wait for a whole term.
+        A stopping gateway that acquired it again would exit some seconds later while holding it,
+        and its successor would have to wait for a full term.
         """
         self._is_released = True
         self._lease.release()
