--- a/hemlockswitch/process/gateway/duty_parts.py
+++ b/hemlockswitch/process/gateway/duty_parts.py
@@ -1,4 +1,4 @@
-"""Builds the duties of a gateway from its parts."""
+"""Construction of a gateway's duties."""
 
 from collections.abc import Callable
 
@@ -25,13 +25,13 @@
     announce: Callable[[], None],
     clock: Clock,
 ) -> DutyRunner | None:
-    """Return the duties; None if there is no API that takes them.
+    """Return the duties; None if the adapter has no API for them.
 
     Parameters
     ==========
 
-    get_address : returns where other gateways reach this one.
-    announce : tells them that this one holds the duties.
+    get_address : returns the address at which other gateways reach this one.
+    announce : reports to the other gateways that this one holds the duties.
     """
     api, store = adapter.duty_api, adapter.store
     if api is None:
