--- a/hemlockswitch/process/gateway/meters.py
+++ b/hemlockswitch/process/gateway/meters.py
@@ -1,14 +1,14 @@
-"""Measured rates and levels of load, smoothed over the time in which a copy boots."""
+"""Exponentially smoothed rates and levels of load."""
 
 import math
 
 DEMAND_MS = 4_000.0
-"""Time constant of the measured demand: as long as a copy boots, so that an order that follows it
-is neither stale nor led by single prompts."""
+"""Time constant of the measured demand. It equals the boot time of a copy, so that orders for copies
+neither lag behind the demand nor react to single prompts."""
 
 
 class DemandMeter:
-    """A rate of work that follows the demand within seconds and smooths single requests.
+    """Rate of work that follows changes in demand within seconds and smooths out single requests.
 
     Examples
     ========
@@ -24,23 +24,23 @@
         self._updated_ms = 0.0
 
     def add(self, now_ms: float, amount: float) -> None:
-        """Count `amount` of work."""
+        """Add `amount` of work at `now_ms`."""
         self._rate = self.get(now_ms) + amount / DEMAND_MS
         self._updated_ms = now_ms
 
     def get(self, now_ms: float) -> float:
-        """Return the work in a millisecond."""
+        """Return the rate of work per millisecond."""
         return self._rate * math.exp(-(now_ms - self._updated_ms) / DEMAND_MS)
 
 
 class LevelMeter:
-    """A level, such as the requests in progress, that is smoothed over its latest readings.
+    """Smoothed level of a quantity, such as the number of requests in progress.
 
     Explanation
     ===========
 
-    Requests in progress vary by the root of their number from one moment to the next. A plan that
-    follows each reading orders a copy and gives it back before it has booted.
+    The number of requests in progress fluctuates by about its square root. A plan that followed
+    each reading would order a copy and release it before it has booted.
 
     Examples
     ========
@@ -57,7 +57,7 @@
         self._read_ms = 0.0
 
     def read(self, now_ms: float, value: float) -> float:
-        """Take a reading and return the level."""
+        """Add a reading and return the smoothed level."""
         if self._level is None:
             self._level = value
         weight = 1.0 - math.exp(-(now_ms - self._read_ms) / DEMAND_MS)
