--- a/hemlockswitch/process/gateway/metrics.py
+++ b/hemlockswitch/process/gateway/metrics.py
@@ -1,7 +1,7 @@
-"""The gateway's counters and histograms; prometheus_client is loaded when they are first asked for.
+"""The gateway's counters and histograms; prometheus_client is imported at the first query for them.
 
-A gateway that starts again keeps callers waiting, and most starts end without a look at the metrics.
-So the figures are plain numbers here, and a collector gives them to the library in its own types.
+Callers wait while a gateway restarts, and most processes end without a query for metrics. The values
+are therefore plain numbers, and a collector converts them to the types of the library.
 """
 
 from bisect import bisect_left
@@ -21,7 +21,7 @@
 
 
 class Timings:
-    """A histogram of durations.
+    """Histogram of durations.
 
     Examples
     ========
@@ -40,13 +40,13 @@
         self._counts = [0] * (len(FIRST_EVENT_BUCKETS_S) + 1)
 
     def observe(self, duration_ms: float) -> None:
-        """Count one duration."""
+        """Add a duration to the histogram."""
         duration_s = duration_ms / MS_PER_SECOND
         self.sum_s += duration_s
         self._counts[bisect_left(FIRST_EVENT_BUCKETS_S, duration_s)] += 1
 
     def list_buckets(self) -> list[tuple[str, float]]:
-        """Return (upper bound in seconds, durations up to it) of each bucket."""
+        """Return each bucket as (upper bound in seconds, number of durations up to it)."""
         bounds = [*map(str, FIRST_EVENT_BUCKETS_S), "+Inf"]
         total = 0
         buckets: list[tuple[str, float]] = []
@@ -57,18 +57,18 @@
 
 
 class GatewayMetrics:
-    """What the gateway counts.
+    """Counters and histograms of the gateway.
 
-    Parameters
+    Attributes
     ==========
 
-    requests : (route, outcome) to requests that are over.
-    failures : kind of failure to sends without a complete answer.
-    connections : connections made to backend servers.
-    begun : route to the times from a request's head to the beginning of its answer.
-    guard : what the guard of requests under which servers end has counted.
-    measure_ages : returns the age in ms of what is known of each kind of objects.
-    describe_rollouts : returns answers by service, version and result while services move.
+    requests : number of ended requests by (route, outcome).
+    failures : number of send attempts without a complete answer, by kind of failure.
+    connections : number of connections made to backend servers.
+    begun : histograms by route of the time from a request's head to the beginning of its answer.
+    guard : counts of the guard against requests that crash backend servers.
+    measure_ages : returns the age in ms of the local state of each kind of object.
+    describe_rollouts : returns the answer counts by service, version and result during rollouts.
 
     Examples
     ========
@@ -95,7 +95,7 @@
         return generate_latest(self.build_registry())
 
     def build_registry(self) -> "CollectorRegistry":
-        """Return a registry of the library that collects these figures."""
+        """Return a registry of the library that collects these metrics."""
         from prometheus_client import CollectorRegistry
 
         registry = CollectorRegistry()
@@ -103,7 +103,7 @@
         return registry
 
     def collect(self) -> "Iterator[Metric]":
-        """Yield the figures as the library's types (called by it)."""
+        """Yield the metrics as types of the library, which calls this method."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
