--- a/hemlockswitch/process/gateway/observation.py
+++ b/hemlockswitch/process/gateway/observation.py
@@ -1,4 +1,4 @@
-"""What the gateway tells operators: one log line for each request, counters and histograms."""
+"""Observation of requests for operators: one log line for each request, counters and histograms."""
 
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock
 from hemlockswitch.core.events import Event
@@ -10,11 +10,11 @@
 from hemlockswitch.request.send_states import SendFailure
 
 LINES_PER_SECOND = 100
-"""Request lines in a second at the most, which cost half a percent of a core."""
+"""Maximum rate of request log lines; at this rate they use half a percent of a core."""
 
 
 class LinePace:
-    """Bounds how many lines are written in a second, and counts those left out."""
+    """Rate limiter for request log lines, which counts the suppressed lines."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -23,7 +23,7 @@
         self._left_out = 0
 
     def allow(self) -> bool:
-        """Return whether a line may be written now."""
+        """Return whether a line may be written now, and count it."""
         second = int(self._clock.now_ms() // MS_PER_SECOND)
         if second != self._second:
             self._report()
@@ -42,14 +42,14 @@
 
 
 class GatewayObserver:
-    """Hears what becomes of requests.
+    """Records the events of requests in the log, the metrics and the usage counts.
 
     Parameters
     ==========
 
-    usage : counts what began to run.
-    true_time : the time of day by which usage is counted.
-    clock : the time.
+    usage : counts the requests that began to run.
+    true_time : source of the wall-clock time by which usage is counted.
+    clock : source of the monotonic time.
     """
 
     def __init__(self, usage: UsageCounts, true_time: TrueTime, clock: Clock) -> None:
@@ -60,7 +60,7 @@
         self._pace = LinePace(clock)
 
     def attempt_failed(self, progress: Progress, failure: SendFailure, detail: str) -> None:
-        """Count and log one send that failed."""
+        """Count and log a failed send attempt."""
         self.metrics.failures[failure.value] += 1
         if self._pace.allow():
             log_event(
@@ -73,7 +73,7 @@
             )
 
     def request_began(self, progress: Progress) -> None:
-        """Count a request that a backend server has begun to answer."""
+        """Count a request that a backend server has started to answer."""
         admitted = progress.admitted
         if admitted is None or progress.began_ms is None:
             return
@@ -83,7 +83,7 @@
             self._usage.count(self._true_time.now_ms(), admitted.account.name)
 
     def request_ended(self, progress: Progress) -> None:
-        """Count and log a request that is over."""
+        """Count and log a request that has ended."""
         admitted = progress.admitted
         route = admitted.route.name if admitted else ""
         self.metrics.requests[route, progress.outcome] += 1
