--- a/hemlockswitch/process/gateway/pages.py
+++ b/hemlockswitch/process/gateway/pages.py
@@ -1,4 +1,4 @@
-"""The gateway's own pages: readiness for the balancer, status and metrics for operators."""
+"""HTTP pages of the gateway: readiness for the balancer, status and metrics for operators."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -12,15 +12,15 @@
 
 
 class GatewayPages:
-    """Serves the pages on the two addresses of the settings.
+    """Serves the pages on the readiness address and the control address of the settings.
 
     Parameters
     ==========
 
-    is_ready : whether new callers can be served.
-    status : what the gateway says of itself.
+    is_ready : returns whether new callers can be served.
+    status : the status page.
     render_metrics : returns the metrics as Prometheus text.
-    clock : the time.
+    clock : source of the current time.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         )
 
     def start(self) -> dict[str, str]:
-        """Listen, and return the addresses that are bound."""
+        """Start to listen, and return the bound addresses."""
         return {"ready": self._ready_server.start(), "control": self._control_server.start()}
 
     def stop(self) -> None:
