--- a/hemlockswitch/process/gateway/planned_copies.py
+++ b/hemlockswitch/process/gateway/planned_copies.py
@@ -1,4 +1,4 @@
-"""What the plan of copies goes by: the servers that serve the demand, and the demand of all gateways."""
+"""Inputs of the copy plan: the servers that serve the demand, and the demand over all gateways."""
 
 from hemlockswitch.process.gateway.copies_plan import Demand
 from hemlockswitch.process.gateway.fleet import Fleet
@@ -9,13 +9,13 @@
 
 
 class PlannedCopies:
-    """Joins what the gateway's parts know of servers and demand, for the plan of copies.
+    """Combines registered servers and measured demand into the inputs of the copy plan.
 
     Parameters
     ==========
 
-    registry, rollouts : the servers, and which of them are on trial.
-    loads, fleet : the own demand, and that of the other gateways.
+    registry, rollouts : the servers, and which of them run a version on trial.
+    loads, fleet : the demand at this gateway, and at its peers.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         self._fleet = fleet
 
     def list_servers(self) -> list[BackendServer]:
-        """Return the servers that serve the demand; those of a version on trial come beside them."""
+        """Return the servers that count towards the demand, without those of a version on trial."""
         servers = self._registry.list_all()
         return [one for one in servers if not self._rollouts.is_on_trial(one)]
 
