--- a/hemlockswitch/process/gateway/readiness.py
+++ b/hemlockswitch/process/gateway/readiness.py
@@ -1,4 +1,4 @@
-"""Whether a gateway knows what it needs, and whether it tells the balancer that it can serve."""
+"""Readiness of a gateway: whether it has received its initial state and accepts new callers."""
 
 from collections.abc import Callable
 
@@ -8,20 +8,21 @@
 
 LOOK_MS = 10.0
 LONGEST_START_MS = 3_000.0
-"""A gateway that does not know after this time what it needs waits for an outage to end, not for a list
-that is on its way."""
+"""A gateway that has not received its initial state after this time is waiting for the end of an outage,
+not for a list in transit."""
 
 
 class Readiness:
-    """A gateway is ready from when it knows what it needs until it is told to stop.
+    """Readiness state of a gateway: ready once its initial state is complete, until it is stopped.
 
-    What is lost later, such as the object service, does not make it unready: it serves by what it knows.
+    A later failure, for example of the object service, does not make the gateway unready: it serves
+    with its local state.
 
     Parameters
     ==========
 
-    is_synced : returns whether the configuration, the servers and what is held back are known.
-    clock : the time.
+    is_synced : returns whether the configuration, the servers and the quarantine have been received.
+    clock : source of the current time.
     """
 
     def __init__(self, is_synced: Callable[[], bool], clock: Clock) -> None:
@@ -33,11 +34,11 @@
         self._was_ready = False
 
     def stop(self) -> None:
-        """Be not ready any more."""
+        """Report the gateway as not ready from now on."""
         self._is_stopping = True
 
     def is_ready(self) -> bool:
-        """Return whether new callers can be served; a change is logged."""
+        """Return whether new callers can be served; log a change."""
         ready = self._has_synced() and not self._is_stopping
         if ready != self._was_ready:
             log_event(Event.READINESS_CHANGED, ready=ready, stopping=self._is_stopping)
@@ -45,7 +46,7 @@
         return ready
 
     def await_synced(self, most_ms: float) -> None:
-        """Wait until what is needed is known, while the process starts and for `most_ms` at the most."""
+        """Wait until the initial state is complete, during the start phase and for at most `most_ms`."""
         until_ms = min(self._clock.now_ms() + most_ms, self._starts_until_ms)
         while not self._has_synced() and self._clock.now_ms() < until_ms:
             self._clock.sleep_ms(LOOK_MS)
