--- a/hemlockswitch/process/gateway/rollout_sends.py
+++ b/hemlockswitch/process/gateway/rollout_sends.py
@@ -1,4 +1,4 @@
-"""What one send to a service that moves to another version says of that version."""
+"""Classification of the send attempts to a service during a rollout, to judge the new version."""
 
 from dataclasses import dataclass
 
@@ -9,19 +9,20 @@
 
 SLOW_FACTOR = 2.0
 SLOW_ABOVE_MS = 30.0
-"""An answer is slow that begins later than this many times what was predicted, and this much more."""
+"""An answer is slow if it begins later than this multiple of the predicted time plus this offset."""
 LONG_FACTOR = 2.5
-"""An answer is slow that lasts longer than this many times the mean of its route."""
+"""An answer is slow if it lasts longer than this multiple of the mean duration on its route."""
 
 
 @dataclass(frozen=True)
 class SendLimits:
-    """Beyond which times an answer counts as slow.
+    """Times after which an answer counts as slow; infinite if there is no limit.
 
     Parameters
     ==========
 
-    begin_ms, whole_ms : for its beginning, and for the whole of it; infinite if there is no limit.
+    begin_ms : limit for the start of the answer.
+    whole_ms : limit for the complete answer.
     """
 
     begin_ms: float
@@ -31,14 +32,14 @@
     def from_expected(
         cls, expected_ms: float, usual_ms: float | None, is_cold: bool
     ) -> "SendLimits":
-        """Return the limits of a send.
+        """Return the limits of a send attempt.
 
         Parameters
         ==========
 
-        expected_ms : when its answer was predicted to begin.
-        usual_ms : how long answers of its route last; None where that is not known.
-        is_cold : whether the server has just started, and is slow for that alone.
+        expected_ms : predicted time until the answer begins.
+        usual_ms : mean duration of answers on the route; None if none has been measured.
+        is_cold : whether the server is slow because it has just started; its answers have no limits.
 
         Examples
         ========
@@ -55,16 +56,16 @@
 
 
 class RolloutSend:
-    """One send in progress.
+    """A send attempt in progress.
 
     Parameters
     ==========
 
-    progress : the order under which it was sent.
-    is_target : whether it went to the version that is moved to.
+    progress : progress of the order that is open for the service.
+    is_target : whether the attempt goes to the target version of the order.
     server : the incarnation of the server.
-    limits : when its answer counts as slow.
-    clock : the time.
+    limits : times after which the answer counts as slow.
+    clock : source of the current time.
     """
 
     def __init__(
@@ -91,22 +92,22 @@
         self._is_answered = False
 
     def note_answer(self, *, succeeds: bool) -> None:
-        """The answer has begun; `succeeds` unless it is a failure."""
+        """Record that the answer has begun; `succeeds` is false if it reports a failure."""
         self._is_answered = True
         if succeeds:
             self._count(slow=self._get_age_ms() > self._limits.begin_ms)
 
     def note_waiting(self) -> None:
-        """Count the answer as slow as soon as it is overdue."""
+        """Count the answer as slow if it is overdue."""
         age_ms = self._get_age_ms()
         limit_ms = self._limits.whole_ms if self._is_answered else self._limits.begin_ms
         if not self.is_over and age_ms > limit_ms:
             self._count(slow=True)
 
     def end(self, failed: bool) -> None:
-        """The send is over; `failed` counts against the server.
+        """Record that the attempt has ended; `failed` counts against the server.
 
-        A send that was given up before its answer was overdue says nothing.
+        An attempt that was abandoned before its answer was overdue is not counted.
         """
         self.note_waiting()
         self._stop_waiting()
@@ -118,7 +119,7 @@
             self._progress.note_duration(self._route, self._get_age_ms())
 
     def _stop_waiting(self) -> None:
-        """Something is known of the answer, or nothing ever will be."""
+        """Remove the attempt from the trials without a result."""
         self._progress.waiting_trials -= int(self._waits)
         self._waits = False
 
@@ -137,13 +138,13 @@
 
 
 class ObservedTicket:
-    """A send's ticket that also tells the order under which it was sent.
+    """Send ticket that also reports the result to the rollout order.
 
     Parameters
     ==========
 
-    ticket : counts the send in the load.
-    send : judges the version by it.
+    ticket : counts the attempt in the server's load.
+    send : counts the attempt in the rollout.
     """
 
     def __init__(self, ticket: SendTicket, send: RolloutSend) -> None:
@@ -151,11 +152,11 @@
         self._send = send
 
     def note_first_event(self, *, succeeds: bool) -> None:
-        """The answer has begun."""
+        """Record that the answer has begun."""
         self._send.note_answer(succeeds=succeeds)
         self._ticket.note_first_event(succeeds=succeeds)
 
     def end(self, failed: bool) -> None:
-        """The send is over."""
+        """Record that the attempt has ended."""
         self._send.end(failed)
         self._ticket.end(failed)
