--- a/hemlockswitch/process/gateway/rollouts.py
+++ b/hemlockswitch/process/gateway/rollouts.py
@@ -1,9 +1,9 @@
-"""The orders that move services to new versions, and which servers a request may go to meanwhile.
+"""Rollout orders, which move services to new versions, and the choice of version for each request.
 
-While an order is open, a request goes to the version in force; few, as `request.rollout_credit` allows,
-try the new one. Once it is judged good, what would outlast the old version goes to the new one. A closed
-order leaves one version. A version that is listed without an order known here waits until the orders
-have been listed anew.
+While an order is open, requests go to the version in force, except for a few that
+`request.rollout_credit` allows to try the new one. Once the new version is judged good, requests that
+would outlast the old version go to the new one. A closed order leaves a single version. Servers of a
+version without a recorded order get no requests until the orders have been listed again.
 """
 
 import random
@@ -28,24 +28,24 @@
 Decoder = Callable[[StoredObject], RolloutOrder]
 
 LOOK_MS = 200.0
-"""Time between two looks at the counts."""
+"""Interval between checks of the answer counts while a rollout is open."""
 IDLE_LOOK_MS = 1_000.0
 CANARY_SHARE = 0.05
-"""Part of the new servers that get half of the trials: each of them is then about as busy as all will
-be after the move."""
+"""Fraction of the new servers that get half of the trials. Each of them is then about as busy as every
+new server will be after the move."""
 
 
 @dataclass(frozen=True)
 class SendWish:
-    """What of a request decides to which version it may go.
+    """Properties of a request that decide which version it may be sent to.
 
     Parameters
     ==========
 
-    is_first : whether nothing of it was sent, and the caller begins it.
-    is_repeatable : whether it may go on elsewhere if its server stops.
-    begun_version : the version that has begun to answer it; empty if none has.
-    draws_canary : whether it is one of those that try few servers, not all.
+    is_first : whether the request is new and no part of it has been sent.
+    is_repeatable : whether it can continue on another server if its server stops.
+    begun_version : the version that has started to answer it; empty if none has.
+    draws_canary : whether its trial is limited to the canary servers.
     """
 
     service: str
@@ -58,27 +58,27 @@
 
 @dataclass(frozen=True)
 class _Listed:
-    """The servers of a service that moves: those of the version it moves to, and the others."""
+    """Servers of a service in a rollout: those of the target version, and those of other versions."""
 
     target: list[BackendServer]
     others: list[BackendServer]
 
 
 def draw_canary(request_id: str) -> bool:
-    """Return whether a request that tries a new version is one of the half that tries few servers."""
+    """Return whether a request belongs to the half whose trials go to the canary servers."""
     return bool(hash_stable(request_id) % 2)
 
 
 class Rollouts:
-    """Follows the orders, and holds what this gateway knows of each.
+    """Tracks the rollout orders and this gateway's progress on each.
 
     Parameters
     ==========
 
-    decode : turns a stored object into an order; raises `ConfigurationError`.
-    bound : how many requests a version may get before it is judged; None where no orders are taken.
-    count_daemons : returns how many gateways share that bound; None while that is not known.
-    clock : the time.
+    decode : converts a stored object into an order; raises `ConfigurationError`.
+    bound : how many requests a version may get before it is judged; None where no orders are accepted.
+    count_daemons : returns how many gateways share that bound; None while the number is unknown.
+    clock : source of the current time.
     chance : source of random numbers.
     """
 
@@ -100,7 +100,7 @@
         self._sends: list[RolloutSend] = []
 
     def replace_all(self, page: ObjectPage) -> None:
-        """Take the whole list of orders."""
+        """Apply a complete list of orders; orders that are not on it are withdrawn."""
         self.versions.note_listed()
         listed = {item.name for item in page.items if not item.deleted}
         for service in [name for name in self._progress if name not in listed]:
@@ -108,7 +108,7 @@
         self.apply_changes(page)
 
     def apply_changes(self, page: ObjectPage) -> None:
-        """Take changed and removed orders."""
+        """Apply changed and removed orders."""
         for item in page.items:
             if item.deleted:
                 self._withdraw(item.name)
@@ -140,7 +140,7 @@
         )
 
     def _take_state(self, progress: RolloutProgress, order: RolloutOrder) -> None:
-        """Take what became of an order; a final state stays, whatever is read later."""
+        """Apply the state read for an order; a final state is never replaced."""
         if progress.order.is_final:
             return
         has_closed = order.is_final
@@ -156,7 +156,7 @@
             )
 
     def _withdraw(self, service: str) -> None:
-        """An order is gone: only a version to which the service has moved may get more."""
+        """Remove an order; its version gets further requests only if the service has moved to it."""
         progress = self._progress.pop(service, None)
         if progress is None:
             return
@@ -171,12 +171,12 @@
         return [one for one in self._progress.values() if not one.order.is_final]
 
     def is_moving(self, service: str) -> bool:
-        """Return whether servers of two versions run side by side for a service."""
+        """Return whether a service has an open order, so that two versions run side by side."""
         progress = self._progress.get(service)
         return progress is not None and not progress.order.is_final
 
     def is_on_trial(self, server: BackendServer) -> bool:
-        """Return whether a server has a version that is not in force."""
+        """Return whether a server runs a version that is not in force."""
         progress = self._progress.get(server.serves)
         if progress is not None and server.version == progress.order.target:
             is_in_force = progress.order.state is RolloutState.COMPLETED or progress.is_in_force
@@ -184,7 +184,7 @@
         return self.versions.is_withheld(server)
 
     def select(self, wish: SendWish, servers: list[BackendServer]) -> list[BackendServer]:
-        """Return those of a service's servers that a request may go to."""
+        """Return the servers, out of a service's `servers`, that a request may be sent to."""
         if self._bound is None:
             return servers
         progress = self._progress.get(wish.service)
@@ -216,7 +216,7 @@
     def _select_open(
         self, progress: RolloutProgress, wish: SendWish, listed: _Listed
     ) -> list[BackendServer]:
-        """Return where a request goes while both versions are tried."""
+        """Return the candidate servers of a request while the order is open."""
         now_ms = self._clock.now_ms()
         if wish.begun_version:
             is_target = wish.begun_version == progress.order.target
@@ -230,7 +230,7 @@
     def _select_trial(
         self, progress: RolloutProgress, wish: SendWish, target: list[BackendServer]
     ) -> list[BackendServer]:
-        """Return the servers among which a trial goes: few, or all so that their caches fill."""
+        """Return the candidate servers of a trial: the canary servers, or all so that their caches fill."""
         now_ms = self._clock.now_ms()
         warm = [one for one in target if not progress.is_cold(one, now_ms)] or target
         if not wish.draws_canary:
@@ -243,7 +243,7 @@
     def begin_send(
         self, route: str, server: BackendServer, expected_ms: float
     ) -> RolloutSend | None:
-        """Count a send while its service moves; None otherwise."""
+        """Start to track a send attempt under the service's open order; None if there is none."""
         progress = self._progress.get(server.serves)
         if progress is None or not progress.is_open:
             return None
@@ -257,13 +257,13 @@
         return send
 
     def run(self) -> None:
-        """Look at the counts until the task is ended."""
+        """Check the counts periodically until the task is cancelled."""
         while True:
             self._clock.sleep_ms(LOOK_MS if self.list_open() else IDLE_LOOK_MS)
             self.look()
 
     def look(self) -> None:
-        """Count the answers that are overdue, and stop what the counts speak against."""
+        """Count overdue answers, and stop the orders whose target version is judged bad."""
         for send in self._sends:
             send.note_waiting()
         self._sends = [send for send in self._sends if not send.is_over]
@@ -271,12 +271,12 @@
             progress.check(self._clock.now_ms())
 
     def write_all(self, *, leads: bool) -> list[RolloutFields]:
-        """Return what this gateway knows of each open order, for the others."""
+        """Return this gateway's report on each open order, for its peers."""
         now_ms = self._clock.now_ms()
         return [one.write_fields(now_ms, leads=leads) for one in self.list_open()]
 
     def pop_changed(self, *, leads: bool) -> list[RolloutFields]:
-        """Return the same of the orders whose counts have changed since the last call."""
+        """Return the reports on the open orders that have changed since the last call."""
         now_ms = self._clock.now_ms()
         changed = [one for one in self.list_open() if one.has_changed]
         for one in changed:
@@ -284,14 +284,14 @@
         return [one.write_fields(now_ms, leads=leads) for one in changed]
 
     def take_told(self, process: str, told: Sequence[RolloutFields]) -> None:
-        """Take what another gateway knows; what is of another order than the one here is passed over."""
+        """Apply a peer's reports; a report on an order other than the recorded one is ignored."""
         for fields in told:
             progress = self._progress.get(fields[0])
             if progress is not None and progress.order.identity == tuple(fields[:3]):
                 progress.take_fields(process, fields, self._clock.now_ms())
 
     def count_answers(self) -> dict[tuple[str, str, str], int]:
-        """Return this gateway's answers by service, version (`target` or `others`) and result."""
+        """Return this gateway's answer counts by service, version (`target` or `others`) and result."""
         counts: dict[tuple[str, str, str], int] = {}
         for one in self._progress.values():
             own = one.get_own()
@@ -303,7 +303,7 @@
         return counts
 
     def describe(self) -> list[dict[str, Any]]:
-        """Return the orders for the status page."""
+        """Return the description of the orders for the status page."""
         now_ms = self._clock.now_ms()
         return [
             {
