--- a/hemlockswitch/process/gateway/scaling.py
+++ b/hemlockswitch/process/gateway/scaling.py
@@ -1,4 +1,4 @@
-"""The duty that keeps the ordered copies at what the plan wants; see `process.gateway.copies_plan`."""
+"""Duty that orders copies according to the plan; see `process.gateway.copies_plan`."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, replace
@@ -24,19 +24,19 @@
 from hemlockswitch.version.serving_table import ForwardedService, ServingTable
 
 DRY_MS = 3_000.0
-"""How long not to ask again for a class in a zone that had none; reclaims leave a zone without
+"""How long not to order from a pool that had no copies to offer. Reclaims leave a zone without copies
 for some ten seconds, and each call costs."""
 SHRINK_AFTER_MS = 4_000.0
-"""How long fewer copies must be enough before some are given back: a started copy boots for some
-four seconds, so giving one back for less time only costs."""
+"""How long fewer copies must suffice before some are released. A copy boots for some four seconds, so
+releasing one for a shorter time only costs."""
 REORDER_MS = 8_000.0
-"""When to order again copies that have not come: twice the time in which they boot."""
+"""When to repeat an order whose copies have not registered: twice the boot time of a copy."""
 REPEAT_MS = 20_000.0
-"""An order is sent again after this time even if nothing changed: a lost one must not stay lost."""
+"""An order is repeated after this time even if nothing changed, in case it was lost."""
 
 
 class OrderOutcome(StrEnum):
-    """What became of an order."""
+    """Outcome of an order for copies."""
 
     TAKEN = "taken"
     NONE_AVAILABLE = "none_available"
@@ -44,10 +44,10 @@
 
 
 class ScalingApi(Protocol):
-    """Takes orders for copies."""
+    """Accepts orders for copies."""
 
     def order_copies(self, service: str, pool: Pool, count: int, fencing: int) -> OrderOutcome:
-        """Order `count` copies in a pool."""
+        """Order a total of `count` copies in a pool."""
 
 
 @dataclass(frozen=True)
@@ -57,23 +57,23 @@
 
 
 class ScalingDuty:
-    """Keeps the ordered copies at what the plan wants.
+    """Orders and releases copies so that their number follows the plan.
 
     Parameters
     ==========
 
-    api : takes the orders.
+    api : accepts the orders.
     zones : the availability zones of the site.
     get_table : returns the configuration in force.
-    list_servers : returns the backend servers that are registered.
+    list_servers : returns the registered backend servers.
     measure_demand : returns the demand of a service over all gateways.
-    find_tokens_per_ms : returns how fast a service's engines read prompts.
-    knows_all : returns whether the list of servers is complete; little is ordered before, as an
-        order also says how many copies are too many.
-    knows_most : returns whether servers that live have had the time to register.
-    clock : the time.
-    is_moving : returns whether a service moves to another version: no copy is given back meanwhile, as
-        an order does not say of which version.
+    find_tokens_per_ms : returns the prefill rate of a service's engines.
+    knows_all : returns whether the list of servers is complete. Until then only the first reclaimable
+        copies are ordered, since an order also releases the copies above its count.
+    knows_most : returns whether live servers have had time to register.
+    clock : source of the current time.
+    is_moving : returns whether a service moves to another version. No copies are released meanwhile,
+        since an order does not name a version.
     """
 
     def __init__(
@@ -107,10 +107,10 @@
         self._running: dict[str, LevelMeter] = {}
 
     def take_over(self) -> None:
-        """Forget the own orders: another gateway may have ordered in between.
+        """Discard this gateway's orders, since another gateway may have ordered in the meantime.
 
-        The copies that are registered then stand for its last orders, so that a new holder whose
-        picture is incomplete does not give copies back at once.
+        The registered copies then stand in for the last orders, so that a new holder with incomplete
+        data does not release copies at once.
         """
         self._orders.clear()
         self._enough_since_ms.clear()
@@ -124,7 +124,7 @@
         Raises
         ======
 
-        LeaseError : the duty is not held any more.
+        LeaseError : the lease is no longer held.
         PlatformError : the API did not answer.
         """
         table = self._get_table()
@@ -136,11 +136,11 @@
                 order(service, get_fencing)
 
     def _order_first(self, service: ForwardedService, get_fencing: Callable[[], int]) -> None:
-        """Order reclaimable copies where none is registered, before all servers are known.
+        """Order reclaimable copies if none is registered, before the list of servers is complete.
 
-        An order also says how many copies are too many, so the others wait. At a first start the
-        copies found run at the full price until reclaimable ones serve: each second earlier saves
-        as many copy-seconds as there are of them.
+        An order also releases the copies above its count, so other orders wait for the complete list.
+        At a first start the copies found run at the full price until reclaimable copies serve: each
+        second saved saves one copy-second for each of them.
         """
         if not self._knows_most():
             return
@@ -182,7 +182,7 @@
             if server.state is BackendState.LIVE:
                 live[pool] = live.get(pool, 0) + 1
             elif pool.machine_class is MachineClass.RECLAIMABLE:
-                # A zone whose copies are being reclaimed has no others for a while.
+                # A zone whose copies are being reclaimed offers no new ones for a while.
                 self._dry_until_ms[service.name, pool] = now_ms + DRY_MS
         dry = frozenset(
             pool
@@ -200,7 +200,7 @@
         return replace(measured, running=meter.read(self._clock.now_ms(), measured.running))
 
     def _find_prior(self, service: str, live: Mapping[Pool, int], demand: Demand) -> int:
-        """Return what to keep of the copies found, until the demand has been measured."""
+        """Return how many of the copies found to retain; 0 once the demand has been measured."""
         now_ms = self._clock.now_ms()
         prior = self._priors.get(service, count_prior(live))
         if self._knows_all():
