--- a/hemlockswitch/process/gateway/usage.py
+++ b/hemlockswitch/process/gateway/usage.py
@@ -1,4 +1,4 @@
-"""Usage counts: what ran in each window of time, and the one report of each window."""
+"""Usage counts: the requests that ran in each time window, and the single report of each window."""
 
 from collections import defaultdict
 from collections.abc import Callable, Mapping
@@ -12,27 +12,27 @@
 
 USAGE_KIND = "usage-windows"
 KEPT_WINDOWS = 6
-"""Windows that are counted and told to others: a window is due two windows after its end, and a
-new holder may need the ones before."""
+"""Number of latest windows whose counts are retained and sent to peers. A window is due two windows
+after its end, and a new holder may need the windows before."""
 WINDOWS_BEFORE = 2
-"""Windows before the last one that a new holder reports as well; the holder before it may not have
-come to them: a frozen holder's lease is taken over some five seconds later, which is a window. A
-repeat with the same counts does no harm."""
+"""Number of windows before the last one that a new holder also reports, since its predecessor may not
+have reported them: the lease of a frozen holder is taken over some five seconds later, which is the
+length of a window. Reporting the same counts again is harmless."""
 
 Counts = dict[int, dict[str, int]]
-"""Window number to account to count."""
+"""Counts by window number and account."""
 ReportedCounts = dict[str, dict[str, int]]
-"""The same as it is sent to other gateways, where keys are texts."""
+"""Counts as sent to other gateways, with window numbers as strings."""
 
 
 class UsageCounts:
-    """What this process counted, and what others report, for the latest windows.
+    """Counts of this process and the counts reported by its peers, for the latest windows.
 
     Parameters
     ==========
 
     window_s : length of a window.
-    process : this process, as the others name it.
+    process : identifier of this process in its peers' counts.
     """
 
     def __init__(self, window_s: float, process: str = "") -> None:
@@ -42,22 +42,22 @@
         self._others: dict[str, Counts] = {}
 
     def find_window(self, believed_ms: float) -> int:
-        """Return the number of the window at a moment."""
+        """Return the number of the window that contains a time."""
         return int(believed_ms // self._window_ms)
 
     def count(self, believed_ms: float, account: str) -> None:
-        """Count one request that began to run."""
+        """Count one request that started to run."""
         window = self.find_window(believed_ms)
         counts = self._own.setdefault(window, defaultdict(int))
         counts[account] += 1
         _forget_before(self._own, window - KEPT_WINDOWS)
 
     def describe_own(self) -> ReportedCounts:
-        """Return the own counts, for other gateways."""
+        """Return this process's counts, in the form sent to other gateways."""
         return {str(window): dict(counts) for window, counts in self._own.items()}
 
     def take_report(self, daemon: str, counts: ReportedCounts) -> None:
-        """Take another gateway's counts; `daemon` differs for each start of a process."""
+        """Apply another gateway's counts; `daemon` differs for each start of a process."""
         kept = self._others.setdefault(daemon, {})
         for window, accounts in counts.items():
             kept[int(window)] = accounts
@@ -65,7 +65,7 @@
             _forget_before(kept, max(kept) - KEPT_WINDOWS)
 
     def describe_processes(self) -> dict[str, ReportedCounts]:
-        """Return the counts of this process and of those that have reported, by process."""
+        """Return the counts of this process and of the processes that have reported, by process."""
         own = {self._process: self.describe_own()}
         others = {
             process: {str(window): dict(accounts) for window, accounts in counts.items()}
@@ -74,7 +74,7 @@
         return {process: counts for process, counts in (own | others).items() if counts}
 
     def take_kept(self, process: str, counts: ReportedCounts) -> None:
-        """Take counts of a process that were kept; what it says itself is never less."""
+        """Merge stored counts of a process; a count that the process reported is never lowered."""
         if process == self._process:
             return
         known = self._others.setdefault(process, {})
@@ -84,7 +84,7 @@
                 kept[account] = max(kept.get(account, 0), int(count))
 
     def forget_before(self, oldest: int) -> None:
-        """Forget the windows before `oldest`, and processes that counted nothing since."""
+        """Discard the windows before `oldest`, and the processes without later counts."""
         for counts in (self._own, *self._others.values()):
             _forget_before(counts, oldest)
         for process in [process for process, counts in self._others.items() if not counts]:
@@ -105,29 +105,29 @@
 
 
 class UsageApi(Protocol):
-    """Takes usage reports."""
+    """Accepts usage reports."""
 
     def report_usage(self, window: int, counts: Mapping[str, int], fencing: int) -> bool:
-        """Report one window; return whether it was taken."""
+        """Report one window; return whether the report was accepted."""
 
 
 class UsageDuty:
-    """Reports each window once, with counts that never differ.
+    """Reports each window; a repeated report has the same counts.
 
     Explanation
     ===========
 
     The counts are written to the object service before they are reported. A holder that takes
-    over in between finds them there and reports exactly the same.
+    over in between reads them there and reports exactly the same counts.
 
     Parameters
     ==========
 
-    counts : what was counted.
-    store : keeps the decided counts.
-    api : takes the reports.
-    load_kept : reads what an earlier holder has kept of the windows that are not reported yet.
-    get_period : returns the time between two reports of what other gateways counted.
+    counts : the counts of this process and its peers.
+    store : stores the final counts of each window.
+    api : accepts the reports.
+    load_kept : loads the counts that an earlier holder stored for windows that are not reported yet.
+    get_period : returns the interval at which other gateways report their counts.
     """
 
     def __init__(
@@ -148,12 +148,12 @@
         self._silent_until_ms = float("-inf")
 
     def take_over(self, believed_ms: float) -> None:
-        """Begin as a new holder: the other gateways' counts are still to come."""
+        """Start as a new holder, and wait for the counts of the other gateways."""
         self._begun_window = None
         self._silent_until_ms = believed_ms + self._get_period().takeover_ms
 
     def list_due(self, believed_ms: float) -> list[int]:
-        """Return the windows that are over and not reported by this process."""
+        """Return the windows that have ended and that this process has not reported."""
         if believed_ms < self._silent_until_ms:
             return []
         settled_ms = believed_ms - self._get_period().settle_ms
@@ -164,13 +164,13 @@
         return [window for window in range(first, last + 1) if window not in self._done]
 
     def report(self, window: int, get_fencing: Callable[[], int]) -> None:
-        """Decide the counts of a window and report them.
+        """Fix the counts of a window and report them.
 
         Raises
         ======
 
-        PlatformError : the object service or the API did not answer; it is to be tried again.
-        LeaseError : the duty is not held any more.
+        PlatformError : the object service or the API did not answer; the report has to be retried.
+        LeaseError : the lease is no longer held.
         """
         self._load_kept()
         counts = self._decide(window)
@@ -183,7 +183,10 @@
             self._counts.forget_before(window - KEPT_WINDOWS)
 
     def _decide(self, window: int) -> dict[str, int] | None:
-        """Return the counts in the object service, written by this process or another."""
+        """Return the counts stored in the object service, by this process or an earlier holder.
+
+        Returns None if the object service has no counts for the window.
+        """
         counts = self._counts.sum_window(window)
         outcome = self._store.create(USAGE_KIND, str(window), {"counts": counts})
         if isinstance(outcome, Written):
