--- a/hemlockswitch/process/gateway/usage_keeper.py
+++ b/hemlockswitch/process/gateway/usage_keeper.py
@@ -1,9 +1,9 @@
-"""The counts of the windows that are not reported yet, kept in the object service by the holder.
+"""Storage of the usage counts that are not reported yet in the object service, by the lease holder.
 
-A gateway that ends takes its counts with it, and so does the holder of the duties that had heard
-them: when it is killed, or frozen while others are restarted, a whole window of counts was lost.
-The holder writes what it knows, by process, every half a second; the next holder begins with it, and
-the gateways that still run tell it the rest.
+The counts of a gateway are lost when it ends, and the holder of the duties that had received them may
+be killed, or frozen while other gateways restart: without storage, a complete window of counts was
+lost. The holder therefore writes the counts by process every half second. The next holder loads them,
+and receives the remaining counts from the running gateways.
 """
 
 from hemlockswitch.connection.stored_objects import ConditionalStore, StoredObject, Written
@@ -16,19 +16,19 @@
 KEPT_KIND = "usage-counts"
 KEPT_NAME = "open-windows"
 KEEP_MS = 500.0
-"""Time between two writes: what a process counted since is lost when it and the holder end together.
-Two of some hundred writes a second that the object service takes."""
+"""Interval between writes. Counts made since the last write are lost if their process and the holder
+end together. This is two of the some hundred writes per second that the object service handles."""
 
 
 class UsageKeeper:
-    """Keeps the open windows of `counts` while this gateway holds the duties.
+    """Stores the counts of the open windows while this gateway holds the duties.
 
     Parameters
     ==========
 
-    counts : what this gateway knows.
+    counts : the counts recorded at this gateway.
     store : the object service.
-    clock : the time.
+    clock : source of the current time.
     """
 
     def __init__(self, counts: UsageCounts, store: ConditionalStore, clock: Clock) -> None:
@@ -41,16 +41,16 @@
         self._kept_ms = float("-inf")
 
     def take_over(self) -> None:
-        """Begin as a new holder: what an earlier one has kept is still to be read."""
+        """Start as a new holder; the counts stored by an earlier holder are loaded again."""
         self._is_loaded = False
 
     def load(self) -> None:
-        """Read what was kept, once for each holding.
+        """Load the stored counts, once per term as holder and after a failed write.
 
         Raises
         ======
 
-        PlatformError : the object service did not answer; it is to be tried again.
+        PlatformError : the object service did not answer; the call has to be retried.
         """
         if self._is_loaded:
             return
@@ -61,7 +61,7 @@
         self._is_loaded = True
 
     def save(self) -> None:
-        """Write what is known now, if it has changed and is due.
+        """Write the current counts if they have changed and a write is due.
 
         Raises
         ======
@@ -83,7 +83,7 @@
             self._version = outcome.version
             self._kept = processes
         else:
-            # Lost answer or another holder in between: read what is there before the next write.
+            # An answer was lost or another holder has written: load again before the next write.
             self._is_loaded = False
 
     def _merge(self, found: StoredObject) -> None:
@@ -101,7 +101,7 @@
 
 
 def save_while_held(keeper: UsageKeeper) -> None:
-    """Save, and leave it for the next time if the object service is away."""
+    """Save the counts; if the object service is unavailable, leave it to the next call."""
     try:
         keeper.save()
     except PlatformError as error:
