--- a/hemlockswitch/process/gateway/rollout_progress.py
+++ b/hemlockswitch/process/gateway/rollout_progress.py
@@ -287,7 +287,7 @@
             if change.target.bad > 0:
                 self._check_answers()
         if is_stopped and self.is_open:
-            self.stop("stopped by another gateway")
+            self.stop("told to stop by another gateway")
         if close_in_ms >= 0 and self.is_open:
             self.begin_move(now_ms + close_in_ms)
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -178,7 +178,7 @@
     began_new = SendWish(SERVICE, ROUTE, is_first=False, begun_version="v2")
     assert {one.version for one in gateway.rollouts.select(began_old, [*OLD, *NEW])} == {"v1"}
     assert {one.version for one in gateway.rollouts.select(began_new, [*OLD, *NEW])} == {"v2"}
-    gateway.progress.stop("stopped by another gateway")
+    gateway.progress.stop("told to stop by another gateway")
     assert {one.version for one in gateway.rollouts.select(began_new, [*OLD, *NEW])} == {"v1"}
 
 
