--- a/hemlockswitch/process/gateway/daemon.py
+++ b/hemlockswitch/process/gateway/daemon.py
@@ -267,9 +267,9 @@
         if self.settings.rollout_share is not None:
             tasks["rollouts"] = self.rollouts.run
         if self.duties is not None:
-            tasks["lease"] = self.duties.keep_lease
+            tasks["lease"] = self.duties.maintain_lease
             tasks["duties"] = self.duties.act
-            tasks["kept usage"] = self.duties.keep_usage
+            tasks["kept usage"] = self.duties.save_usage
         return tasks
 
     def is_ready(self) -> bool:
--- a/hemlockswitch/process/gateway/duties.py
+++ b/hemlockswitch/process/gateway/duties.py
@@ -11,11 +11,11 @@
 from hemlockswitch.process.gateway.scaling import ScalingDuty
 from hemlockswitch.process.gateway.true_time import TrueTime
 from hemlockswitch.process.gateway.usage import UsageDuty
-from hemlockswitch.process.gateway.usage_keeper import KEEP_MS, UsageKeeper, save_while_held
+from hemlockswitch.process.gateway.usage_keeper import SAVE_INTERVAL_MS, UsageStore, save_or_log
 from hemlockswitch.process.lease import Lease, LeaseError, LeaseTimes
 
 LEASE_NAME = "duties"
-TURN_MS = 250.0
+TURN_INTERVAL_MS = 250.0
 """Interval between checks for due work; it delays the replacement of a reclaimed copy."""
 RENEWALS_IN_TERM = 4
 STOP_SHARE = 0.35
@@ -42,7 +42,7 @@
     )
 
 
-class OtherLeaders(Protocol):
+class PeerLeadership(Protocol):
     """Reports whether another gateway holds the duties."""
 
     def has_other_leader(self) -> bool:
@@ -66,9 +66,9 @@
         lease: Lease,
         usage: UsageDuty,
         scaling: ScalingDuty,
-        keeper: UsageKeeper,
+        usage_store: UsageStore,
         rollouts: RolloutDuty,
-        others: OtherLeaders,
+        peers: PeerLeadership,
         true_time: TrueTime,
         clock: Clock,
         announce: Callable[[], None] = lambda: None,
@@ -77,9 +77,9 @@
         self._lease = lease
         self._usage = usage
         self._scaling = scaling
-        self._keeper = keeper
+        self._usage_store = usage_store
         self._rollouts = rollouts
-        self._others = others
+        self._peers = peers
         self._true_time = true_time
         self._clock = clock
         self._was_held = False
@@ -90,11 +90,11 @@
         """Whether this gateway currently holds the lease."""
         return self._lease.is_held
 
-    def keep_lease(self) -> None:
+    def maintain_lease(self) -> None:
         """Renew or acquire the lease until it is released or the task is cancelled."""
         while not self._is_released:
-            if not self._lease.is_held and self._others.has_other_leader():
-                self._clock.sleep_ms(TURN_MS)
+            if not self._lease.is_held and self._peers.has_other_leader():
+                self._clock.sleep_ms(TURN_INTERVAL_MS)
                 continue
             pause_ms = self._lease.take_turn()
             if self._is_released:
@@ -106,7 +106,7 @@
     def act(self) -> None:
         """Perform due duties until the task is cancelled."""
         while True:
-            self._clock.sleep_ms(TURN_MS)
+            self._clock.sleep_ms(TURN_INTERVAL_MS)
             self.take_turn()
 
     def take_turn(self) -> None:
@@ -118,7 +118,7 @@
             self._was_held = True
             self._announce()
             self._scaling.take_over()
-            self._keeper.take_over()
+            self._usage_store.take_over()
             self._rollouts.take_over()
             self._usage.take_over(self._true_time.now_ms())
         for duty in (self._close_rollouts, self._order_copies, self._report_usage):
@@ -130,12 +130,12 @@
             except PlatformError as error:
                 log_event(Event.DUTY_FAILED, "warning", detail=error.detail)
 
-    def keep_usage(self) -> None:
+    def save_usage(self) -> None:
         """Store the usage counts that are not reported yet until the task is cancelled."""
         while True:
-            self._clock.sleep_ms(KEEP_MS)
+            self._clock.sleep_ms(SAVE_INTERVAL_MS)
             if self._was_held and self._lease.is_held:
-                save_while_held(self._keeper)
+                save_or_log(self._usage_store)
 
     def release(self) -> None:
         """Release the lease, so that a successor need not wait, and do not acquire it again.
--- a/hemlockswitch/process/gateway/duty_parts.py
+++ b/hemlockswitch/process/gateway/duty_parts.py
@@ -11,7 +11,7 @@
 from hemlockswitch.process.gateway.rollout_duty import RolloutDuty
 from hemlockswitch.process.gateway.scaling import ScalingApi, ScalingDuty
 from hemlockswitch.process.gateway.usage import UsageDuty
-from hemlockswitch.process.gateway.usage_keeper import UsageKeeper
+from hemlockswitch.process.gateway.usage_keeper import UsageStore
 from hemlockswitch.process.lease import Lease
 from hemlockswitch.version.gateway_settings import GatewaySettings
 
@@ -46,12 +46,12 @@
         fleet.count_daemons,
         get_address,
     )
-    keeper = UsageKeeper(knowledge.usage, store, clock)
+    usage_store = UsageStore(knowledge.usage, store, clock)
     return DutyRunner(
         lease,
-        UsageDuty(knowledge.usage, store, api, keeper.load, fleet.get_usage_period),
+        UsageDuty(knowledge.usage, store, api, usage_store.load, fleet.get_usage_period),
         _build_scaling(settings, api, knowledge, followed, clock),
-        keeper,
+        usage_store,
         _build_rollouts(adapter, knowledge, clock),
         fleet,
         knowledge.true_time,
--- a/hemlockswitch/process/gateway/rollout_duty.py
+++ b/hemlockswitch/process/gateway/rollout_duty.py
@@ -8,7 +8,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.gateway.rollout_progress import (
-    LEAST_MOVE_MS,
+    MIN_MOVE_MS,
     RolloutProgress,
 )
 from hemlockswitch.process.gateway.true_time import TrueTime
@@ -16,12 +16,12 @@
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.rollout import OrderIdentity, RolloutOrder, RolloutState
 
-BEGIN_KIND = "rollout-begins"
+RECORD_KIND = "rollout-begins"
 """Kind of the stored records of when each order began and whether its version was found good. They are
 stored because possibly no gateway lives as long as the order."""
 DRAIN_GRACE_MS = 500.0
 """How long to wait for requests in progress on the old version after the planned end of the move."""
-WRITE_MS = 500.0
+WRITE_MARGIN_MS = 500.0
 """Time reserved before the time limit for one turn of the duties and one write to the object service."""
 
 
@@ -74,12 +74,12 @@
         self._count_running = count_running
         self._true_time = true_time
         self._clock = clock
-        self._begun: set[OrderIdentity] = set()
+        self._recorded: set[OrderIdentity] = set()
         self._found_good: set[OrderIdentity] = set()
 
     def take_over(self) -> None:
         """Reset the state as a new holder; the records of earlier holders are read again."""
-        self._begun.clear()
+        self._recorded.clear()
         self._found_good.clear()
 
     def take_turn(self, get_fencing: Callable[[], int]) -> None:
@@ -92,15 +92,15 @@
         PlatformError : the object service did not answer; the step has to be retried.
         """
         for progress in self._rollouts.list_open():
-            if progress.order.identity not in self._begun:
-                self._keep_begin(progress)
+            if progress.order.identity not in self._recorded:
+                self._store_start(progress)
             state = self._decide(progress)
             if state is not None and state is not progress.order.state:
-                self._write(progress, state, get_fencing)
+                self._write_state(progress, state, get_fencing)
             elif progress.close_ms is not None and progress.is_open:
-                self._keep_good(progress)
+                self._store_verdict(progress)
 
-    def _keep_begin(self, progress: RolloutProgress) -> None:
+    def _store_start(self, progress: RolloutProgress) -> None:
         """Store when the order began, or read the record that an earlier holder stored."""
         order = progress.order
         now_ms = self._clock.now_ms()
@@ -110,30 +110,30 @@
             "created": order.created,
             "began_unix_ms": round(began_unix_ms),
         }
-        found = self._store.read(BEGIN_KIND, order.service)
+        found = self._store.read(RECORD_KIND, order.service)
         if found is None:
-            outcome = self._store.create(BEGIN_KIND, order.service, value)
-        elif _is_of_order(found.value, order):
-            progress.note_age(self._true_time.now_ms() - found.value["began_unix_ms"], now_ms)
-            self._begun.add(order.identity)
+            outcome = self._store.create(RECORD_KIND, order.service, value)
+        elif _belongs_to_order(found.value, order):
+            progress.record_age(self._true_time.now_ms() - found.value["began_unix_ms"], now_ms)
+            self._recorded.add(order.identity)
             if found.value.get("found_good") is True:
                 self._found_good.add(order.identity)
             return
         else:
-            outcome = self._store.update(BEGIN_KIND, order.service, value, found.version)
+            outcome = self._store.update(RECORD_KIND, order.service, value, found.version)
         if isinstance(outcome, Written):
-            self._begun.add(order.identity)
+            self._recorded.add(order.identity)
 
-    def _keep_good(self, progress: RolloutProgress) -> None:
+    def _store_verdict(self, progress: RolloutProgress) -> None:
         """Store that the version was found good: the answer counts are lost when the processes end."""
         order = progress.order
         if order.identity in self._found_good:
             return
-        found = self._store.read(BEGIN_KIND, order.service)
-        if found is None or not _is_of_order(found.value, order):
+        found = self._store.read(RECORD_KIND, order.service)
+        if found is None or not _belongs_to_order(found.value, order):
             return
         value = {**found.value, "found_good": True}
-        outcome = self._store.update(BEGIN_KIND, order.service, value, found.version)
+        outcome = self._store.update(RECORD_KIND, order.service, value, found.version)
         if isinstance(outcome, Written):
             self._found_good.add(order.identity)
 
@@ -155,17 +155,17 @@
     def _begin_move(self, progress: RolloutProgress, now_ms: float) -> RolloutState | None:
         """Begin the move if the new version is good; roll back if it is too late for a verdict."""
         planned_ms = progress.began_ms + progress.times.close_ms
-        close_ms = max(planned_ms, now_ms + LEAST_MOVE_MS)
+        close_ms = max(planned_ms, now_ms + MIN_MOVE_MS)
         if self._is_good(progress):
             # Also when late: the answers have decided, and only the lease was not held in time.
             progress.begin_move(close_ms)
             return None
         if close_ms <= progress.began_ms + progress.times.latest_close_ms:
             return None
-        has_come = any(self._is_target(one, progress.order) for one in self._list_servers())
+        has_registered = any(self._is_target(one, progress.order) for one in self._list_servers())
         progress.stop(
             "not judged within the time limit"
-            if has_come
+            if has_registered
             else "no server of the new version registered"
         )
         return RolloutState.ROLLED_BACK
@@ -182,9 +182,9 @@
         if now_ms < progress.close_ms:
             return False
         limit_ms = progress.began_ms + progress.times.limit_ms
-        patient_until_ms = min(progress.close_ms + DRAIN_GRACE_MS, limit_ms - WRITE_MS)
+        wait_until_ms = min(progress.close_ms + DRAIN_GRACE_MS, limit_ms - WRITE_MARGIN_MS)
         old = [one.incarnation for one in self._list_old(progress.order)]
-        return now_ms >= patient_until_ms or self._count_running(old) == 0
+        return now_ms >= wait_until_ms or self._count_running(old) == 0
 
     @staticmethod
     def _is_target(server: BackendServer, order: RolloutOrder) -> bool:
@@ -202,7 +202,7 @@
         servers = [one for one in self._list_servers() if one.serves == order.service]
         return bool(servers) and not self._list_old(order)
 
-    def _write(
+    def _write_state(
         self, progress: RolloutProgress, state: RolloutState, get_fencing: Callable[[], int]
     ) -> None:
         order = progress.order
@@ -222,7 +222,7 @@
         )
 
 
-def _is_of_order(value: Any, order: RolloutOrder) -> bool:
+def _belongs_to_order(value: Any, order: RolloutOrder) -> bool:
     """Return whether a stored record belongs to this order."""
     try:
         is_same = (value["target"], value["created"]) == (order.target, order.created)
@@ -231,7 +231,7 @@
         log_event(
             Event.OBJECT_UNREADABLE,
             "warning",
-            kind=BEGIN_KIND,
+            kind=RECORD_KIND,
             name=order.service,
             detail=repr(error),
         )
--- a/hemlockswitch/process/gateway/rollout_progress.py
+++ b/hemlockswitch/process/gateway/rollout_progress.py
@@ -26,29 +26,29 @@
 MOVE_SHARE = 0.2
 """The move begins this long before the order is closed, at most this fraction of the time limit: most
 streams that began on the old version end within that time."""
-LEAST_MOVE_MS = 500.0
+MIN_MOVE_MS = 500.0
 """Duration of a move that begins late: within it, reports of the move reach the other gateways and
 plain calls end."""
-ABANDON_MS = 2_000.0
-ABANDON_MOVE_MS = 8_000.0
+ABANDON_DELAY_MS = 2_000.0
+ABANDON_MOVE_DELAY_MS = 8_000.0
 """A gateway abandons an order that was not closed this long after its time limit. The longer delay
 applies once the move has begun: the version was found good, and the next holder of the duties may
 still close the order."""
-USUAL_DURATION_MS = 1_000.0
+DEFAULT_DURATION_MS = 1_000.0
 """Assumed duration of an answer on a route on which none has ended yet."""
 DURATION_WEIGHT = 0.1
 MOVED_DURATION_SHARE = 0.6
 """A request goes to the new version if the old version ends before this fraction of the request's usual
 duration has passed. Fewer requests may move than would still be in progress at that time, and the ones
 that start latest are the most certain to be."""
-BREAK_MS = 1_000.0
+BREAK_WINDOW_MS = 1_000.0
 """Connections that a server breaks within this time have one cause, and count once."""
-TRIAL_GAP_MS = 25.0
+MIN_TRIAL_INTERVAL_MS = 25.0
 """Minimum time between two trials by one gateway."""
 NO_MOVE = -1.0
 NO_ANSWERS = [0] * 6
 """Reported counts of a route without answers, laid out as by `_write_tallies`."""
-MOST_LIMIT_MS = 86_400_000.0
+MAX_AGE_MS = 86_400_000.0
 
 
 @dataclass(frozen=True)
@@ -112,18 +112,18 @@
         self.stopped_for = ""
         self.has_changed = False
         self.sent_to_target = 0
-        self.waiting_trials = 0  # attempts on the new version that are not counted yet
+        self.pending_trials = 0  # attempts on the new version that are not counted yet
         self.has_seen_target = False
         self.has_seen_others = False
         # How much of the slack an earlier process has spent is unknown.
         sharing = daemons if order.state is None else None
         self._credit = ExposureCredit(bound, sharing, chance)
         self._own: dict[str, RouteTallies] = {}
-        self._told: dict[str, dict[str, list[int]]] = {}
+        self._received: dict[str, dict[str, list[int]]] = {}
         self._sums: dict[str, RouteTallies] = {}
-        self._paid_ms = float("-inf")
+        self._last_trial_ms = float("-inf")
         self._durations_ms: dict[str, float] = {}
-        self._broke_ms: dict[str, float] = {}
+        self._last_break_ms: dict[str, float] = {}
         self._warm_at_ms: dict[str, float] = {}
 
     @property
@@ -137,7 +137,7 @@
         is_new = self.order.state is None
         return is_new and self.has_seen_target and not self.has_seen_others
 
-    def note_seen(
+    def record_servers(
         self, target: Sequence[BackendServer], others: Sequence[BackendServer], now_ms: float
     ) -> None:
         """Record which versions have servers, and until when the new servers are cold."""
@@ -154,9 +154,9 @@
         """Return the age of the order, by the earliest time recorded for it."""
         return now_ms - self.began_ms
 
-    def note_age(self, age_ms: float, now_ms: float) -> None:
+    def record_age(self, age_ms: float, now_ms: float) -> None:
         """Apply the age of the order as reported by another gateway or as stored."""
-        if 0 <= age_ms <= MOST_LIMIT_MS:
+        if 0 <= age_ms <= MAX_AGE_MS:
             self.began_ms = min(self.began_ms, now_ms - age_ms)
 
     def count_send(self, route: str) -> None:
@@ -173,26 +173,26 @@
         A version that is not judged yet gets few requests at a time, since their answers may end its
         trial.
         """
-        is_busy = self.waiting_trials > 0 or now_ms - self._paid_ms < TRIAL_GAP_MS
+        is_busy = self.pending_trials > 0 or now_ms - self._last_trial_ms < MIN_TRIAL_INTERVAL_MS
         return self._credit.may_try(route) and not is_busy
 
-    def pay(self, route: str, now_ms: float) -> None:
+    def charge(self, route: str, now_ms: float) -> None:
         """Charge the credit for a request that is about to be sent to the new version."""
         self._credit.pay(route)
-        self._paid_ms = now_ms
+        self._last_trial_ms = now_ms
         self.sent_to_target += 1
 
     def must_move(self, route: str, now_ms: float) -> bool:
         """Return whether a new request would outlast the old version, and may go to the new one."""
         if self.close_ms is None or not self._credit.may_move():
             return False
-        usual_ms = self._durations_ms.get(route, USUAL_DURATION_MS)
-        return now_ms + MOVED_DURATION_SHARE * usual_ms > self.close_ms
+        mean_ms = self._durations_ms.get(route, DEFAULT_DURATION_MS)
+        return now_ms + MOVED_DURATION_SHARE * mean_ms > self.close_ms
 
-    def note_duration(self, route: str, took_ms: float) -> None:
+    def record_duration(self, route: str, took_ms: float) -> None:
         """Update the mean duration of answers on a route."""
-        known_ms = self._durations_ms.setdefault(route, took_ms)
-        self._durations_ms[route] = known_ms + DURATION_WEIGHT * (took_ms - known_ms)
+        mean_ms = self._durations_ms.setdefault(route, took_ms)
+        self._durations_ms[route] = mean_ms + DURATION_WEIGHT * (took_ms - mean_ms)
 
     def get_duration_ms(self, route: str) -> float | None:
         """Return the mean duration of answers on a route; None before the first one has ended."""
@@ -207,11 +207,11 @@
         if is_target and tally.bad:
             self._check_answers()
 
-    def note_break(self, server: str, now_ms: float) -> bool:
+    def record_break(self, server: str, now_ms: float) -> bool:
         """Record a connection broken by a server; return whether it counts as a separate failure."""
-        counts = now_ms - self._broke_ms.get(server, float("-inf")) > BREAK_MS
+        counts = now_ms - self._last_break_ms.get(server, float("-inf")) > BREAK_WINDOW_MS
         if counts:
-            self._broke_ms[server] = now_ms
+            self._last_break_ms[server] = now_ms
         return counts
 
     def get_sums(self) -> Mapping[str, RouteTallies]:
@@ -262,7 +262,7 @@
         }
         return {"verdict": self.judge().value, "routes": routes}
 
-    def write_fields(self, now_ms: float, *, leads: bool) -> RolloutFields:
+    def make_report(self, now_ms: float, *, leads: bool) -> RolloutFields:
         """Return this gateway's report on the order, for its peers."""
         close_in_ms = NO_MOVE
         if leads and self.close_ms is not None:
@@ -272,17 +272,17 @@
         age_ms = self.get_age_ms(now_ms)
         return service, target, created, age_ms, bool(self.stopped_for), close_in_ms, routes
 
-    def take_fields(self, process: str, fields: RolloutFields, now_ms: float) -> None:
+    def apply_report(self, process: str, fields: RolloutFields, now_ms: float) -> None:
         """Apply another gateway's report; the counts of a gateway never decrease."""
         _, _, _, age_ms, is_stopped, close_in_ms, routes = fields
-        self.note_age(age_ms, now_ms)
-        told = self._told.setdefault(process, {})
+        self.record_age(age_ms, now_ms)
+        received = self._received.setdefault(process, {})
         for route, numbers in routes.items():
-            known = told.get(route, NO_ANSWERS)
-            if sum(numbers) <= sum(known):
+            recorded = received.get(route, NO_ANSWERS)
+            if sum(numbers) <= sum(recorded):
                 continue  # an outdated or repeated report
-            told[route] = numbers
-            change = _read_tallies([new - old for new, old in zip(numbers, known, strict=True)])
+            received[route] = numbers
+            change = _read_tallies([new - old for new, old in zip(numbers, recorded, strict=True)])
             self._sums[route] = self._sums.get(route, RouteTallies()) + change
             if change.target.bad > 0:
                 self._check_answers()
@@ -294,8 +294,8 @@
     def check(self, now_ms: float) -> None:
         """Stop the rollout if the new version is judged bad, or if the order was not closed in time."""
         self._check_answers()
-        patience_ms = ABANDON_MS if self.close_ms is None else ABANDON_MOVE_MS
-        if self.is_open and self.get_age_ms(now_ms) > self.times.limit_ms + patience_ms:
+        delay_ms = ABANDON_DELAY_MS if self.close_ms is None else ABANDON_MOVE_DELAY_MS
+        if self.is_open and self.get_age_ms(now_ms) > self.times.limit_ms + delay_ms:
             self.stop("order not closed within its time limit")
 
     def _check_answers(self) -> None:
--- a/hemlockswitch/process/gateway/rollout_sends.py
+++ b/hemlockswitch/process/gateway/rollout_sends.py
@@ -8,7 +8,7 @@
 from hemlockswitch.request.sending import SendTicket
 
 SLOW_FACTOR = 2.0
-SLOW_ABOVE_MS = 30.0
+SLOW_OFFSET_MS = 30.0
 """An answer is slow if it begins later than this multiple of the predicted time plus this offset."""
 LONG_FACTOR = 2.5
 """An answer is slow if it lasts longer than this multiple of the mean duration on its route."""
@@ -22,15 +22,15 @@
     ==========
 
     begin_ms : limit for the start of the answer.
-    whole_ms : limit for the complete answer.
+    complete_ms : limit for the complete answer.
     """
 
     begin_ms: float
-    whole_ms: float
+    complete_ms: float
 
     @classmethod
     def from_expected(
-        cls, expected_ms: float, usual_ms: float | None, is_cold: bool
+        cls, expected_ms: float, mean_ms: float | None, is_cold: bool
     ) -> "SendLimits":
         """Return the limits of a send attempt.
 
@@ -38,24 +38,24 @@
         ==========
 
         expected_ms : predicted time until the answer begins.
-        usual_ms : mean duration of answers on the route; None if none has been measured.
+        mean_ms : mean duration of answers on the route; None if none has been measured.
         is_cold : whether the server is slow because it has just started; its answers have no limits.
 
         Examples
         ========
 
         >>> SendLimits.from_expected(100.0, 400.0, False)
-        SendLimits(begin_ms=230.0, whole_ms=1030.0)
+        SendLimits(begin_ms=230.0, complete_ms=1030.0)
         """
         if is_cold:
             return cls(float("inf"), float("inf"))
-        begin_ms = SLOW_FACTOR * expected_ms + SLOW_ABOVE_MS
-        if usual_ms is None:
+        begin_ms = SLOW_FACTOR * expected_ms + SLOW_OFFSET_MS
+        if mean_ms is None:
             return cls(begin_ms, float("inf"))
-        return cls(begin_ms, max(LONG_FACTOR * usual_ms, begin_ms) + SLOW_ABOVE_MS)
+        return cls(begin_ms, max(LONG_FACTOR * mean_ms, begin_ms) + SLOW_OFFSET_MS)
 
 
-class RolloutSend:
+class RolloutAttempt:
     """A send attempt in progress.
 
     Parameters
@@ -86,21 +86,21 @@
         self._clock = clock
         self._began_ms = clock.now_ms()
         self._is_counted = False
-        self._waits = is_target
-        progress.waiting_trials += int(is_target)
+        self._is_pending = is_target
+        progress.pending_trials += int(is_target)
         self._is_slow = False
         self._is_answered = False
 
-    def note_answer(self, *, succeeds: bool) -> None:
+    def record_answer(self, *, succeeds: bool) -> None:
         """Record that the answer has begun; `succeeds` is false if it reports a failure."""
         self._is_answered = True
         if succeeds:
             self._count(slow=self._get_age_ms() > self._limits.begin_ms)
 
-    def note_waiting(self) -> None:
+    def check_overdue(self) -> None:
         """Count the answer as slow if it is overdue."""
         age_ms = self._get_age_ms()
-        limit_ms = self._limits.whole_ms if self._is_answered else self._limits.begin_ms
+        limit_ms = self._limits.complete_ms if self._is_answered else self._limits.begin_ms
         if not self.is_over and age_ms > limit_ms:
             self._count(slow=True)
 
@@ -109,25 +109,25 @@
 
         An attempt that was abandoned before its answer was overdue is not counted.
         """
-        self.note_waiting()
-        self._stop_waiting()
+        self.check_overdue()
+        self._resolve_trial()
         self.is_over = True
         if failed:
-            if self._is_answered or self._progress.note_break(self._server, self._clock.now_ms()):
+            if self._is_answered or self._progress.record_break(self._server, self._clock.now_ms()):
                 self._count(failed=True)
         elif self._is_answered:
-            self._progress.note_duration(self._route, self._get_age_ms())
+            self._progress.record_duration(self._route, self._get_age_ms())
 
-    def _stop_waiting(self) -> None:
+    def _resolve_trial(self) -> None:
         """Remove the attempt from the trials without a result."""
-        self._progress.waiting_trials -= int(self._waits)
-        self._waits = False
+        self._progress.pending_trials -= int(self._is_pending)
+        self._is_pending = False
 
     def _count(self, *, failed: bool = False, slow: bool = False) -> None:
         is_new_slow = slow and not self._is_slow
         if self._is_counted and not failed and not is_new_slow:
             return
-        self._stop_waiting()
+        self._resolve_trial()
         tally = Tally(0 if self._is_counted else 1, int(failed), int(is_new_slow))
         self._is_counted = True
         self._is_slow = self._is_slow or slow
@@ -147,16 +147,16 @@
     send : counts the attempt in the rollout.
     """
 
-    def __init__(self, ticket: SendTicket, send: RolloutSend) -> None:
+    def __init__(self, ticket: SendTicket, attempt: RolloutAttempt) -> None:
         self._ticket = ticket
-        self._send = send
+        self._attempt = attempt
 
     def note_first_event(self, *, succeeds: bool) -> None:
         """Record that the answer has begun."""
-        self._send.note_answer(succeeds=succeeds)
+        self._attempt.record_answer(succeeds=succeeds)
         self._ticket.note_first_event(succeeds=succeeds)
 
     def end(self, failed: bool) -> None:
         """Record that the attempt has ended."""
-        self._send.end(failed)
+        self._attempt.end(failed)
         self._ticket.end(failed)
--- a/hemlockswitch/process/gateway/rollouts.py
+++ b/hemlockswitch/process/gateway/rollouts.py
@@ -20,16 +20,16 @@
 from hemlockswitch.process.gateway.known_versions import KnownVersions
 from hemlockswitch.process.gateway.messages import RolloutFields
 from hemlockswitch.process.gateway.rollout_progress import RolloutProgress
-from hemlockswitch.process.gateway.rollout_sends import RolloutSend, SendLimits
+from hemlockswitch.process.gateway.rollout_sends import RolloutAttempt, SendLimits
 from hemlockswitch.request.rollout_credit import ExposureBound
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.rollout import RolloutOrder, RolloutState
 
 Decoder = Callable[[StoredObject], RolloutOrder]
 
-LOOK_MS = 200.0
+POLL_INTERVAL_MS = 200.0
 """Interval between checks of the answer counts while a rollout is open."""
-IDLE_LOOK_MS = 1_000.0
+IDLE_POLL_INTERVAL_MS = 1_000.0
 CANARY_SHARE = 0.05
 """Fraction of the new servers that get half of the trials. Each of them is then about as busy as every
 new server will be after the move."""
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class _Listed:
+class _ServersByVersion:
     """Servers of a service in a rollout: those of the target version, and those of other versions."""
 
     target: list[BackendServer]
@@ -97,7 +97,7 @@
         self._clock = clock
         self._chance = chance or random.Random()
         self._progress: dict[str, RolloutProgress] = {}
-        self._sends: list[RolloutSend] = []
+        self._attempts: list[RolloutAttempt] = []
 
     def replace_all(self, page: ObjectPage) -> None:
         """Apply a complete list of orders; orders that are not on it are withdrawn."""
@@ -121,11 +121,11 @@
         except ConfigurationError as error:
             log_event(Event.ROLLOUT_UNREADABLE, "warning", name=item.name, detail=error.detail)
             return
-        known = self._progress.get(order.service)
-        if known is not None and known.order.identity == order.identity:
-            self._take_state(known, order)
+        current = self._progress.get(order.service)
+        if current is not None and current.order.identity == order.identity:
+            self._take_state(current, order)
             return
-        if known is not None:
+        if current is not None:
             self._withdraw(order.service)
         self.versions.release(order.service, order.target)
         assert self._bound is not None
@@ -196,25 +196,25 @@
                 target.append(server)
             elif not self.versions.is_withheld(server):
                 others.append(server)
-        return self._select_by_order(progress, wish, _Listed(target, others))
+        return self._select_by_order(progress, wish, _ServersByVersion(target, others))
 
     def _select_by_order(
-        self, progress: RolloutProgress, wish: SendWish, listed: _Listed
+        self, progress: RolloutProgress, wish: SendWish, listed: _ServersByVersion
     ) -> list[BackendServer]:
         if progress.order.state is RolloutState.COMPLETED:
             return listed.target or listed.others
-        progress.note_seen(listed.target, listed.others, self._clock.now_ms())
+        progress.record_servers(listed.target, listed.others, self._clock.now_ms())
         if progress.is_in_force:
             return listed.target
         if not progress.is_open or not listed.target:
             return listed.others
         chosen = self._select_open(progress, wish, listed)
         if chosen and chosen[0].version == progress.order.target:
-            progress.pay(wish.route, self._clock.now_ms())
+            progress.charge(wish.route, self._clock.now_ms())
         return chosen
 
     def _select_open(
-        self, progress: RolloutProgress, wish: SendWish, listed: _Listed
+        self, progress: RolloutProgress, wish: SendWish, listed: _ServersByVersion
     ) -> list[BackendServer]:
         """Return the candidate servers of a request while the order is open."""
         now_ms = self._clock.now_ms()
@@ -242,7 +242,7 @@
 
     def begin_send(
         self, route: str, server: BackendServer, expected_ms: float
-    ) -> RolloutSend | None:
+    ) -> RolloutAttempt | None:
         """Start to track a send attempt under the service's open order; None if there is none."""
         progress = self._progress.get(server.serves)
         if progress is None or not progress.is_open:
@@ -250,30 +250,32 @@
         is_target = server.version == progress.order.target
         progress.count_send(route)
         now_ms = self._clock.now_ms()
-        usual_ms = progress.get_duration_ms(route)
-        limits = SendLimits.from_expected(expected_ms, usual_ms, progress.is_cold(server, now_ms))
-        send = RolloutSend(progress, route, is_target, server.incarnation, limits, self._clock)
-        self._sends.append(send)
-        return send
+        mean_ms = progress.get_duration_ms(route)
+        limits = SendLimits.from_expected(expected_ms, mean_ms, progress.is_cold(server, now_ms))
+        attempt = RolloutAttempt(
+            progress, route, is_target, server.incarnation, limits, self._clock
+        )
+        self._attempts.append(attempt)
+        return attempt
 
     def run(self) -> None:
         """Check the counts periodically until the task is cancelled."""
         while True:
-            self._clock.sleep_ms(LOOK_MS if self.list_open() else IDLE_LOOK_MS)
-            self.look()
+            self._clock.sleep_ms(POLL_INTERVAL_MS if self.list_open() else IDLE_POLL_INTERVAL_MS)
+            self.check_all()
 
-    def look(self) -> None:
+    def check_all(self) -> None:
         """Count overdue answers, and stop the orders whose target version is judged bad."""
-        for send in self._sends:
-            send.note_waiting()
-        self._sends = [send for send in self._sends if not send.is_over]
+        for send in self._attempts:
+            send.check_overdue()
+        self._attempts = [send for send in self._attempts if not send.is_over]
         for progress in self.list_open():
             progress.check(self._clock.now_ms())
 
     def write_all(self, *, leads: bool) -> list[RolloutFields]:
         """Return this gateway's report on each open order, for its peers."""
         now_ms = self._clock.now_ms()
-        return [one.write_fields(now_ms, leads=leads) for one in self.list_open()]
+        return [one.make_report(now_ms, leads=leads) for one in self.list_open()]
 
     def pop_changed(self, *, leads: bool) -> list[RolloutFields]:
         """Return the reports on the open orders that have changed since the last call."""
@@ -281,14 +283,14 @@
         changed = [one for one in self.list_open() if one.has_changed]
         for one in changed:
             one.has_changed = False
-        return [one.write_fields(now_ms, leads=leads) for one in changed]
+        return [one.make_report(now_ms, leads=leads) for one in changed]
 
     def take_told(self, process: str, told: Sequence[RolloutFields]) -> None:
         """Apply a peer's reports; a report on an order other than the recorded one is ignored."""
         for fields in told:
             progress = self._progress.get(fields[0])
             if progress is not None and progress.order.identity == tuple(fields[:3]):
-                progress.take_fields(process, fields, self._clock.now_ms())
+                progress.apply_report(process, fields, self._clock.now_ms())
 
     def count_answers(self) -> dict[tuple[str, str, str], int]:
         """Return this gateway's answer counts by service, version (`target` or `others`) and result."""
--- a/hemlockswitch/process/gateway/usage.py
+++ b/hemlockswitch/process/gateway/usage.py
@@ -11,10 +11,10 @@
 from hemlockswitch.process.gateway.report_period import UsagePeriod
 
 USAGE_KIND = "usage-windows"
-KEPT_WINDOWS = 6
+RETAINED_WINDOWS = 6
 """Number of latest windows whose counts are retained and sent to peers. A window is due two windows
 after its end, and a new holder may need the windows before."""
-WINDOWS_BEFORE = 2
+TAKEOVER_WINDOWS = 2
 """Number of windows before the last one that a new holder also reports, since its predecessor may not
 have reported them: the lease of a frozen holder is taken over some five seconds later, which is the
 length of a window. Reporting the same counts again is harmless."""
@@ -39,18 +39,18 @@
         self._process = process
         self._window_ms = window_s * MS_PER_SECOND
         self._own: Counts = {}
-        self._others: dict[str, Counts] = {}
+        self._peers: dict[str, Counts] = {}
 
-    def find_window(self, believed_ms: float) -> int:
+    def find_window(self, wall_ms: float) -> int:
         """Return the number of the window that contains a time."""
-        return int(believed_ms // self._window_ms)
+        return int(wall_ms // self._window_ms)
 
-    def count(self, believed_ms: float, account: str) -> None:
+    def count(self, wall_ms: float, account: str) -> None:
         """Count one request that started to run."""
-        window = self.find_window(believed_ms)
+        window = self.find_window(wall_ms)
         counts = self._own.setdefault(window, defaultdict(int))
         counts[account] += 1
-        _forget_before(self._own, window - KEPT_WINDOWS)
+        _discard_before(self._own, window - RETAINED_WINDOWS)
 
     def describe_own(self) -> ReportedCounts:
         """Return this process's counts, in the form sent to other gateways."""
@@ -58,48 +58,48 @@
 
     def take_report(self, daemon: str, counts: ReportedCounts) -> None:
         """Apply another gateway's counts; `daemon` differs for each start of a process."""
-        kept = self._others.setdefault(daemon, {})
+        recorded = self._peers.setdefault(daemon, {})
         for window, accounts in counts.items():
-            kept[int(window)] = accounts
-        if kept:
-            _forget_before(kept, max(kept) - KEPT_WINDOWS)
+            recorded[int(window)] = accounts
+        if recorded:
+            _discard_before(recorded, max(recorded) - RETAINED_WINDOWS)
 
     def describe_processes(self) -> dict[str, ReportedCounts]:
         """Return the counts of this process and of the processes that have reported, by process."""
         own = {self._process: self.describe_own()}
         others = {
             process: {str(window): dict(accounts) for window, accounts in counts.items()}
-            for process, counts in self._others.items()
+            for process, counts in self._peers.items()
         }
         return {process: counts for process, counts in (own | others).items() if counts}
 
-    def take_kept(self, process: str, counts: ReportedCounts) -> None:
+    def merge_stored(self, process: str, counts: ReportedCounts) -> None:
         """Merge stored counts of a process; a count that the process reported is never lowered."""
         if process == self._process:
             return
-        known = self._others.setdefault(process, {})
+        windows = self._peers.setdefault(process, {})
         for window, accounts in counts.items():
-            kept = known.setdefault(int(window), {})
+            recorded = windows.setdefault(int(window), {})
             for account, count in accounts.items():
-                kept[account] = max(kept.get(account, 0), int(count))
+                recorded[account] = max(recorded.get(account, 0), int(count))
 
-    def forget_before(self, oldest: int) -> None:
+    def discard_before(self, oldest: int) -> None:
         """Discard the windows before `oldest`, and the processes without later counts."""
-        for counts in (self._own, *self._others.values()):
-            _forget_before(counts, oldest)
-        for process in [process for process, counts in self._others.items() if not counts]:
-            del self._others[process]
+        for counts in (self._own, *self._peers.values()):
+            _discard_before(counts, oldest)
+        for process in [process for process, counts in self._peers.items() if not counts]:
+            del self._peers[process]
 
     def sum_window(self, window: int) -> dict[str, int]:
         """Return the counts of a window over all gateways."""
         sums: dict[str, int] = defaultdict(int)
-        for counts in (self._own, *self._others.values()):
+        for counts in (self._own, *self._peers.values()):
             for account, count in counts.get(window, {}).items():
                 sums[account] += count
         return dict(sums)
 
 
-def _forget_before(counts: Counts, oldest: int) -> None:
+def _discard_before(counts: Counts, oldest: int) -> None:
     for window in [window for window in counts if window < oldest]:
         del counts[window]
 
@@ -126,7 +126,7 @@
     counts : the counts of this process and its peers.
     store : stores the final counts of each window.
     api : accepts the reports.
-    load_kept : loads the counts that an earlier holder stored for windows that are not reported yet.
+    load_stored : loads the counts that an earlier holder stored for windows that are not reported yet.
     get_period : returns the interval at which other gateways report their counts.
     """
 
@@ -135,33 +135,33 @@
         counts: UsageCounts,
         store: ConditionalStore,
         api: UsageApi,
-        load_kept: Callable[[], None] = lambda: None,
+        load_stored: Callable[[], None] = lambda: None,
         get_period: Callable[[], UsagePeriod] = lambda: UsagePeriod(),
     ) -> None:
-        self._load_kept = load_kept
+        self._load_stored = load_stored
         self._get_period = get_period
         self._counts = counts
         self._store = store
         self._api = api
-        self._done: set[int] = set()
-        self._begun_window: int | None = None
-        self._silent_until_ms = float("-inf")
+        self._reported: set[int] = set()
+        self._first_window: int | None = None
+        self._reports_from_ms = float("-inf")
 
-    def take_over(self, believed_ms: float) -> None:
+    def take_over(self, wall_ms: float) -> None:
         """Start as a new holder, and wait for the counts of the other gateways."""
-        self._begun_window = None
-        self._silent_until_ms = believed_ms + self._get_period().takeover_ms
+        self._first_window = None
+        self._reports_from_ms = wall_ms + self._get_period().takeover_ms
 
-    def list_due(self, believed_ms: float) -> list[int]:
+    def list_due(self, wall_ms: float) -> list[int]:
         """Return the windows that have ended and that this process has not reported."""
-        if believed_ms < self._silent_until_ms:
+        if wall_ms < self._reports_from_ms:
             return []
-        settled_ms = believed_ms - self._get_period().settle_ms
+        settled_ms = wall_ms - self._get_period().settle_ms
         last = self._counts.find_window(settled_ms) - 1
-        if self._begun_window is None:
-            self._begun_window = last - WINDOWS_BEFORE
-        first = max(self._begun_window, last - KEPT_WINDOWS // 2)
-        return [window for window in range(first, last + 1) if window not in self._done]
+        if self._first_window is None:
+            self._first_window = last - TAKEOVER_WINDOWS
+        first = max(self._first_window, last - RETAINED_WINDOWS // 2)
+        return [window for window in range(first, last + 1) if window not in self._reported]
 
     def report(self, window: int, get_fencing: Callable[[], int]) -> None:
         """Fix the counts of a window and report them.
@@ -172,15 +172,15 @@
         PlatformError : the object service or the API did not answer; the report has to be retried.
         LeaseError : the lease is no longer held.
         """
-        self._load_kept()
+        self._load_stored()
         counts = self._decide(window)
         if counts is None:
             return
         fencing = get_fencing()
         if self._api.report_usage(window, counts, fencing):
             log_event(Event.USAGE_REPORTED, window=window, counts=counts, fencing=fencing)
-            self._done.add(window)
-            self._counts.forget_before(window - KEPT_WINDOWS)
+            self._reported.add(window)
+            self._counts.discard_before(window - RETAINED_WINDOWS)
 
     def _decide(self, window: int) -> dict[str, int] | None:
         """Return the counts stored in the object service, by this process or an earlier holder.
--- a/hemlockswitch/process/gateway/usage_keeper.py
+++ b/hemlockswitch/process/gateway/usage_keeper.py
@@ -13,14 +13,14 @@
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.gateway.usage import ReportedCounts, UsageCounts
 
-KEPT_KIND = "usage-counts"
-KEPT_NAME = "open-windows"
-KEEP_MS = 500.0
+COUNTS_KIND = "usage-counts"
+COUNTS_NAME = "open-windows"
+SAVE_INTERVAL_MS = 500.0
 """Interval between writes. Counts made since the last write are lost if their process and the holder
 end together. This is two of the some hundred writes per second that the object service handles."""
 
 
-class UsageKeeper:
+class UsageStore:
     """Stores the counts of the open windows while this gateway holds the duties.
 
     Parameters
@@ -37,8 +37,8 @@
         self._clock = clock
         self._is_loaded = False
         self._version: int | None = None  # of the object; None if there is none yet
-        self._kept: dict[str, ReportedCounts] = {}
-        self._kept_ms = float("-inf")
+        self._saved: dict[str, ReportedCounts] = {}
+        self._last_save_ms = float("-inf")
 
     def take_over(self) -> None:
         """Start as a new holder; the counts stored by an earlier holder are loaded again."""
@@ -54,7 +54,7 @@
         """
         if self._is_loaded:
             return
-        found = self._store.read(KEPT_KIND, KEPT_NAME)
+        found = self._store.read(COUNTS_KIND, COUNTS_NAME)
         self._version = found.version if found is not None else None
         if found is not None:
             self._merge(found)
@@ -70,18 +70,18 @@
         """
         now_ms = self._clock.now_ms()
         processes = self._counts.describe_processes()
-        if now_ms - self._kept_ms < KEEP_MS or processes == self._kept:
+        if now_ms - self._last_save_ms < SAVE_INTERVAL_MS or processes == self._saved:
             return
         self.load()
         value = {"processes": processes}
         if self._version is None:
-            outcome = self._store.create(KEPT_KIND, KEPT_NAME, value)
+            outcome = self._store.create(COUNTS_KIND, COUNTS_NAME, value)
         else:
-            outcome = self._store.update(KEPT_KIND, KEPT_NAME, value, self._version)
-        self._kept_ms = now_ms
+            outcome = self._store.update(COUNTS_KIND, COUNTS_NAME, value, self._version)
+        self._last_save_ms = now_ms
         if isinstance(outcome, Written):
             self._version = outcome.version
-            self._kept = processes
+            self._saved = processes
         else:
             # An answer was lost or another holder has written: load again before the next write.
             self._is_loaded = False
@@ -89,7 +89,7 @@
     def _merge(self, found: StoredObject) -> None:
         try:
             for process, counts in found.value["processes"].items():
-                self._counts.take_kept(process, counts)
+                self._counts.merge_stored(process, counts)
         except (TypeError, KeyError, AttributeError, ValueError) as error:
             log_event(
                 Event.OBJECT_UNREADABLE,
@@ -100,9 +100,9 @@
             )
 
 
-def save_while_held(keeper: UsageKeeper) -> None:
+def save_or_log(store: UsageStore) -> None:
     """Save the counts; if the object service is unavailable, leave it to the next call."""
     try:
-        keeper.save()
+        store.save()
     except PlatformError as error:
         log_event(Event.DUTY_FAILED, "warning", detail=error.detail)
--- a/tests/rollout_plays.py
+++ b/tests/rollout_plays.py
@@ -282,7 +282,7 @@
 
         def begin():
             if send is not None and gateway in self.gateways:
-                send.note_answer(succeeds=not fails)
+                send.record_answer(succeeds=not fails)
 
         def end():
             if not is_new and self.running_old[route]:
@@ -317,7 +317,7 @@
                 self.take_turn()
             if step % 10 == 0:
                 for one in self.gateways:
-                    one.rollouts.look()
+                    one.rollouts.check_all()
             self.judge_bound()
             self.clock.advance(STEP_MS)
             step += 1
--- a/tests/test_gateway_duties.py
+++ b/tests/test_gateway_duties.py
@@ -38,10 +38,10 @@
         self.reported = []
         self.took_over = 0
 
-    def take_over(self, believed_ms):
+    def take_over(self, wall_ms):
         self.took_over += 1
 
-    def list_due(self, believed_ms):
+    def list_due(self, wall_ms):
         return [3]
 
     def report(self, window, get_fencing):
@@ -144,7 +144,7 @@
     lease = parts[0]
     runner = make_runner(parts)
     runner.release()
-    runner.keep_lease()
+    runner.maintain_lease()
     assert (lease.released, lease.turns) == (1, 0)
 
 
@@ -158,6 +158,6 @@
         return 1_000.0
 
     lease.take_turn = take_turn
-    runner.keep_lease()
+    runner.maintain_lease()
     assert lease.released == 2
     assert not runner.leads
--- a/tests/test_rollout_duty.py
+++ b/tests/test_rollout_duty.py
@@ -15,8 +15,8 @@
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.platform.rollouts import ROLLOUT_KIND, decode_rollout, encode_rollout_status
 from hemlockswitch.process.gateway.rollout_duty import (
-    BEGIN_KIND,
     DRAIN_GRACE_MS,
+    RECORD_KIND,
     RolloutDuty,
 )
 from hemlockswitch.process.gateway.rollouts import Rollouts
@@ -114,7 +114,7 @@
     holder.turn()
     holder.turn()
     assert holder.store.states == ["running"]
-    assert holder.store.objects["llm"].kind == BEGIN_KIND
+    assert holder.store.objects["llm"].kind == RECORD_KIND
 
 
 def test_a_good_version_is_moved_to_before_the_time_limit(holder):
@@ -172,7 +172,7 @@
 def test_what_another_order_was_found_does_not_count():
     store, clock = RolloutStore(), ManualClock()
     store.create(
-        BEGIN_KIND,
+        RECORD_KIND,
         "llm",
         {"target": "v2", "created": 1, "began_unix_ms": 1e12, "found_good": True},
     )
@@ -323,7 +323,7 @@
 
 
 def test_a_beginning_that_another_program_wrote_is_replaced(holder):
-    holder.store.create(BEGIN_KIND, "llm", {"began": "?"})
+    holder.store.create(RECORD_KIND, "llm", {"began": "?"})
     holder.turn()
     assert holder.store.objects["llm"].value["target"] == "v2"
 
--- a/tests/test_rollout_protocol.py
+++ b/tests/test_rollout_protocol.py
@@ -164,7 +164,7 @@
         send = process.rollouts.begin_send(route, server, 250.0)
         if send is not None:
             is_bad = is_new and fails
-            send.note_answer(succeeds=not is_bad)
+            send.record_answer(succeeds=not is_bad)
             send.end(is_bad)
 
     def check_may_send(self, progress):
@@ -203,7 +203,7 @@
         for _ in range(turns):
             self.clock.advance(TURN_MS)
             for process in self.processes:
-                process.rollouts.look()
+                process.rollouts.check_all()
             self.take_turn(self.holder)
 
     @rule(number=NUMBERS)
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -7,7 +7,7 @@
 from hemlockswitch.connection.stored_objects import ObjectPage, StoredObject
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.platform.rollouts import decode_rollout
-from hemlockswitch.process.gateway.rollout_progress import ABANDON_MS, RolloutTimes
+from hemlockswitch.process.gateway.rollout_progress import ABANDON_DELAY_MS, RolloutTimes
 from hemlockswitch.process.gateway.rollouts import Rollouts, SendWish
 from hemlockswitch.request.rollout_credit import ExposureBound
 from hemlockswitch.version.backend import BackendServer
@@ -63,7 +63,7 @@
         self.clock.advance(took_ms)
         failed = server.version == failing
         if send is not None:
-            send.note_answer(succeeds=not failed)
+            send.record_answer(succeeds=not failed)
             send.end(failed)
         return server
 
@@ -268,8 +268,8 @@
 
 def test_an_order_that_nobody_closes_ends_here(gateway):
     gateway.read(make_order())
-    gateway.clock.advance(LIMIT_S * 1_000 + ABANDON_MS + 1)
-    gateway.rollouts.look()
+    gateway.clock.advance(LIMIT_S * 1_000 + ABANDON_DELAY_MS + 1)
+    gateway.rollouts.check_all()
     assert gateway.progress.stopped_for == "order not closed within its time limit"
 
 
@@ -279,7 +279,7 @@
     server = next(one for one in NEW)
     send = gateway.rollouts.begin_send(ROUTE, server, 10.0)
     gateway.clock.advance(60)
-    gateway.rollouts.look()
+    gateway.rollouts.check_all()
     assert gateway.progress.get_sums()[ROUTE].target.slow == 1
     send.end(True)
     target = gateway.progress.get_sums()[ROUTE].target
@@ -300,7 +300,7 @@
     gateway.rollouts.select(FIRST, [*OLD, cold])
     send = gateway.rollouts.begin_send(ROUTE, cold, 10.0)
     gateway.clock.advance(400)
-    send.note_answer(succeeds=True)
+    send.record_answer(succeeds=True)
     send.end(False)
     assert gateway.progress.get_sums()[ROUTE].target.slow == 0
 
--- a/tests/test_usage_keeper.py
+++ b/tests/test_usage_keeper.py
@@ -13,11 +13,11 @@
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.process.gateway.usage import UsageCounts
 from hemlockswitch.process.gateway.usage_keeper import (
-    KEEP_MS,
-    KEPT_KIND,
-    KEPT_NAME,
-    UsageKeeper,
-    save_while_held,
+    COUNTS_KIND,
+    COUNTS_NAME,
+    SAVE_INTERVAL_MS,
+    UsageStore,
+    save_or_log,
 )
 
 WINDOW_S = 5.0
@@ -34,7 +34,7 @@
         self.loses_answer = False
 
     def read(self, kind, name):
-        assert (kind, name) == (KEPT_KIND, KEPT_NAME)
+        assert (kind, name) == (COUNTS_KIND, COUNTS_NAME)
         self._check()
         return StoredObject(kind, name, self.version, self.value) if self.version else None
 
@@ -59,14 +59,14 @@
     def __init__(self, store, process):
         self.counts = UsageCounts(WINDOW_S, process)
         self.clock = ManualClock(now_ms=1_000)
-        self.keeper = UsageKeeper(self.counts, store, self.clock)
+        self.keeper = UsageStore(self.counts, store, self.clock)
 
     def count(self, times, account="hall"):
         for _ in range(times):
             self.counts.count(NOW_MS, account)
 
     def save(self):
-        self.clock.advance(int(KEEP_MS))
+        self.clock.advance(int(SAVE_INTERVAL_MS))
         self.keeper.save()
 
 
@@ -143,10 +143,10 @@
     holder = Holder(store, "g1/1")
     holder.count(3)
     store.is_down = True
-    holder.clock.advance(int(KEEP_MS))
-    save_while_held(holder.keeper)
+    holder.clock.advance(int(SAVE_INTERVAL_MS))
+    save_or_log(holder.keeper)
     store.is_down = False
-    save_while_held(holder.keeper)
+    save_or_log(holder.keeper)
     assert store.value["processes"] == {"g1/1": {str(WINDOW): {"hall": 3}}}
 
 
@@ -165,5 +165,5 @@
     counts = UsageCounts(WINDOW_S, "g1/1")
     counts.take_report("g2/1", {str(WINDOW): {"hall": 7}})
     counts.count(NOW_MS, "hall")
-    counts.forget_before(WINDOW + 1)
+    counts.discard_before(WINDOW + 1)
     assert counts.describe_processes() == {}
