--- a/hemlockswitch/process/gateway/rollout_duty.py
+++ b/hemlockswitch/process/gateway/rollout_duty.py
@@ -1,4 +1,4 @@
-"""The duty that decides on orders of roll-outs, and writes what became of them."""
+"""Duty that decides on rollout orders and writes their states to the object service."""
 
 from collections.abc import Callable, Collection
 from typing import Any, Protocol
@@ -8,7 +8,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.gateway.rollout_progress import (
-    LEAST_MOVE_MS,
+    MIN_MOVE_MS,
     RolloutProgress,
 )
 from hemlockswitch.process.gateway.true_time import TrueTime
@@ -16,13 +16,13 @@
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.rollout import OrderIdentity, RolloutOrder, RolloutState
 
-BEGIN_KIND = "rollout-begins"
-"""When each order was taken up, and whether its version was found good: kept, since no gateway may
-outlast the order."""
+RECORD_KIND = "rollout-begins"
+"""Kind of the stored records of when each order began and whether its version was found good. They are
+stored because possibly no gateway lives as long as the order."""
 DRAIN_GRACE_MS = 500.0
-"""How long to wait for what still runs on the old version once the move should be over."""
-WRITE_MS = 500.0
-"""Before the time limit: the time for a turn of the duties and a write of the object service."""
+"""How long to wait for requests in progress on the old version after the planned end of the move."""
+WRITE_MARGIN_MS = 500.0
+"""Time reserved before the time limit for one turn of the duties and one write to the object service."""
 
 
 class StatusStore(ConditionalStore, Protocol):
@@ -33,26 +33,26 @@
 
 
 class OpenRollouts(Protocol):
-    """The orders that are not closed; see `process.gateway.rollouts`."""
+    """Source of the open orders; see `process.gateway.rollouts`."""
 
     def list_open(self) -> list[RolloutProgress]:
-        """Return them."""
+        """Return the orders that are not closed."""
 
 
 class RolloutDuty:
-    """Takes orders up, moves services, and closes orders, while the duties are held.
+    """Accepts orders, moves services and closes orders while this gateway holds the duties.
 
     Parameters
     ==========
 
-    rollouts : what is known of the orders here.
-    store : where they lie.
-    kind : the kind of the orders there.
+    rollouts : source of the open orders and their progress at this gateway.
+    store : the object service that stores the orders.
+    kind : the kind of the orders in the store.
     encode_status : returns the status to write for a state.
-    list_servers : returns the backend servers that are registered.
-    count_running : returns the requests in progress on some servers, over all gateways.
-    true_time : the time of day.
-    clock : the time.
+    list_servers : returns the registered backend servers.
+    count_running : returns the number of requests in progress on given servers, over all gateways.
+    true_time : source of the wall-clock time.
+    clock : source of the monotonic time.
     """
 
     def __init__(
@@ -74,34 +74,34 @@
         self._count_running = count_running
         self._true_time = true_time
         self._clock = clock
-        self._begun: set[OrderIdentity] = set()
+        self._recorded: set[OrderIdentity] = set()
         self._found_good: set[OrderIdentity] = set()
 
     def take_over(self) -> None:
-        """Begin as a new holder: what an earlier one has kept is still to be read."""
-        self._begun.clear()
+        """Reset the state as a new holder; the records of earlier holders are read again."""
+        self._recorded.clear()
         self._found_good.clear()
 
     def take_turn(self, get_fencing: Callable[[], int]) -> None:
-        """Do what is due for each order.
+        """Perform the steps that are due for each order.
 
         Raises
         ======
 
-        LeaseError : the duties are not held any more.
-        PlatformError : the object service did not answer; it is to be tried again.
+        LeaseError : the lease is no longer held.
+        PlatformError : the object service did not answer; the step has to be retried.
         """
         for progress in self._rollouts.list_open():
-            if progress.order.identity not in self._begun:
-                self._keep_begin(progress)
+            if progress.order.identity not in self._recorded:
+                self._store_start(progress)
             state = self._decide(progress)
             if state is not None and state is not progress.order.state:
-                self._write(progress, state, get_fencing)
+                self._write_state(progress, state, get_fencing)
             elif progress.close_ms is not None and progress.is_open:
-                self._keep_good(progress)
+                self._store_verdict(progress)
 
-    def _keep_begin(self, progress: RolloutProgress) -> None:
-        """Write when the order was taken up, or learn when an earlier holder did so."""
+    def _store_start(self, progress: RolloutProgress) -> None:
+        """Store when the order began, or read the record that an earlier holder stored."""
         order = progress.order
         now_ms = self._clock.now_ms()
         began_unix_ms = self._true_time.now_ms() - progress.get_age_ms(now_ms)
@@ -110,35 +110,35 @@
             "created": order.created,
             "began_unix_ms": round(began_unix_ms),
         }
-        found = self._store.read(BEGIN_KIND, order.service)
+        found = self._store.read(RECORD_KIND, order.service)
         if found is None:
-            outcome = self._store.create(BEGIN_KIND, order.service, value)
-        elif _is_of_order(found.value, order):
-            progress.note_age(self._true_time.now_ms() - found.value["began_unix_ms"], now_ms)
-            self._begun.add(order.identity)
+            outcome = self._store.create(RECORD_KIND, order.service, value)
+        elif _belongs_to_order(found.value, order):
+            progress.record_age(self._true_time.now_ms() - found.value["began_unix_ms"], now_ms)
+            self._recorded.add(order.identity)
             if found.value.get("found_good") is True:
                 self._found_good.add(order.identity)
             return
         else:
-            outcome = self._store.update(BEGIN_KIND, order.service, value, found.version)
+            outcome = self._store.update(RECORD_KIND, order.service, value, found.version)
         if isinstance(outcome, Written):
-            self._begun.add(order.identity)
+            self._recorded.add(order.identity)
 
-    def _keep_good(self, progress: RolloutProgress) -> None:
-        """Write that the version was found good: the answers that say so end with the processes."""
+    def _store_verdict(self, progress: RolloutProgress) -> None:
+        """Store that the version was found good: the answer counts are lost when the processes end."""
         order = progress.order
         if order.identity in self._found_good:
             return
-        found = self._store.read(BEGIN_KIND, order.service)
-        if found is None or not _is_of_order(found.value, order):
+        found = self._store.read(RECORD_KIND, order.service)
+        if found is None or not _belongs_to_order(found.value, order):
             return
         value = {**found.value, "found_good": True}
-        outcome = self._store.update(BEGIN_KIND, order.service, value, found.version)
+        outcome = self._store.update(RECORD_KIND, order.service, value, found.version)
         if isinstance(outcome, Written):
             self._found_good.add(order.identity)
 
     def _decide(self, progress: RolloutProgress) -> RolloutState | None:
-        """Return the state that an order should have now; None if nothing is to be written."""
+        """Return the state to write for an order; None if there is nothing to write."""
         now_ms = self._clock.now_ms()
         age_ms = progress.get_age_ms(now_ms)
         if progress.stopped_for:
@@ -153,17 +153,21 @@
         return RolloutState.COMPLETED if self._is_moved(progress, now_ms) else None
 
     def _begin_move(self, progress: RolloutProgress, now_ms: float) -> RolloutState | None:
-        """Begin the move once the new version is good; end the order when it is too late for that."""
+        """Begin the move if the new version is good; roll back if it is too late for a verdict."""
         planned_ms = progress.began_ms + progress.times.close_ms
-        close_ms = max(planned_ms, now_ms + LEAST_MOVE_MS)
+        close_ms = max(planned_ms, now_ms + MIN_MOVE_MS)
         if self._is_good(progress):
-            # Also late: the answers have decided, only the duties were not held in time.
+            # Also when late: the answers have decided, and only the lease was not held in time.
             progress.begin_move(close_ms)
             return None
         if close_ms <= progress.began_ms + progress.times.latest_close_ms:
             return None
-        has_come = any(self._is_target(one, progress.order) for one in self._list_servers())
-        progress.stop("not judged in time" if has_come else "no server of it came")
+        has_registered = any(self._is_target(one, progress.order) for one in self._list_servers())
+        progress.stop(
+            "not judged within the time limit"
+            if has_registered
+            else "no server of the new version registered"
+        )
         return RolloutState.ROLLED_BACK
 
     def _is_good(self, progress: RolloutProgress) -> bool:
@@ -173,14 +177,14 @@
         return verdict is Verdict.GOOD or (was_good and verdict is not Verdict.BAD)
 
     def _is_moved(self, progress: RolloutProgress, now_ms: float) -> bool:
-        """Return whether the old servers may stop: nothing runs there, or there is no more time."""
+        """Return whether the old servers may stop: they are idle, or no time is left to wait."""
         assert progress.close_ms is not None
         if now_ms < progress.close_ms:
             return False
         limit_ms = progress.began_ms + progress.times.limit_ms
-        patient_until_ms = min(progress.close_ms + DRAIN_GRACE_MS, limit_ms - WRITE_MS)
+        wait_until_ms = min(progress.close_ms + DRAIN_GRACE_MS, limit_ms - WRITE_MARGIN_MS)
         old = [one.incarnation for one in self._list_old(progress.order)]
-        return now_ms >= patient_until_ms or self._count_running(old) == 0
+        return now_ms >= wait_until_ms or self._count_running(old) == 0
 
     @staticmethod
     def _is_target(server: BackendServer, order: RolloutOrder) -> bool:
@@ -191,14 +195,14 @@
         return [one for one in servers if one.version != order.target]
 
     def _names_version_in_force(self, order: RolloutOrder) -> bool:
-        """Return whether all servers of the service have the version that the order names.
+        """Return whether all servers of the service run the version that the order names.
 
-        This says something only of an order that was just given: later the old servers may be lost.
+        This is conclusive only for a new order: later, the old servers may have been lost.
         """
         servers = [one for one in self._list_servers() if one.serves == order.service]
         return bool(servers) and not self._list_old(order)
 
-    def _write(
+    def _write_state(
         self, progress: RolloutProgress, state: RolloutState, get_fencing: Callable[[], int]
     ) -> None:
         order = progress.order
@@ -218,8 +222,8 @@
         )
 
 
-def _is_of_order(value: Any, order: RolloutOrder) -> bool:
-    """Return whether a stored beginning is that of this order."""
+def _belongs_to_order(value: Any, order: RolloutOrder) -> bool:
+    """Return whether a stored record belongs to this order."""
     try:
         is_same = (value["target"], value["created"]) == (order.target, order.created)
         return is_same and float(value["began_unix_ms"]) >= 0
@@ -227,7 +231,7 @@
         log_event(
             Event.OBJECT_UNREADABLE,
             "warning",
-            kind=BEGIN_KIND,
+            kind=RECORD_KIND,
             name=order.service,
             detail=repr(error),
         )
--- a/hemlockswitch/process/gateway/usage_keeper.py
+++ b/hemlockswitch/process/gateway/usage_keeper.py
@@ -1,9 +1,9 @@
-"""The counts of the windows that are not reported yet, kept in the object service by the holder.
+"""Storage of the usage counts that are not reported yet in the object service, by the lease holder.
 
-A gateway that ends takes its counts with it, and so does the holder of the duties that had heard
-them: when it is killed, or frozen while others are restarted, a whole window of counts was lost.
-The holder writes what it knows, by process, every half a second; the next holder begins with it, and
-the gateways that still run tell it the rest.
+The counts of a gateway are lost when it ends, and the holder of the duties that had received them may
+be killed, or frozen while other gateways restart: without storage, a complete window of counts was
+lost. The holder therefore writes the counts by process every half second. The next holder loads them,
+and receives the remaining counts from the running gateways.
 """
 
 from hemlockswitch.connection.stored_objects import ConditionalStore, StoredObject, Written
@@ -13,22 +13,22 @@
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.gateway.usage import ReportedCounts, UsageCounts
 
-KEPT_KIND = "usage-counts"
-KEPT_NAME = "open-windows"
-KEEP_MS = 500.0
-"""Time between two writes: what a process counted since is lost when it and the holder end together.
-Two of some hundred writes a second that the object service takes."""
+COUNTS_KIND = "usage-counts"
+COUNTS_NAME = "open-windows"
+SAVE_INTERVAL_MS = 500.0
+"""Interval between writes. Counts made since the last write are lost if their process and the holder
+end together. This is two of the some hundred writes per second that the object service handles."""
 
 
-class UsageKeeper:
-    """Keeps the open windows of `counts` while this gateway holds the duties.
+class UsageStore:
+    """Stores the counts of the open windows while this gateway holds the duties.
 
     Parameters
     ==========
 
-    counts : what this gateway knows.
+    counts : the counts recorded at this gateway.
     store : the object service.
-    clock : the time.
+    clock : source of the current time.
     """
 
     def __init__(self, counts: UsageCounts, store: ConditionalStore, clock: Clock) -> None:
@@ -37,31 +37,31 @@
         self._clock = clock
         self._is_loaded = False
         self._version: int | None = None  # of the object; None if there is none yet
-        self._kept: dict[str, ReportedCounts] = {}
-        self._kept_ms = float("-inf")
+        self._saved: dict[str, ReportedCounts] = {}
+        self._last_save_ms = float("-inf")
 
     def take_over(self) -> None:
-        """Begin as a new holder: what an earlier one has kept is still to be read."""
+        """Start as a new holder; the counts stored by an earlier holder are loaded again."""
         self._is_loaded = False
 
     def load(self) -> None:
-        """Read what was kept, once for each holding.
+        """Load the stored counts, once per term as holder and after a failed write.
 
         Raises
         ======
 
-        PlatformError : the object service did not answer; it is to be tried again.
+        PlatformError : the object service did not answer; the call has to be retried.
         """
         if self._is_loaded:
             return
-        found = self._store.read(KEPT_KIND, KEPT_NAME)
+        found = self._store.read(COUNTS_KIND, COUNTS_NAME)
         self._version = found.version if found is not None else None
         if found is not None:
             self._merge(found)
         self._is_loaded = True
 
     def save(self) -> None:
-        """Write what is known now, if it has changed and is due.
+        """Write the current counts if they have changed and a write is due.
 
         Raises
         ======
@@ -70,26 +70,26 @@
         """
         now_ms = self._clock.now_ms()
         processes = self._counts.describe_processes()
-        if now_ms - self._kept_ms < KEEP_MS or processes == self._kept:
+        if now_ms - self._last_save_ms < SAVE_INTERVAL_MS or processes == self._saved:
             return
         self.load()
         value = {"processes": processes}
         if self._version is None:
-            outcome = self._store.create(KEPT_KIND, KEPT_NAME, value)
+            outcome = self._store.create(COUNTS_KIND, COUNTS_NAME, value)
         else:
-            outcome = self._store.update(KEPT_KIND, KEPT_NAME, value, self._version)
-        self._kept_ms = now_ms
+            outcome = self._store.update(COUNTS_KIND, COUNTS_NAME, value, self._version)
+        self._last_save_ms = now_ms
         if isinstance(outcome, Written):
             self._version = outcome.version
-            self._kept = processes
+            self._saved = processes
         else:
-            # Lost answer or another holder in between: read what is there before the next write.
+            # An answer was lost or another holder has written: load again before the next write.
             self._is_loaded = False
 
     def _merge(self, found: StoredObject) -> None:
         try:
             for process, counts in found.value["processes"].items():
-                self._counts.take_kept(process, counts)
+                self._counts.merge_stored(process, counts)
         except (TypeError, KeyError, AttributeError, ValueError) as error:
             log_event(
                 Event.OBJECT_UNREADABLE,
@@ -100,9 +100,9 @@
             )
 
 
-def save_while_held(keeper: UsageKeeper) -> None:
-    """Save, and leave it for the next time if the object service is away."""
+def save_or_log(store: UsageStore) -> None:
+    """Save the counts; if the object service is unavailable, leave it to the next call."""
     try:
-        keeper.save()
+        store.save()
     except PlatformError as error:
         log_event(Event.DUTY_FAILED, "warning", detail=error.detail)
--- a/tests/test_rollout_duty.py
+++ b/tests/test_rollout_duty.py
@@ -15,8 +15,8 @@
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.platform.rollouts import ROLLOUT_KIND, decode_rollout, encode_rollout_status
 from hemlockswitch.process.gateway.rollout_duty import (
-    BEGIN_KIND,
     DRAIN_GRACE_MS,
+    RECORD_KIND,
     RolloutDuty,
 )
 from hemlockswitch.process.gateway.rollouts import Rollouts
@@ -114,7 +114,7 @@
     holder.turn()
     holder.turn()
     assert holder.store.states == ["running"]
-    assert holder.store.objects["llm"].kind == BEGIN_KIND
+    assert holder.store.objects["llm"].kind == RECORD_KIND
 
 
 def test_a_good_version_is_moved_to_before_the_time_limit(holder):
@@ -172,7 +172,7 @@
 def test_what_another_order_was_found_does_not_count():
     store, clock = RolloutStore(), ManualClock()
     store.create(
-        BEGIN_KIND,
+        RECORD_KIND,
         "llm",
         {"target": "v2", "created": 1, "began_unix_ms": 1e12, "found_good": True},
     )
@@ -218,7 +218,7 @@
     progress.has_seen_target = False  # No request of this gateway has met one.
     holder.play(LIMIT_MS)
     assert holder.store.states == ["running", "rolled_back"]
-    assert progress.stopped_for == "not judged in time"
+    assert progress.stopped_for == "not judged within the time limit"
 
 
 def test_answers_that_come_late_still_decide(holder):
@@ -234,7 +234,7 @@
     progress = holder.progress
     holder.play(LIMIT_MS)
     assert holder.store.states == ["running", "rolled_back"]
-    assert progress.stopped_for == "no server of it came"
+    assert progress.stopped_for == "no server of the new version registered"
 
 
 def test_an_order_for_the_version_in_force_is_completed():
@@ -323,7 +323,7 @@
 
 
 def test_a_beginning_that_another_program_wrote_is_replaced(holder):
-    holder.store.create(BEGIN_KIND, "llm", {"began": "?"})
+    holder.store.create(RECORD_KIND, "llm", {"began": "?"})
     holder.turn()
     assert holder.store.objects["llm"].value["target"] == "v2"
 
