--- a/hemlockswitch/process/quarantine/__init__.py
+++ b/hemlockswitch/process/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""The requests under which backend servers end, over all daemons: see `request.quarantine`.
+"""Quarantine of requests that crash backend servers, shared by all daemons: see `request.quarantine`.
 
-`guard` is asked before each send; `held_requests` keeps in the object service what is held back.
+`guard` is consulted before each send; `held_requests` stores quarantined contents in the object service.
 """
--- a/hemlockswitch/process/quarantine/guard.py
+++ b/hemlockswitch/process/quarantine/guard.py
@@ -1,7 +1,8 @@
-"""Holds back requests under which backend servers end; see `request.quarantine`.
+"""Blocks requests whose content crashes backend servers; see `request.quarantine`.
 
-`Guard` is asked before each send and told what became of it. Its task writes what is to outlast this
-daemon, and lists it again when other daemons hold back something else.
+`Guard` is consulted before each send and receives its outcome. Its task writes quarantined contents to
+the object service, so that they survive this daemon, and lists them again when the quarantine of a peer
+differs.
 """
 
 from collections.abc import Callable
@@ -25,50 +26,50 @@
 from hemlockswitch.version.backend import BackendServer
 
 LOOK_MS = 250.0
-"""Time between two looks of the task; what is held back is written within it."""
+"""Upper bound on the delay before a newly quarantined content is stored."""
 TRIAL_LIMIT_MS = 500.0
-"""How long a request may wait for the word that it may be tried; then it is refused."""
+"""How long a request waits for the permission for its trial before it is refused."""
 LOAD_PAUSE_MS = 3_000.0
-"""Least time between two lists for a difference, which may last until a message has come."""
+"""Minimum time between two lists because a peer differs; a difference may last until a message arrives."""
 ALONE_PAUSE_MS = 5_000.0
-"""Time between two lists while other daemons are missed: their messages are, too."""
+"""Time between two lists while some peers are disconnected, since their messages do not arrive."""
 HOLDING_PAUSE_MS = 30_000.0
-"""Time between two lists while something is held back: an operator may have released it by hand."""
+"""Time between two lists while any content is quarantined: an operator may have released it by hand."""
 
 
 class ServerEnds(Protocol):
-    """Finds out which backend servers have ended."""
+    """Detects crashed backend servers."""
 
     def has_ended(self, server: BackendServer) -> bool:
-        """Return whether a server that cut a connection has ended without notice."""
+        """Return whether a server that closed a connection has crashed."""
 
 
 class Others(Protocol):
-    """The other daemons, as far as they count servers that end."""
+    """The peers that also count server crashes."""
 
     def note_change(self) -> None:
-        """Something has changed here that they are to be told."""
+        """Publish the changes of this daemon's quarantine."""
 
     def repair(self) -> None:
-        """Tell those that hold back something else what is known here."""
+        """Send this daemon's records to the peers whose quarantine differs."""
 
     def differ(self) -> bool:
-        """Return whether one of them holds back something else."""
+        """Return whether the quarantine of any peer differs from this daemon's."""
 
     def are_missed(self) -> bool:
-        """Return whether some of them are not in touch."""
+        """Return whether any peer is disconnected."""
 
 
 @dataclass
 class GuardCounts:
-    """What a guard counts, for metrics.
+    """The counts of a guard, for metrics.
 
     Parameters
     ==========
 
-    ends : requests that were in progress on a backend server when it ended without notice.
-    trials : requests that were held back for such ends, and sent as a trial.
-    held : contents that are held back now.
+    ends : requests that were in progress on a backend server when it crashed.
+    trials : quarantined requests that were sent as a trial.
+    held : currently quarantined contents.
     """
 
     ends: int = 0
@@ -82,12 +83,12 @@
     Parameters
     ==========
 
-    quarantine : what is known of the contents under which servers end.
-    ends : finds out which servers have ended.
-    held : keeps what is held back, and grants trials.
-    others : the other daemons.
-    is_keeper : returns whether this daemon writes also what others saw.
-    clock : the time.
+    quarantine : the records of the contents that crash servers.
+    ends : detects crashed servers.
+    held : stores quarantined contents and grants trials.
+    others : the peers.
+    is_keeper : returns whether this daemon also stores the contents that only peers saw crash servers.
+    clock : the time source.
     """
 
     def __init__(
@@ -113,11 +114,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether what earlier daemons held back is known."""
+        """Whether the stored quarantine has been loaded."""
         return self._held.is_loaded
 
     def clear(self, content: Content, *, may_try: bool) -> Clearance:
-        """Return how a request may be sent now, or raise if it is held back."""
+        """Return how a request may be sent now, or raise if its content is quarantined."""
         if self._quarantine.is_empty:
             return Clearance.FREE
         standing = self._quarantine.find_standing(content.fingerprint)
@@ -141,7 +142,7 @@
                 self._others.note_change()
                 return Clearance.TRIAL
             standing = self._quarantine.find_standing(fingerprint)
-        detail = f"{standing.ends} servers have ended under this content {fingerprint}"
+        detail = f"{standing.ends} servers have crashed while running the content {fingerprint}"
         raise RequestError(ErrorKind.QUARANTINED, detail, retry_after_ms=_find_return_ms(standing))
 
     def _ask_for_trial(self, fingerprint: str) -> TrialOutcome:
@@ -154,7 +155,7 @@
         return refused
 
     def note_broken(self, content: Content, server: BackendServer) -> bool:
-        """A server cut a connection; if it has ended, that counts against what ran there."""
+        """Count a closed connection against its content if the server has crashed."""
         if not self._ends.has_ended(server):
             return False
         self.counts.ends += 1
@@ -163,7 +164,7 @@
         return True
 
     def note_answered(self, content: Content, server: BackendServer, sent_ms: float) -> None:
-        """A server has answered completely: neither it nor the content is suspect."""
+        """Clear the server and the content of suspicion after a complete response."""
         if self._quarantine.is_empty:
             return
         self._quarantine.note_alive(server.incarnation, sent_ms)
@@ -173,13 +174,13 @@
         self._note_change("own")
 
     def run(self) -> None:
-        """Keep what is held back, and what other daemons hold back, until the task is ended."""
+        """Synchronize the quarantine with the object service and the peers until the task is killed."""
         while True:
             self.look()
             self._clock.sleep_ms(LOOK_MS)
 
     def look(self) -> None:
-        """Load, compare, write and forget what is due."""
+        """Run one synchronization pass: load, write, and evict what is due."""
         if self._is_load_due():
             self._load()
             self._note_change("stored")
@@ -197,7 +198,7 @@
             self._first_loaded_ms = self._loaded_ms
 
     def _try_store(self, act: Callable[[], None]) -> bool:
-        """Return whether the object service answered; what was not done is tried at the next look."""
+        """Return whether the object service answered; a failed action is retried in the next pass."""
         try:
             act()
         except PlatformError as error:
@@ -215,7 +216,7 @@
             return True
         since_ms = self._clock.now_ms() - self._loaded_ms
         if self._loaded_ms - self._first_loaded_ms < STALE_MS <= since_ms:
-            return True  # The first list may have lacked the newest.
+            return True  # The first list may lack writes from the `STALE_MS` before it.
         if since_ms >= LOAD_PAUSE_MS and self._others.differ():
             return True
         if since_ms >= HOLDING_PAUSE_MS and self._known_held:
@@ -223,7 +224,7 @@
         return since_ms >= ALONE_PAUSE_MS and self._others.are_missed()
 
     def _note_change(self, source: str) -> None:
-        """Tell what has changed, and log what is held back or released now."""
+        """Publish the changes, and log the contents that became quarantined or released."""
         if self._quarantine.has_untold:
             self._others.note_change()
         held = set(self._quarantine.list_held())
@@ -246,6 +247,6 @@
 
 
 def _find_return_ms(standing: Standing) -> int:
-    """Return after which time a request that is held back may be tried or is forgotten."""
+    """Return the time after which a quarantined request may be tried or its record expires."""
     wait_ms = standing.trial_in_ms
     return round(standing.forgotten_in_ms if wait_ms is None else max(wait_ms, LOOK_MS))
--- a/hemlockswitch/process/quarantine/held_requests.py
+++ b/hemlockswitch/process/quarantine/held_requests.py
@@ -1,8 +1,8 @@
-"""The requests that are held back, kept in the object service: what outlasts all daemons.
+"""Stores the quarantined contents in the object service, where they survive all daemons.
 
-A daemon that starts must not begin to count anew, and neither must all of them after a restart of the
-whole fleet. A trial takes a conditional write, so that of all daemons one tries at a time, whatever has
-become of their messages; without the object service nothing is tried.
+Neither a daemon that starts nor a restart of the entire fleet may reset the crash counts. A trial requires
+a conditional write, so that only one daemon runs a trial at a time even if messages are lost or late;
+while the object service is unavailable, no trial is granted.
 """
 
 from dataclasses import dataclass
@@ -22,27 +22,27 @@
 
 HELD_KIND = "held-requests"
 STALE_MS = 5_000.0
-"""A list may lack what was written in this time."""
+"""A list may lack objects written within this time before it."""
 
 
 @dataclass(frozen=True)
 class TrialOutcome:
-    """Whether a content may be tried now, and why not."""
+    """Whether a trial of a content is granted, with the reason."""
 
     is_granted: bool
     detail: str = ""
 
 
 class HeldRequests:
-    """Keeps what `quarantine` holds back, and grants trials.
+    """Stores the contents in `quarantine`, and grants trials.
 
     Parameters
     ==========
 
-    process : names this start of the daemon.
-    quarantine : what this daemon knows.
+    process : identifier of this run of the daemon.
+    quarantine : this daemon's records.
     store : the object service.
-    clock : the time.
+    clock : the time source.
     """
 
     def __init__(
@@ -53,11 +53,11 @@
         self._quarantine = quarantine
         self._store = store
         self._clock = clock
-        self._stored_ms: dict[str, float] = {}  # fingerprint to when it was known to be stored
+        self._stored_ms: dict[str, float] = {}  # fingerprint to the last time it was seen stored
         self._to_remove: set[str] = set()
 
     def load(self) -> None:
-        """Take what is kept; what is not kept any more was released.
+        """Apply the stored records, and release the contents whose object was removed.
 
         Raises
         ======
@@ -80,16 +80,16 @@
         self.is_loaded = True
 
     def note_released(self, fingerprint: str) -> None:
-        """A content was answered here: it need not be kept any more."""
+        """Schedule the removal of a content that this daemon has released."""
         self._to_remove.add(fingerprint)
 
     def drop_released(self, *, is_keeper: bool) -> None:
-        """Forget that it was kept what is not held back any more.
+        """Stop tracking stored contents that are no longer quarantined.
 
         Parameters
         ==========
 
-        is_keeper : whether to remove also what was answered at other daemons.
+        is_keeper : whether to remove also contents that other daemons released.
         """
         for fingerprint in set(self._stored_ms) - set(self._quarantine.list_held()):
             del self._stored_ms[fingerprint]
@@ -97,17 +97,17 @@
                 self._to_remove.add(fingerprint)
 
     def must_save(self, *, is_keeper: bool) -> bool:
-        """Return whether there is something to write or to remove; see `save`."""
+        """Return whether `save` has any object to write or remove."""
         return bool(self._to_remove or self._list_unwritten(is_keeper))
 
     def save(self, *, is_keeper: bool) -> None:
-        """Write what is held back and not kept yet, and remove what was released.
+        """Write quarantined contents that are not stored yet, and remove released ones.
 
         Parameters
         ==========
 
-        is_keeper : whether to write also what other daemons saw; one of them may have ended before
-            it wrote.
+        is_keeper : whether to write also contents that only other daemons saw crash servers; such a
+            daemon may have stopped before it wrote them.
 
         Raises
         ======
@@ -129,7 +129,7 @@
         ]
 
     def take_trial(self, fingerprint: str) -> TrialOutcome:
-        """Return whether this daemon may try a content now; one daemon may at a time.
+        """Request the permission to try a content now; only one daemon gets it at a time.
 
         Raises
         ======
@@ -142,13 +142,14 @@
             if fingerprint in self._stored_ms:
                 del self._stored_ms[fingerprint]
                 self._quarantine.note_answer(fingerprint)
-                return TrialOutcome(True, "released elsewhere")
+                return TrialOutcome(True, "the content was released by another daemon")
             return self._write_trial(fingerprint, known.trials + 1, None)
         self._stored_ms[fingerprint] = self._clock.now_ms()
         self._quarantine.take(_read_record(found) or known)
-        # What was read may show a trial elsewhere, and another request may have got one meanwhile.
+        # The stored record may show a trial by another daemon, and another request of this daemon may
+        # have started one during the read.
         if self._quarantine.find_standing(fingerprint).trial_in_ms != 0:
-            return TrialOutcome(False, "tried elsewhere")
+            return TrialOutcome(False, "another trial of the content has started")
         return self._write_trial(fingerprint, known.trials + 1, found.version)
 
     def _write_trial(self, fingerprint: str, trials: int, version: int | None) -> TrialOutcome:
@@ -158,13 +159,13 @@
         else:
             outcome = self._store.update(HELD_KIND, fingerprint, value, version)
         if not isinstance(outcome, Written) and not self._was_written(outcome, fingerprint, value):
-            return TrialOutcome(False, "another daemon was first")
+            return TrialOutcome(False, "another daemon wrote the trial first")
         self._stored_ms[fingerprint] = self._clock.now_ms()
         self._quarantine.note_trial(fingerprint, trials)
         return TrialOutcome(True)
 
     def _was_written(self, outcome: WriteOutcome, fingerprint: str, value: Any) -> bool:
-        """Return whether a write whose answer was lost took effect."""
+        """Return whether a write with an unknown outcome took effect."""
         if not isinstance(outcome, Unknown):
             return False
         found = self._store.read(HELD_KIND, fingerprint)
@@ -191,7 +192,7 @@
 
 
 def _read_record(item: StoredObject) -> SuspectRecord | None:
-    """Return what an object says; None if another program wrote it."""
+    """Return the record in an object, or None if the object is malformed."""
     try:
         ends = [str(one) for one in item.value["ends"]]
         return SuspectRecord(item.name, tuple(ends), (), int(item.value["trials"]))
--- a/hemlockswitch/process/quarantine/metrics.py
+++ b/hemlockswitch/process/quarantine/metrics.py
@@ -1,4 +1,4 @@
-"""What a guard has counted, as metrics; prometheus_client is loaded when they are asked for."""
+"""Exports the counts of a guard as metrics; prometheus_client is imported at the first collection."""
 
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
@@ -10,33 +10,33 @@
 
 
 class GuardCollector:
-    """Gives a guard's counts to the library.
+    """Collector of a guard's counts for prometheus_client.
 
     Parameters
     ==========
 
-    counts : what the guard has counted.
+    counts : the counts of the guard.
     """
 
     def __init__(self, counts: GuardCounts) -> None:
         self._counts = counts
 
     def collect(self) -> "Iterator[Metric]":
-        """Yield the figures as the library's types (called by it)."""
+        """Yield the counts as metric families; called by prometheus_client."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         yield CounterMetricFamily(
             "hemlock_requests_on_ended_servers",
-            "Requests in progress on a backend server that ended.",
+            "Requests in progress on a backend server that crashed.",
             value=self._counts.ends,
         )
         yield CounterMetricFamily(
             "hemlock_quarantine_trials",
-            "Held-back requests sent as a trial.",
+            "Quarantined requests sent as a trial.",
             value=self._counts.trials,
         )
         yield GaugeMetricFamily(
             "hemlock_quarantined_contents",
-            "Contents that are held back.",
+            "Contents that are quarantined.",
             value=self._counts.held,
         )
--- a/hemlockswitch/process/quarantine/server_ends.py
+++ b/hemlockswitch/process/quarantine/server_ends.py
@@ -1,10 +1,10 @@
-"""Whether a backend server has ended: it cut a connection, and refuses another one.
+"""Detects crashed backend servers: a crashed server closes a connection and refuses a new one.
 
-A connection also ends when a link resets it, when the server drops this one request, or when it leaves
-as announced. None of these says anything about the request, so a server counts as ended only if nothing
-listens at its address a moment later. The kernel closes the sockets of a process one by one: a server that
-is just ending may still accept a connection, so one that accepts is asked once more. A server that does
-not answer at all has not shown that it ended.
+A connection also ends when a link resets it, when the server drops this one request, or when it shuts down
+as announced. None of these incriminates the request, so a server counts as crashed only if nothing
+listens at its address shortly afterwards. The kernel closes the sockets of a process one by one, so a server
+that is terminating may still accept a connection; one that accepts is therefore probed a second time. A
+server that does not answer a probe at all does not count as crashed.
 """
 
 from collections.abc import Callable
@@ -17,22 +17,22 @@
 from hemlockswitch.version.backend import BackendServer
 
 MOST_REMEMBERED = 1_024
-"""Servers that ended, remembered so that each is asked once."""
+"""Limit on the cached crashed servers; the cache avoids repeated probes."""
 ASK_AGAIN_MS = 25.0
-"""How long after its first answer a server is asked again."""
+"""Delay of the second probe after the answer to the first."""
 MOST_ASK_MS = 75.0
-"""A server whose first answer took longer is not asked again: the request waits for it."""
+"""A server that answered the first probe more slowly is not probed again, as the request waits for it."""
 
 
 class ServerEnds:
-    """Finds out which servers have ended.
+    """Detects crashed servers.
 
     Parameters
     ==========
 
-    is_live : returns whether a server is registered and does not leave.
-    refuses : asks a server for a connection; returns whether it refused it.
-    clock : the time.
+    is_live : returns whether a server is registered and not leaving.
+    refuses : opens a connection to a server; returns whether the server refused it.
+    clock : the time source.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._ended: dict[str, None] = {}
 
     def has_ended(self, server: BackendServer) -> bool:
-        """Return whether a server that cut a connection has ended without notice."""
+        """Return whether a server that closed a connection has crashed."""
         if not self._is_live(server):
             return False
         if server.incarnation in self._ended:
@@ -69,7 +69,7 @@
         return is_ended
 
     def _refuses_twice(self, server: BackendServer) -> bool:
-        """Return whether a server refuses a connection, now or a moment later."""
+        """Return whether a server refuses the first or the second probe."""
         began_ms = self._clock.now_ms()
         if self._refuses(server):
             return True
--- a/hemlockswitch/process/quarantine/suspect_news.py
+++ b/hemlockswitch/process/quarantine/suspect_news.py
@@ -1,7 +1,8 @@
-"""What entry daemons tell one another of the requests under which backend servers end: as news.
+"""Gossip between entry daemons about the contents that crash backend servers.
 
-Each daemon publishes what it knows of a content under a key of its own; news spread at once, are repaired
-by digests, and are learned by daemons that start. What several daemons know is merged by the quarantine.
+Each daemon publishes its record of a content under its own key. Gossip is sent at once, lost items are
+repaired by comparing digests, and daemons that start receive all items. The quarantine merges the records
+of several daemons.
 """
 
 from collections.abc import Callable
@@ -16,16 +17,16 @@
 
 
 class SuspectNews:
-    """Publishes and takes what entry daemons know of these contents.
+    """Exchanges records of suspect contents with the other entry daemons.
 
     Parameters
     ==========
 
-    name : this daemon.
-    board : the news.
-    quarantine : what this daemon knows.
-    is_isolated : returns whether it hears from nobody.
-    clock : the time.
+    name : name of this daemon.
+    board : the local gossip state.
+    quarantine : this daemon's records.
+    is_isolated : returns whether this daemon receives messages from no peer.
+    clock : the time source.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         board.add_listener(SUSPECT_PREFIX, self._learn)
 
     def note_change(self) -> None:
-        """Publish what has changed here, and withdraw what is over."""
+        """Publish changed records, and withdraw expired ones."""
         for record in self._quarantine.pop_untold():
             key = f"{SUSPECT_PREFIX}{record.fingerprint}/{self._name}"
             self._publish(key, record.list_fields())
@@ -54,20 +55,20 @@
                 self._publish(item.key, None)
 
     def _publish(self, key: str, fields: SuspectFields | None) -> None:
-        """Publish an item that is newer than all of its key, also after a step of the clock."""
+        """Publish an item with a version above all earlier ones of its key, even if the clock was set back."""
         known = self._board.find(key)
         version = max(self._clock.wall_ms(), known.version + 1 if known is not None else 0)
         self._board.learn(NewsItem(key, version, fields, tombstone=fields is None))
 
     def repair(self) -> None:
-        """Do nothing: news that differ between daemons are repaired where they are spread."""
+        """Do nothing: the gossip protocol itself repairs differences between daemons."""
 
     def differ(self) -> bool:
-        """Return False, for the same reason."""
+        """Return False: the gossip protocol itself repairs differences between daemons."""
         return False
 
     def are_missed(self) -> bool:
-        """Return whether this daemon hears from nobody."""
+        """Return whether this daemon receives messages from no peer."""
         return self._is_isolated()
 
     def _learn(self, item: NewsItem) -> None:
