--- a/tests/crash_gateways.py
+++ b/tests/crash_gateways.py
@@ -1,4 +1,4 @@
-"""Gateways and servers of a replayed fleet: the real guard, on replayed messages and a replayed object service."""
+"""Gateways and servers of a simulated fleet: the real guard with simulated messages and object service."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -13,20 +13,20 @@
 from tests.memory_store import MemoryStore
 
 SETTLED_MS = 5_000.0
-"""After this time in touch a gateway must know."""
+"""Time connected after which a gateway must have received the crash counts."""
 MESH_GATEWAYS = 20
 REPORT_MS = 600.0
 
 
 @dataclass(frozen=True)
 class Setting:
-    """How much there is of everything in a replay.
+    """Size and load of a replay.
 
     Parameters
     ==========
 
-    contents : how many different deadly contents come.
-    has_memory : whether gateways remember contents at all; without, it is the code of before.
+    contents : number of different deadly contents.
+    has_memory : whether gateways use the guard; without it, contents are never quarantined.
     """
 
     gateways: int = 8
@@ -42,7 +42,7 @@
 
 @dataclass
 class Server:
-    """A backend server; each start is another incarnation."""
+    """A backend server; each start has its own incarnation."""
 
     number: int
     start: int = 0
@@ -51,12 +51,12 @@
 
     @property
     def incarnation(self):
-        """The name of this start."""
+        """The identifier of this start."""
         return f"s{self.number}.{self.start}"
 
 
 class Store(MemoryStore):
-    """The object service; its lists are two seconds old, and a gateway may be cut off from it."""
+    """The object service; its lists lag by two seconds, and a gateway may be disconnected from it."""
 
     def __init__(self, world):
         super().__init__()
@@ -72,14 +72,14 @@
     def check(self):
         super().check()
         if self.world.caller.is_cut:
-            raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "cut off")
+            raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "the gateway is disconnected")
 
     def note_change(self):
         self.history.append((self.world.clock.now_ms(), dict(self.objects)))
 
 
 class Gateway:
-    """One gateway: the real guard on replayed messages and a replayed object service."""
+    """A gateway: the real guard with simulated messages and object service."""
 
     def __init__(self, world, number):
         self.world = world
@@ -90,7 +90,7 @@
         self.start()
 
     def start(self):
-        """Begin anew, knowing nothing."""
+        """Start with an empty state."""
         clock = self.world.clock
         self.troubled_ms = clock.now_ms()
         self.quarantine = Quarantine(clock)
@@ -108,7 +108,7 @@
             clock,
         )
 
-    # The network and the fleet, as the guard sees them.
+    # The interface of the network and the fleet that the exchange uses.
 
     @property
     def reports_by_zone(self):
@@ -144,5 +144,5 @@
         return len(self.world.gateways)
 
     def is_in_touch(self):
-        """Whether it was undisturbed for long enough to be held to what all know."""
+        """Whether the gateway has been undisturbed long enough to have received the crash counts."""
         return self.world.clock.now_ms() - self.troubled_ms > SETTLED_MS and not self.is_cut
--- a/tests/crash_replay.py
+++ b/tests/crash_replay.py
@@ -1,10 +1,10 @@
-"""A replay, without a network, of a fleet of gateways while a content ends the servers that run it.
+"""Simulates, without a network, a fleet of gateways while a content crashes the servers that run it.
 
-The pattern: one content comes again some five times a second, at any gateway, among harmless requests;
-it ends each server that runs it some 100 ms after it began, and all that is in progress there. Servers
-are back after three seconds. Meanwhile messages between gateways are lost, late and doubled, gateways are
-killed, all at once too, or cut off from the others and the object service, the service is away for a
-while, and servers end that had nothing to do with it. `python -m tests.crash_replay` plays seeds by hand.
+The deadly content arrives some five times a second, at any gateway, among harmless requests. It crashes
+each server that runs it some 100 ms after it started, with all requests in progress there. Servers restart
+after three seconds. Meanwhile messages between gateways are lost, delayed, and duplicated; gateways are
+killed, sometimes all at once, or disconnected from their peers and the object service; the object service
+has outages; and servers crash for unrelated reasons. `python -m tests.crash_replay` runs seeds by hand.
 """
 
 import argparse
@@ -28,16 +28,16 @@
 DEADLY = "deadly"
 POPULAR = "popular"
 MOST_RETRIES = 3
-"""Sends of a deadly content that may follow once its third server has ended and that is settled."""
+"""Limit on sends of a deadly content later than `SETTLED_MS` after its third crash."""
 LENGTH_MS = 90_000.0
 QUIET_MS = 30_000.0
-"""Time after the deadly content's last arrival in which every harmless one must be served."""
+"""Time after the last arrival of a deadly content within which every harmless one must be served."""
 BACK_MS = 3_000.0
 MOST_SENDS = 2
 
 
 class Replay:
-    """One seed."""
+    """The simulation of one seed."""
 
     def __init__(self, setting, seed):
         self.setting = setting
@@ -50,7 +50,7 @@
         self.servers = [Server(number) for number in range(setting.servers)]
         self.ends = 0
         self.deadly_ends_ms = defaultdict(list)  # by content
-        self.late = Counter()  # sends of a content that came late
+        self.late = Counter()  # late sends by content
         self.outcomes = defaultdict(Counter)  # by kind of request and phase
         self.left_out = set()
         self._queue = []
@@ -62,12 +62,12 @@
     # Events
 
     def at(self, delay_ms, action, *arguments):
-        """Do something later."""
+        """Schedule an action."""
         due_ms = self.clock.now_ms() + delay_ms
         heapq.heappush(self._queue, (due_ms, next(self._numbers), action, arguments))
 
     def play(self):
-        """Play to the end."""
+        """Run the simulation to its end."""
         self._arrive_again(DEADLY, self.setting.deadly_per_s, LENGTH_MS)
         self._arrive_again("harmless", self.setting.harmless_per_s, LENGTH_MS + QUIET_MS)
         self._arrive_again(POPULAR, self.setting.popular_per_s, LENGTH_MS + QUIET_MS)
@@ -121,7 +121,7 @@
     # Messages
 
     def deliver(self, sender, name, message):
-        """Bring a message to a gateway; or lose it, or bring it twice."""
+        """Deliver a message to a gateway, lose it, or deliver it twice."""
         (receiver,) = [one for one in self.gateways if one.name == name]
         if sender.is_cut or receiver.is_cut or self.draws.random() < self._loss:
             return
@@ -275,24 +275,24 @@
             return
         if request.kind == "harmless":
             self.left_out.add(request.content)
-            # Its caller comes back when it is told to, and once more on its own.
+            # The caller retries after the given time, or after 500 ms without one.
             wait_ms = error.answer.retry_after_ms if error is not None else 500
             self.at(wait_ms, self._arrive, request.kind, request.content)
 
     @property
     def late_sends(self):
-        """The most late sends of one deadly content."""
+        """The maximum number of late sends of any deadly content."""
         return max(self.late.values(), default=0)
 
     @property
     def served_share(self):
-        """The part of the harmless requests' arrivals that were answered while the content came."""
+        """The share of the harmless requests answered while deadly ones arrived."""
         counts = self.outcomes["harmless", "during"] + self.outcomes[POPULAR, "during"]
         return counts["answered"] / max(sum(counts.values()), 1)
 
 
 def play(seed, **fields):
-    """Return a played replay, without its log lines."""
+    """Return a completed replay; its log lines are dropped."""
     structlog.configure(processors=[_drop_line])
     try:
         return Replay(Setting(**fields), seed).play()
@@ -305,7 +305,7 @@
 
 
 def main():
-    """Play seeds; return 1 if one broke the bound."""
+    """Run seeds; return 1 if any exceeded a bound."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=50)
--- a/tests/crashing_runners.py
+++ b/tests/crashing_runners.py
@@ -1,4 +1,4 @@
-"""A site whose backend servers end on some requests, and are back a moment later."""
+"""A site whose backend servers crash on deadly requests and restart shortly afterwards."""
 
 import time
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 
 DEADLY = "this content ends its server"
 BACK_S = 0.4
-"""Time between the end of a server and its next start."""
+"""Time between the crash of a server and its restart."""
 MOST_CONNECTIONS = 1_000
 STREAM_PATHS = ("/reply/x", "/draft/x")
 
 
 @dataclass(frozen=True)
 class End:
-    """The end of a server, and whether a request had brought it about."""
+    """The end of a server, and whether a request caused it."""
 
     at_s: float
     server: str
@@ -27,7 +27,7 @@
 
 
 class CrashingRunner:
-    """A backend server that ends on deadly requests; each start has a new name."""
+    """A backend server that crashes on deadly requests; each start has a new name."""
 
     def __init__(self, site, number, service, work_ms):
         self.site = site
@@ -45,7 +45,7 @@
         return f"{self.service}-{self.number}.{self.starts}"
 
     def start(self):
-        """Begin to serve, at the address of before, and register."""
+        """Start serving at the previous address, and register."""
         self.starts += 1
         settings = RunnerSettings(name=self.name, work_ms=self.work_ms, ends_on=DEADLY)
         self.state = RunnerState(settings, end=lambda: self.end(is_crash=True))
@@ -60,14 +60,14 @@
         self.site.store.put("servers", self.name, entry)
 
     def end(self, is_crash=False):
-        """End with all connections, and come back later."""
+        """Close all connections, and restart after `BACK_S`."""
         if not self.is_running:
             return
         self.is_running = False
         self.site.ends.append(End(time.monotonic(), self.name, is_crash))
         gevent.spawn(self._stop_and_come_back)
         if is_crash:
-            gevent.sleep(BACK_S)  # The request's own task ends with the server.
+            gevent.sleep(BACK_S)  # The task of the deadly request is killed with the server.
 
     def _stop_and_come_back(self):
         self.server.stop(timeout=0)
@@ -78,7 +78,7 @@
 
 
 class CrashingSite(Site):
-    """A site of such servers; `ends` has the end of each."""
+    """A site of crashing servers; `ends` lists their ends."""
 
     def __init__(self, gateways=2, servers=4, work_ms=20):
         self.ends = []
@@ -92,7 +92,7 @@
         self.wait_until_served()
 
     def wait_until_served(self):
-        """Wait until every gateway is ready and knows all servers."""
+        """Wait until every gateway is ready and lists all servers."""
         self.wait(
             lambda: all(
                 one.is_ready() and len(one.registry.list_all()) >= len(self.crashing)
@@ -101,13 +101,13 @@
         )
 
     def ask_for(self, path, content, gateway):
-        """Send one request with this content and return its reply."""
+        """Send a request with this content and return its reply."""
         headers = tokens(3) if path in STREAM_PATHS else {}
         body = content.encode()
         return self.ask(path, body=body, gateway=gateway % len(self.gateways), **headers)
 
     def restart_gateways(self):
-        """End all gateways at once, and start as many anew."""
+        """Stop all gateways at once, and start the same number."""
         ended, self.gateways = self.gateways, []
         for gateway in ended:
             gateway.callers.stop_accepting()
@@ -117,7 +117,7 @@
         self.wait_until_served()
 
     def count_late_retries(self, most_ends, settled_s):
-        """Return how many servers ended later than `settled_s` after the first `most_ends`."""
+        """Return the number of crashes later than `settled_s` after crash number `most_ends`."""
         crashes = [one.at_s for one in self.ends if one.is_crash]
         if len(crashes) < most_ends:
             return 0
@@ -125,7 +125,7 @@
         return sum(at_s > settled_at_s for at_s in crashes)
 
     def close(self):
-        """End everything."""
+        """Stop all servers and gateways."""
         self.is_closed = True
         for runner in self.crashing:
             runner.server.stop(timeout=0)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -1,4 +1,4 @@
-"""The guard of requests under which servers end, for tests of those who ask it."""
+"""A guard against requests that crash servers, for tests of its callers."""
 
 from types import SimpleNamespace
 
@@ -16,7 +16,7 @@
 
 
 def make_guard(clock, ended=()):
-    """Return a guard of one daemon; `ended` has the names of the servers that have ended."""
+    """Return the guard of a single daemon; `ended` has the names of the crashed servers."""
     quarantine = Quarantine(clock)
     held = HeldRequests("daemon/1", quarantine, MemoryStore(), clock)
     ends = SimpleNamespace(has_ended=lambda server: server.name in ended)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,12 +1,11 @@
-"""A request that ends each backend server that runs it.
-
-Callers saw a third of their requests fail, in bursts of some ten seconds: in each of them one server of a
-service after another ended, up to 24, and each took the requests in progress with it. One client
-account had sent a request under which a server ends, and its client came again and again, to any
-gateway. Every bound on repeats was kept for one attempt of a caller or in one process, so each arrival
-began with nothing and took one or two more servers. Proof: on each of the 40 servers whose end was
-logged a request of that route and account was in progress, of no other one; and the test below, which
-brings the same about with one content, whose failed sends all bear one fingerprint.
+"""A request that crashes each backend server that runs it.
+
+Guards against repeated crashes by one content: a client retried such a request at any gateway, and each
+arrival crashed one or two more servers, because retries were limited only per request and per process. A
+third of all requests failed, in bursts of some ten seconds in which up to 24 servers of a service crashed
+with all requests in progress. Requests of this one route and account, and no others, were in progress on
+each of the 40 servers whose crash was logged. The test below reproduces this with one content, whose
+failed attempts all have the same fingerprint.
 """
 
 import re
@@ -24,9 +23,9 @@
 
 MOST_ENDS = 3
 MOST_RETRIES = 3
-"""After three servers have ended under a request, it may be sent this often once that is known."""
+"""Limit on sends of a request after all gateways have received that it crashed three servers."""
 SETTLED_S = 1.0
-"""When every gateway that is in touch knows of it."""
+"""Time within which every connected gateway receives the crash counts."""
 COMES_AGAIN_S = 0.15
 
 
@@ -38,7 +37,7 @@
 
 
 def come_again(site, path, content, for_s):
-    """Send a content again and again, to each gateway in turn, with a new identifier each time."""
+    """Send a content repeatedly, to the gateways in turn, with a new request identifier each time."""
     replies = []
     for turn in range(int(for_s / COMES_AGAIN_S)):
         asked = gevent.spawn(site.ask_for, path, content, turn)
@@ -49,14 +48,14 @@
 
 
 @pytest.mark.parametrize("path", ["/check/x", "/hold/x", "/reply/x", "/draft/x"])
-def test_a_request_under_which_servers_end_is_sent_a_few_times_only(site, path):
+def test_crashing_request_is_sent_a_few_times_only(site, path):
     come_again(site, path, DEADLY, for_s=5)
-    assert len(site.ends) >= MOST_ENDS, "it did end servers"
+    assert len(site.ends) >= MOST_ENDS, "the content must crash servers"
     assert site.count_late_retries(MOST_ENDS, SETTLED_S) <= MOST_RETRIES
 
 
 def hold_back(site, path="/check/x"):
-    """Let a content end servers until every gateway holds it back and its first trial is over."""
+    """Let a content crash servers until every gateway quarantines it and its first trial has ended."""
     come_again(site, path, DEADLY, for_s=0.6)
     site.wait(lambda: all(one.quarantine.list_held() for one in site.gateways))
     site.wait(lambda: site.store.list_kind(HELD_KIND))
@@ -66,7 +65,7 @@
     site.wait_until_served()
 
 
-def test_its_callers_hear_at_once_that_it_has_not_run_and_when_to_come_back(site):
+def test_quarantined_request_is_refused_at_once_with_retry_after(site):
     hold_back(site)
     ends = len(site.ends)
     began_s = time.monotonic()
@@ -78,13 +77,13 @@
     assert len(site.ends) == ends
 
 
-def test_a_content_of_another_account_or_path_is_not_held_back(site):
+def test_other_contents_and_paths_are_not_quarantined(site):
     hold_back(site)
     assert site.ask_for("/check/x", "harmless", 0).status == 200
     assert site.ask_for("/check/other", "also harmless", 1).status == 200
 
 
-def test_a_gateway_that_starts_later_knows_of_it(site):
+def test_started_gateway_refuses_quarantined_content(site):
     hold_back(site)
     ends = len(site.ends)
     site.add_gateway("gateway-3")
@@ -93,14 +92,14 @@
     assert len(site.ends) == ends
 
 
-def test_a_restart_of_all_gateways_does_not_begin_to_count_anew(site):
+def test_restart_of_all_gateways_does_not_reset_crash_counts(site):
     hold_back(site)
     site.restart_gateways()
     come_again(site, "/check/x", DEADLY, for_s=4)
     assert site.count_late_retries(MOST_ENDS, SETTLED_S) <= MOST_RETRIES
 
 
-def test_harmless_requests_are_served_while_it_comes_again(site):
+def test_harmless_requests_are_served_during_crashing_ones(site):
     deadly = gevent.spawn(come_again, site, "/check/x", DEADLY, for_s=4)
     gevent.sleep(1)
     harmless = [site.ask_for("/check/x", f"harmless {turn}", turn).status for turn in range(100)]
@@ -108,7 +107,7 @@
     assert harmless.count(200) >= 98
 
 
-def test_a_harmless_content_that_was_on_three_servers_that_ended_is_tried_and_cleared(site):
+def test_harmless_content_on_three_crashed_servers_is_tried_and_released(site):
     slow = [runner for runner in site.crashing if runner.service == "llm"]
     asked = []
     for runner in slow[:MOST_ENDS]:
@@ -121,14 +120,14 @@
     gevent.joinall(asked)
     assert site.ask_for("/draft/x", "harmless", 1).status == 503
     gevent.sleep(TRIAL_PAUSES_MS[0] / 1_000)
-    assert site.ask_for("/draft/x", "harmless", 1).status == 200, "the trial clears it"
+    assert site.ask_for("/draft/x", "harmless", 1).status == 200, "the trial releases it"
     site.wait(lambda: not any(one.quarantine.list_held() for one in site.gateways))
     site.wait(lambda: not site.store.list_kind(HELD_KIND))
     assert site.ask_for("/draft/x", "harmless", 0).status == 200
 
 
 @pytest.mark.parametrize("faults", [{"lose_answer": True}, {"fail": True}])
-def test_lost_answers_and_failures_of_servers_that_live_hold_nobody_back(site, faults):
+def test_lost_answers_and_failures_of_live_servers_quarantine_nothing(site, faults):
     for runner in site.crashing:
         runner.state.faults = RunnerFaults(**faults)
     for turn in range(6):
@@ -139,7 +138,7 @@
     assert all(one.quarantine.is_empty for one in site.gateways)
 
 
-def test_a_wave_of_reclaims_holds_nobody_back(site):
+def test_many_simultaneous_reclaims_quarantine_nothing(site):
     leaving = site.crashing
     for runner in leaving:
         runner.state.settings = runner.state.settings.model_copy(update={"work_ms": 2_000})
@@ -155,7 +154,7 @@
 
 
 class UnmeasuredRunner:
-    """Answers without a length, so that only the end of the connection ends the answer."""
+    """A server that answers without a length, so that the close of the connection ends the answer."""
 
     def __init__(self, site, ends):
         self.listener = gevent.socket.create_server(("127.0.0.1", 0))
@@ -186,7 +185,7 @@
 
 
 @pytest.mark.parametrize("ends", [True, False])
-def test_an_answer_without_a_length_clears_only_if_its_server_lives(site, ends):
+def test_answer_without_length_counts_as_crash_if_its_server_crashed(site, ends):
     route = {"kind": "idempotent", "service": "bare", "max_attempts": 1}
     site.store.put("config", "main", make_manifest(2, services=("bare",), bare=route))
     runner = UnmeasuredRunner(site, ends)
@@ -200,13 +199,13 @@
 
 
 @pytest.mark.parametrize("path", ["/check/x", "/hold/x", "/draft/x"])
-def test_a_time_that_is_up_while_a_server_is_asked_does_not_make_the_request_not_run(
+def test_deadline_during_crash_probe_does_not_report_the_request_as_not_run(
     site, monkeypatch, path
 ):
-    """A partition held a request up, its caller was told that it had not run, and then it ran.
+    """Guards against a request that runs after its caller was told that it had not run.
 
-    The connection had timed out, the server was asked for another one, and the caller's time was up
-    before the answer: what was known of the failed send was written down only after that.
+    A network partition delayed the request until its connection timed out. The deadline of the caller
+    expired while the server was being probed, before the failed send attempt was recorded.
     """
     gateway = site.gateways[0]
     monkeypatch.setattr(gateway.prober, "refuses", lambda server: gevent.sleep(1) or False)
--- a/tests/test_held_requests.py
+++ b/tests/test_held_requests.py
@@ -1,4 +1,4 @@
-"""What is held back is kept in the object service, and one gateway tries at a time."""
+"""Quarantined contents survive in the object service, and only one gateway at a time runs a trial."""
 
 import pytest
 from hypothesis import settings
@@ -56,7 +56,7 @@
     return [Gateway(f"g{number}", store, clock) for number in range(3)]
 
 
-def test_a_gateway_that_starts_knows_what_was_held_back(gateways, store, clock):
+def test_started_gateway_loads_stored_quarantine(gateways, store, clock):
     gateways[0].end_servers()
     gateways[0].held.save(is_keeper=False)
     started = Gateway("g0", store, clock)
@@ -66,17 +66,17 @@
     assert started.is_held()
 
 
-def test_one_gateway_writes_and_the_keeper_for_one_that_ended(gateways, store):
+def test_quarantine_is_stored_by_its_observer_or_by_the_keeper(gateways, store):
     gateways[0].end_servers()
     for record in gateways[0].quarantine.pop_untold():
         gateways[1].quarantine.take(record)
     gateways[1].held.save(is_keeper=False)
-    assert store.objects == {}, "the gateway that saw the ends does it"
+    assert store.objects == {}, "only the gateway that saw the crashes writes"
     gateways[1].held.save(is_keeper=True)
     assert list(store.objects) == [CONTENT]
 
 
-def test_of_several_gateways_one_tries(gateways, clock):
+def test_only_one_of_several_gateways_gets_the_trial(gateways, clock):
     for gateway in gateways:
         gateway.end_servers()
         gateway.held.save(is_keeper=False)
@@ -84,9 +84,7 @@
     assert [gateway.may_try() for gateway in gateways] == [True, False, False]
 
 
-def test_a_trial_whose_answer_was_lost_is_granted_to_the_gateway_that_wrote_it(
-    gateways, store, clock
-):
+def test_trial_write_with_lost_answer_is_granted_to_its_writer(gateways, store, clock):
     gateways[0].end_servers()
     gateways[0].held.save(is_keeper=False)
     clock.advance(TRIAL_PAUSES_MS[0])
@@ -94,7 +92,7 @@
     assert gateways[0].may_try()
 
 
-def test_nothing_is_tried_without_the_object_service(gateways, store, clock):
+def test_no_trial_while_object_service_is_unavailable(gateways, store, clock):
     gateways[0].end_servers()
     clock.advance(TRIAL_PAUSES_MS[0])
     store.is_away = True
@@ -103,7 +101,9 @@
     assert gateways[0].may_try()
 
 
-def test_what_was_answered_is_removed_and_released_by_who_missed_the_word(gateways, store, clock):
+def test_released_content_is_removed_and_released_by_gateways_that_missed_the_message(
+    gateways, store, clock
+):
     for gateway in gateways:
         gateway.end_servers()
         gateway.held.save(is_keeper=False)
@@ -114,11 +114,11 @@
     clock.advance(STALE_MS + 1)
     gateways[1].held.load()
     assert not gateways[1].is_held()
-    assert gateways[2].may_try(), "it finds nothing kept any more"
+    assert gateways[2].may_try(), "its object was removed"
     assert not gateways[2].is_held()
 
 
-def test_a_content_that_is_held_back_again_is_kept_and_tried_again(gateways, store, clock):
+def test_content_quarantined_again_is_stored_and_tried_again(gateways, store, clock):
     gateways[0].end_servers()
     gateways[0].held.save(is_keeper=False)
     gateways[0].quarantine.note_answer(CONTENT)
@@ -131,10 +131,10 @@
     assert list(store.objects) == [CONTENT]
     clock.advance(TRIAL_PAUSES_MS[0])
     assert gateways[0].may_try()
-    assert gateways[0].is_held(), "it was not released elsewhere"
+    assert gateways[0].is_held(), "no other gateway released it"
 
 
-def test_the_keeper_removes_what_was_answered_at_a_gateway_that_ended(gateways, store):
+def test_keeper_removes_content_released_by_a_stopped_gateway(gateways, store):
     for gateway in gateways:
         gateway.end_servers()
         gateway.held.save(is_keeper=False)
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize(
     "value", [None, 7, {}, {"ends": 3, "trials": 0}, {"ends": [], "trials": "x"}, [1]]
 )
-def test_an_object_of_another_program_is_passed_over(gateways, store, value):
+def test_malformed_object_is_ignored(gateways, store, value):
     store.objects["other"] = StoredObject(HELD_KIND, "other", 1, value)
     gateways[0].held.load()
     assert gateways[0].held.is_loaded
@@ -155,7 +155,7 @@
 
 
 class DeadlyContent(RuleBasedStateMachine):
-    """Any gateway, any message late or twice, kills and outages: three trials in an hour."""
+    """At most three trials in an hour, despite late and duplicate messages, restarts, and outages."""
 
     def __init__(self):
         super().__init__()
--- a/tests/test_quarantine_at_entry.py
+++ b/tests/test_quarantine_at_entry.py
@@ -1,8 +1,8 @@
-"""Contents under which engines and services end, at the entry daemons.
+"""Entry daemons quarantine contents that crash engines and services.
 
-The same class of fault as at the gateways: attempts were counted for one request in one daemon. One
-generation could take four engines that brought no token, and sixteen that brought some, and its caller's
-next request began anew at any daemon.
+Guards against counting attempts per request and per daemon, as the gateways once did: one generation could
+crash four engines before the first token, and sixteen after it, and the caller's next request started
+with fresh counts at any daemon.
 """
 
 from types import SimpleNamespace
@@ -37,16 +37,16 @@
     return test_relay.Bench(*scripts, burst=100.0, guard=guard)
 
 
-def test_a_generation_under_which_three_engines_end_goes_to_no_fourth(clock):
+def test_generation_that_crashed_three_engines_is_not_sent_to_a_fourth(clock):
     guard = make_guard(clock, ended={"llm-1", "llm-2", "llm-3", "llm-4"})
     bench = make_relay_bench(guard, *[{1: LOST}] * 20)
     with pytest.raises(RequestError) as raised:
         bench.run()
-    assert raised.value.answer.ran is Ran.YES, "it had brought a token"
+    assert raised.value.answer.ran is Ran.YES, "it had produced a token"
     assert len(set(bench.opener.opened)) == len(bench.opener.opened) == MOST_ENDS
 
 
-def test_the_next_request_with_this_content_is_refused_as_not_run(clock):
+def test_next_request_with_quarantined_content_is_refused_as_not_run(clock):
     guard = make_guard(clock, ended={"llm-1", "llm-2", "llm-3", "llm-4"})
     with pytest.raises(RequestError):
         make_relay_bench(guard, *[{0: LOST}] * 20).run()
@@ -59,7 +59,7 @@
     assert again.opener.opened == []
 
 
-def test_a_trial_that_is_answered_clears_the_generation(clock):
+def test_answered_trial_releases_the_generation(clock):
     guard = make_guard(clock, ended={"llm-1", "llm-2", "llm-3", "llm-4"})
     with pytest.raises(RequestError):
         make_relay_bench(guard, *[{0: LOST}] * 20).run()
@@ -68,14 +68,14 @@
     make_relay_bench(guard).run()
 
 
-def test_lost_connections_to_engines_that_live_hold_nothing_back(clock):
+def test_lost_connections_to_live_engines_quarantine_nothing(clock):
     guard = make_guard(clock)
     with pytest.raises(RequestError):
         make_relay_bench(guard, *[{0: LOST}] * 20).run()
     make_relay_bench(guard).run()
 
 
-def test_a_call_under_which_three_servers_end_is_not_sent_again(clock):
+def test_call_that_crashed_three_servers_is_not_sent_again(clock):
     guard = make_guard(clock, ended={server.name for server in SERVERS})
     bench = test_service_calls.Bench(AFTER, AFTER, AFTER, OK, guard=guard)
     with pytest.raises(RequestError) as raised:
@@ -88,8 +88,8 @@
     assert again.asked == []
 
 
-def test_a_trial_whose_first_server_cannot_be_reached_goes_to_another(clock):
-    """A harmless call that was held back was refused for another 20 s when its trial met a dead server."""
+def test_trial_moves_on_from_an_unreachable_server(clock):
+    """Otherwise a harmless quarantined call stays refused for another 20 s."""
     guard = make_guard(clock, ended={server.name for server in SERVERS})
     with pytest.raises(RequestError):
         test_service_calls.Bench(AFTER, AFTER, AFTER, guard=guard).send("/slots")
@@ -99,7 +99,7 @@
     assert test_service_calls.Bench(OK, guard=guard).send("/slots").status == 200
 
 
-def test_a_call_that_may_run_once_counts_over_the_attempts_of_its_caller(clock):
+def test_crashes_by_at_most_once_call_add_up_over_the_retries_of_its_caller(clock):
     guard = make_guard(clock, ended={server.name for server in SERVERS})
     for _ in range(2):
         with pytest.raises(RequestError) as raised:
@@ -119,7 +119,7 @@
             target.learn(item)
 
 
-def test_daemons_learn_of_one_another_by_news(clock):
+def test_gossip_shares_quarantine_and_release(clock):
     news, board, quarantine = make_news("e1", clock)
     _, other_board, other = make_news("e2", clock)
     for server in ("s1", "s2", "s3"):
@@ -130,10 +130,10 @@
     quarantine.note_answer(CONTENT)
     news.note_change()
     spread(board, other_board)
-    assert other.list_held() == [], "within the same millisecond of the time of day, too"
+    assert other.list_held() == [], "also within the same millisecond of wall-clock time"
 
 
-def test_old_news_is_withdrawn_also_that_of_daemons_that_are_gone(clock):
+def test_expired_gossip_is_withdrawn_also_for_stopped_daemons(clock):
     news, board, quarantine = make_news("e1", clock)
     gone, gone_board, gone_quarantine = make_news("e2", clock)
     gone_quarantine.note_end(CONTENT, "s1")
@@ -147,13 +147,13 @@
 
 
 @pytest.mark.parametrize("value", [None, 5, [], ["x", 1, 2, 3], {"a": 1}])
-def test_news_that_cannot_be_read_is_passed_over(clock, value):
+def test_malformed_gossip_is_ignored(clock, value):
     _, board, quarantine = make_news("e1", clock)
     board.learn(NewsItem(f"{SUSPECT_PREFIX}x/e9", 1, value))
     assert quarantine.is_empty
 
 
-def test_an_outage_of_the_object_service_is_logged_once(clock, monkeypatch):
+def test_object_service_outage_is_logged_once(clock, monkeypatch):
     lines = []
     monkeypatch.setattr(guard_module, "log_event", lambda event, *_, **fields: lines.append(event))
     store = SimpleNamespace(is_away=True)
@@ -177,7 +177,7 @@
     assert lines == [Event.WATCH_FAILED, Event.WATCH_RECOVERED]
 
 
-def test_what_an_operator_removes_is_released(clock):
+def test_content_removed_by_an_operator_is_released(clock):
     store = MemoryStore()
     quarantine = Quarantine(clock)
     held = HeldRequests("daemon/1", quarantine, store, clock)
