--- a/hemlockswitch/process/claims/__init__.py
+++ b/hemlockswitch/process/claims/__init__.py
@@ -1,4 +1,4 @@
-"""Claims of idempotency keys: one dispatch for each key in the whole system.
+"""Claims of idempotency keys: at most one dispatch per key across all daemons.
 
-`ClaimStore` makes and answers claims; `members` wires the parts of a daemon.
+`ClaimStore` places claims and replays outcomes; `members` builds it for an entry daemon.
 """
--- a/hemlockswitch/process/claims/ledger.py
+++ b/hemlockswitch/process/claims/ledger.py
@@ -1,7 +1,7 @@
-"""One partition of the claims: what its objects hold and what an operation changes in them.
+"""The stored form of a claim partition, and the effect of each operation on it.
 
-Nothing here talks to anyone: a `Draft` is a working copy to which a batch of operations is
-applied, whose result one conditional write then makes true or does not.
+This module does no input or output: a batch of operations is applied to a `Draft`, a working
+copy of the partition's head, which a single conditional write then commits or fails to commit.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Place:
-    """Claim a key, unless a claim stands."""
+    """Claim a key, unless it has a standing claim."""
 
     digest: str
     claim: Claim
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Record:
-    """Write how the claimed call ended."""
+    """Write the outcome of the claimed call."""
 
     digest: str
     claim_id: str
@@ -40,7 +40,7 @@
 class GiveBack:
     """End a claim whose call was certainly not dispatched and never will be.
 
-    It also keeps a `Place` of the same claim that is still on its way from taking effect.
+    It also prevents a `Place` of the same claim that is still in transit from taking effect.
     """
 
     digest: str
@@ -52,9 +52,9 @@
 
 
 class Verdict(StrEnum):
-    """What became of an operation.
+    """The result of an operation.
 
-    ``unavailable``: it certainly took no effect. ``uncertain``: it may have.
+    ``unavailable``: it certainly had no effect. ``uncertain``: it may have had an effect.
     """
 
     PLACED = "placed"
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """The verdict, and the claim that stands where there is one."""
+    """The verdict, and the standing claim if there is one."""
 
     verdict: Verdict
     claim: Claim | None = None
@@ -75,13 +75,13 @@
 
 @dataclass(frozen=True)
 class Segment:
-    """An object that holds claims moved out of the partition's head; it never changes.
+    """An immutable object of claims that were moved out of the partition's head.
 
     Parameters
     ==========
 
     name, version : of the object.
-    newest_wall_ms : when its newest claim was made.
+    newest_wall_ms : wall-clock time at which its newest claim was made.
     """
 
     name: str
@@ -91,14 +91,14 @@
 
 @dataclass(frozen=True)
 class Head:
-    """The partition's head object: the arbiter of every change, and its newest claims."""
+    """The partition's head object: its version decides every change; it has the newest claims."""
 
     claims: Mapping[str, Claim] = field(default_factory=dict)
     segments: tuple[Segment, ...] = ()
 
     @classmethod
     def from_value(cls, value: Mapping[str, Any]) -> "Head":
-        """Return the head that `to_value` wrote."""
+        """Decode the output of `to_value`."""
         return cls(
             decode_claims(value["claims"]),
             tuple(Segment(*row) for row in value["segments"]),
@@ -111,17 +111,17 @@
 
 
 def encode_claims(claims: Mapping[str, Claim]) -> dict[str, Any]:
-    """Return the JSON-ready form of claims by digest."""
+    """Return the JSON-ready form of claims keyed by digest."""
     return {digest: claim.to_value() for digest, claim in claims.items()}
 
 
 def decode_claims(value: Mapping[str, Any]) -> dict[str, Claim]:
-    """Return the claims that `encode_claims` wrote."""
+    """Decode the output of `encode_claims`."""
     return {digest: Claim.from_value(body) for digest, body in value.items()}
 
 
 def encode_json(value: Any) -> bytes:
-    """Return the JSON text of a value; its length is what the object service counts."""
+    """Return the JSON text of a value; the object service limits its length."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
@@ -131,10 +131,10 @@
     Parameters
     ==========
 
-    head : what was last read or written.
-    find_older : returns a claim of the segments by digest.
-    oldest_wall_ms : claims made before this are past their retention.
-    full : whether there is no room for new claims.
+    head : the head that was last read or written.
+    find_older : returns the claim of a digest from the segments, or None.
+    oldest_wall_ms : claims made before this wall-clock time are past their retention.
+    full : whether the partition has no room for new claims.
 
     Examples
     ========
@@ -167,19 +167,19 @@
         self._oldest_wall_ms = oldest_wall_ms
 
     def find(self, digest: str) -> Claim | None:
-        """Return the newest claim of a key, given back or not."""
+        """Return the newest claim of a key, including one that was given back."""
         claim = self.claims.get(digest) or self._find_older(digest)
         if claim is None or claim.made_wall_ms < self._oldest_wall_ms:
             return None
         return claim
 
     def put(self, digest: str, claim: Claim) -> None:
-        """Write a claim into the head; it goes before one of the segments."""
+        """Write a claim into the head, where it takes precedence over the segments."""
         self.claims[digest] = claim
         self.changed = True
 
     def take_finished(self, now_wall_ms: int) -> dict[str, Claim]:
-        """Remove and return the claims that no one is going to change."""
+        """Remove and return the claims that have an outcome or whose dispatch term is over."""
         finished = {
             digest: claim
             for digest, claim in self.claims.items()
@@ -190,19 +190,19 @@
         return finished
 
     def to_head(self) -> Head:
-        """Return the head to write."""
+        """Return the head with the draft's changes."""
         return Head(self.claims, self.segments)
 
 
 @singledispatch
 def apply(operation: Any, draft: Draft) -> Result:
-    """Apply an operation to a draft; applying it again changes nothing more.
+    """Apply an operation to a draft. The operation is idempotent.
 
     Explanation
     ===========
 
-    Operations are recognised by their claim's id, so a batch whose write may or may not have
-    taken effect is simply applied again to what is read back.
+    Operations are identified by their claim's id, so a batch whose write may or may not have
+    taken effect can be applied again to the head that is read back.
     """
     raise TypeError(f"not an operation: {operation!r}")
 
--- a/hemlockswitch/process/claims/members.py
+++ b/hemlockswitch/process/claims/members.py
@@ -1,4 +1,4 @@
-"""The claims of an entry daemon, and what they know of the other daemons."""
+"""Builds the claim store of an entry daemon, with its view of the peers."""
 
 from collections.abc import Callable
 
@@ -18,12 +18,12 @@
 
 
 class ClaimMembers:
-    """The live entry daemons besides this one, and whether a claim's holder has gone.
+    """The live entry daemons besides this one, and whether a claim's holder has stopped.
 
     Parameters
     ==========
 
-    name : this daemon.
+    name : name of this daemon.
     find_membership : returns the membership, or None before it started.
     """
 
@@ -32,7 +32,7 @@
         self._find_membership = find_membership
 
     def list_peers(self) -> list[ClaimPeer]:
-        """Return the other live daemons that serve callers."""
+        """Return the live peers that serve callers."""
         return [
             ClaimPeer(member.name, member.zone, member.peer_address)
             for member in self._list_members()
@@ -40,10 +40,10 @@
         ]
 
     def is_gone(self, holder: str) -> bool:
-        """Return whether the process that made a claim is known to have ended.
+        """Return whether the process that placed a claim has certainly ended.
 
-        A holder is named ``<daemon>-<random>``; another one of this daemon's name was here
-        before it.
+        A holder is named ``<daemon>-<random>``. Another holder with this daemon's name is an
+        earlier process of the same daemon.
         """
         daemon, _, _ = holder.rpartition("-")
         if daemon == self._name:
@@ -63,9 +63,9 @@
     find_limits: Callable[[], Limits],
     count: Callable[[str], None],
 ) -> ClaimStore:
-    """Return the claims of an entry daemon, on a platform client of their own.
+    """Return the claim store of an entry daemon, with a dedicated platform client.
 
-    Their calls are short and many; a watch that fails must not make them wait.
+    Claim calls are short and frequent, and must not wait behind a watch that fails.
     """
     members = ClaimMembers(settings.name, lambda: facts.membership)
     platform = PlatformClient(
@@ -76,7 +76,7 @@
         settings.zone,
         platform,
         clock,
-        # A claim must outlive the longest dispatch, whatever the file says.
+        # A claim must outlive the longest dispatch, whatever the operator file sets.
         lambda: max(find_limits().claim_retention_ms, LEAST_RETENTION_MS),
         peers=facts.network,
         list_peers=members.list_peers,
--- a/hemlockswitch/process/claims/objects.py
+++ b/hemlockswitch/process/claims/objects.py
@@ -1,4 +1,4 @@
-"""A partition's objects in the platform: reading a fresh head, segments, the conditional write."""
+"""A partition's platform objects: reads of the head and segments, and the conditional write."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -26,30 +26,31 @@
 
 
 class ObjectService(Protocol):
-    """What the claims need of the platform."""
+    """The operations of the object service that claims need."""
 
     def read(self, kind: str, name: str) -> StoredObject | None:
-        """Return an object, or None."""
+        """Return an object, or None if it does not exist."""
 
     def create(self, kind: str, name: str, value: Any) -> WriteOutcome:
-        """Write an object that must not exist."""
+        """Create an object; conflicts if it exists."""
 
     def update(self, kind: str, name: str, value: Any, version: int) -> WriteOutcome:
-        """Write an object at a version."""
+        """Replace an object if it is at this version."""
 
     def delete(self, kind: str, name: str, version: int) -> WriteOutcome:
-        """Delete an object at a version."""
+        """Delete an object if it is at this version."""
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """Sizes of a partition.
+    """Size limits of a partition.
 
     Parameters
     ==========
 
-    head_bytes : a larger head moves its finished claims to a new segment.
-    max_segments : more are not made; a partition whose head is also full refuses new claims.
+    head_bytes : when the head is at least this large, its finished claims move to a new segment.
+    max_segments : at this number no segment is added; if the head is also full, the partition
+        refuses new claims.
     """
 
     head_bytes: int = HEAD_BYTES
@@ -57,21 +58,21 @@
 
 
 class PartitionObjects:
-    """The last known head of one partition, and the index of its segments.
+    """The cached head of one partition, and the index of its segments.
 
     Explanation
     ===========
 
-    The head is the only arbiter: every change is one conditional update of it, so a stale copy
-    here costs a conflict and nothing else. Segments never change, so they are read once for the
-    index of their keys; a claim in one is read when a repeat asks for it.
+    Every change is one conditional update of the head, so a stale cached copy costs only a
+    conflict. Segments never change, so each is read once to index its keys; a claim in a segment
+    is read when a repeated call needs it.
 
     Parameters
     ==========
 
     platform : the object service.
-    name : the head object's name; segments are named after it.
-    bounds : sizes.
+    name : name of the head object, and prefix of the names of segments.
+    bounds : size limits.
     """
 
     def __init__(self, platform: ObjectService, name: str, bounds: Bounds) -> None:
@@ -88,15 +89,15 @@
         self._strays: list[str] = []
 
     def forget(self) -> None:
-        """Read the head again before the next draft."""
+        """Discard the cached head, so that the next draft reads it again."""
         self._head = None
 
     def is_known(self) -> bool:
-        """Return whether a head is in memory."""
+        """Return whether a head is cached."""
         return self._head is not None
 
     def make_draft(self, oldest_wall_ms: int) -> Draft:
-        """Return a draft of the partition, read from the platform where it is not known."""
+        """Return a draft of the partition, reading the head if it is not cached."""
         head = self._head if self._head is not None else self._read_head()
         draft = Draft(head, self._find_older, oldest_wall_ms)
         no_segment_left = len(draft.segments) >= self._bounds.max_segments
@@ -105,7 +106,7 @@
         return draft
 
     def write(self, draft: Draft, now_wall_ms: int) -> WriteOutcome:
-        """Make a draft true if nobody changed the head since it was read."""
+        """Commit a draft, provided that the head has not changed since it was read."""
         moved = self._move_finished(draft, now_wall_ms)
         head = draft.to_head()
         value = encode_json(head.to_value())
@@ -132,7 +133,7 @@
         self._head_bytes = size_bytes
 
     def _read_head(self) -> Head:
-        """Read a head that is not older than what is known, with the index of its segments."""
+        """Read a head that is not older than the newest version seen, and index its segments."""
         for _ in range(FRESH_READS):
             stored = self._platform.read(KIND, self._name)
             version = 0 if stored is None else stored.version
@@ -141,7 +142,9 @@
             head = Head() if stored is None else Head.from_value(stored.value)
             self._keep(head, version, 0 if stored is None else len(encode_json(stored.value)))
             return head
-        raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "the platform answers with old reads")
+        raise PlatformError(
+            ErrorKind.PLATFORM_UNAVAILABLE, "the platform returned only stale reads of the claims"
+        )
 
     def _index_segments(self, head: Head) -> None:
         listed = [segment.name for segment in head.segments]
@@ -164,9 +167,9 @@
             return known
         stored = self._platform.read(KIND, name)
         if stored is None:
-            # Its claims may stand: a head that still lists it is old, or this answer is.
+            # Its claims may still stand: either the head that lists it or this read is stale.
             self.forget()
-            raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, f"segment {name} is not readable")
+            raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, f"claim segment {name} not found")
         return self._remember(name, decode_claims(stored.value))
 
     def _remember(self, name: str, claims: dict[str, Claim]) -> dict[str, Claim]:
@@ -186,7 +189,7 @@
         name = make_identifier(f"{self._name}.s")
         outcome = self._platform.create(KIND, name, encode_claims(finished))
         if not isinstance(outcome, Written):
-            # The head alone still holds all claims; the next write tries again.
+            # The head still contains all claims; the next write tries again.
             draft.claims.update(finished)
             self._strays.append(name)
             return ()
@@ -197,7 +200,7 @@
         return (segment,)
 
     def _remove(self, segments: tuple[Segment, ...]) -> None:
-        """Delete segments that no head lists; one that stays costs room and nothing else."""
+        """Delete segments that no head lists; one that is not deleted only takes up space."""
         for segment in segments:
             self._recent.pop(segment.name, None)
             try:
@@ -206,7 +209,7 @@
                 return
 
     def _remove_strays(self) -> None:
-        """Delete segments whose creation was not answered and which no head lists."""
+        """Delete segments whose creation was not confirmed and which no head lists."""
         for name in self._strays:
             try:
                 stored = self._platform.read(KIND, name)
--- a/hemlockswitch/process/claims/outbox.py
+++ b/hemlockswitch/process/claims/outbox.py
@@ -1,4 +1,4 @@
-"""Operations on claims that no caller waits for, kept until they are written."""
+"""Claim operations that no caller waits for, retried until they are written."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -21,27 +21,27 @@
 
 @dataclass(frozen=True)
 class Unwritten:
-    """An outcome that is not in the platform yet, and the call that it belongs to."""
+    """An outcome that is not yet stored in the platform, and its call's fingerprint."""
 
     fingerprint: str
     outcome: Outcome
 
 
 class ClaimOutbox:
-    """Delivers outcomes and claims that are given back, each in a task of its own.
+    """Writes outcomes and gives claims back, with a task per operation.
 
     Explanation
     ===========
 
-    What is dropped, because too many wait or for too long, leaves its claim without an outcome: a
-    repeat is told that it is unknown, and nothing is dispatched again.
+    An operation is dropped if too many are waiting or it has waited too long. Its claim then has
+    no outcome: a repeated call is answered that the outcome is unknown, and is not dispatched.
 
     Parameters
     ==========
 
-    routes : brings operations to the platform.
-    clock : the time.
-    retention_ms : returns how long claims are kept; later, delivering has no use.
+    routes : routes operations to the platform.
+    clock : provides the time.
+    retention_ms : returns how long claims are retained; after that, delivery is pointless.
     """
 
     def __init__(self, routes: ClaimRoutes, clock: Clock, retention_ms: Callable[[], int]) -> None:
@@ -56,15 +56,15 @@
         return len(self._tasks)
 
     def find(self, digest: str) -> Unwritten | None:
-        """Return a key's outcome that is not written yet."""
+        """Return the unwritten outcome of a key, if there is one."""
         return self._unwritten.get(digest)
 
     def is_delivering(self, digest: str) -> bool:
-        """Return whether an operation on a key's claim waits to be written."""
+        """Return whether an operation on a key's claim is waiting to be written."""
         return digest in self._delivering
 
     def deliver(self, operation: Record | GiveBack, fingerprint: str = "") -> None:
-        """Write an operation sooner or later, or drop it."""
+        """Write an operation in the background, or drop it if too many are waiting."""
         if self._tasks.full():
             log_event(Event.CLAIM_OUTCOME_DROPPED, "warning", key=operation.digest)
             return
@@ -74,11 +74,11 @@
         self._tasks.spawn(self._deliver_one, operation)
 
     def flush(self, timeout_ms: float) -> bool:
-        """Wait until everything is written; return whether it is."""
+        """Wait until all operations are written; return whether they were within the timeout."""
         return bool(self._tasks.join(timeout=timeout_ms / MS_PER_SECOND))
 
     def stop(self) -> None:
-        """End the tasks."""
+        """Stop the tasks."""
         self._tasks.kill(block=False)
 
     def _deliver_one(self, operation: Record | GiveBack) -> None:
--- a/hemlockswitch/process/claims/routes.py
+++ b/hemlockswitch/process/claims/routes.py
@@ -1,4 +1,4 @@
-"""Which daemon writes an operation on a claim: the home, this one, or one that can."""
+"""Chooses the daemon that writes a claim operation: the partition's owner, this one or a peer."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 @register_message("claim_operation")
 @dataclass(frozen=True)
 class ClaimOperation:
-    """Asks a peer to write an operation; what is None the operation does not have."""
+    """Requests that a peer write an operation; fields that do not apply to it are None."""
 
     digest: str
     claim_id: str = ""
@@ -34,19 +34,21 @@
     gives_back: bool = False
 
     def to_operation(self) -> Operation:
-        """Return the operation that the message asks for."""
+        """Return the operation that the message encodes."""
         if self.outcome is not None:
             return Record(self.digest, self.claim_id, Outcome.from_value(self.outcome))
         if self.claim is None:
-            raise PeerError(ErrorKind.BAD_REQUEST, "an operation without a claim")
+            raise PeerError(
+                ErrorKind.BAD_REQUEST, "claim operation has neither a claim nor an outcome"
+            )
         claim = Claim.from_value(self.claim)
         return GiveBack(self.digest, claim) if self.gives_back else Place(self.digest, claim)
 
 
 @singledispatch
 def encode_operation(operation: Any) -> ClaimOperation:
-    """Return the message for an operation."""
-    raise TypeError(f"not an operation: {operation!r}")
+    """Return the message that encodes an operation."""
+    raise TypeError(f"not a claim operation: {operation!r}")
 
 
 @encode_operation.register
@@ -68,19 +70,19 @@
 @register_message("claim_result")
 @dataclass(frozen=True)
 class ClaimResult:
-    """What became of the operation."""
+    """The result of a `ClaimOperation`."""
 
     verdict: str
     claim: dict[str, Any] | None = None
 
     @classmethod
     def from_result(cls, result: Result) -> "ClaimResult":
-        """Return the message for a result."""
+        """Return the message that encodes a result."""
         claim = None if result.claim is None else result.claim.to_value()
         return cls(result.verdict.value, claim)
 
     def to_result(self) -> Result:
-        """Return the result that the message tells."""
+        """Return the result that the message encodes."""
         claim = None if self.claim is None else Claim.from_value(self.claim)
         return Result(Verdict(self.verdict), claim)
 
@@ -90,7 +92,7 @@
 
 @dataclass(frozen=True)
 class ClaimPeer:
-    """Another entry daemon that takes claim operations."""
+    """Another entry daemon that accepts claim operations."""
 
     name: str
     zone: str
@@ -98,24 +100,24 @@
 
 
 class Peers(Protocol):
-    """How daemons reach one another."""
+    """The requests between daemons that claims need."""
 
     def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
-        """Send a question and return its reply."""
+        """Send a request and return its reply."""
 
     def handle(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
-        """Serve messages of a type."""
+        """Register the handler of a message type."""
 
 
 class NoPeers:
-    """A daemon that knows no others."""
+    """The `Peers` of a daemon without peers."""
 
     def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
-        """There is nobody to ask."""
+        """Raise `NotImplementedError`: there is no peer to send to."""
         raise NotImplementedError
 
     def handle(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
-        """Nobody will ask."""
+        """Do nothing: no request arrives."""
 
 
 def list_no_peers() -> list[ClaimPeer]:
@@ -124,7 +126,7 @@
 
 
 def find_partition(digest: str) -> int:
-    """Return the partition of a key's digest, the same in every daemon.
+    """Return the partition of a key's digest; all daemons compute the same one.
 
     Examples
     ========
@@ -136,26 +138,26 @@
 
 
 class ClaimRoutes:
-    """Brings operations to the platform.
+    """Routes operations to the platform.
 
     Explanation
     ===========
 
-    The home of a partition is the first live daemon of its rendezvous order. Going through it
-    lets the claims of the whole system share one write and makes conflicts rare; it is no
-    authority: any daemon may write, and the head's version decides. So when the home does not
-    answer, this daemon writes itself; when it cannot reach the platform, it asks daemons of other
-    zones. Operations are recognised by their claim's id, so an operation that went two ways
-    counts once.
+    The owner of a partition is the first live daemon of its rendezvous order. Sending operations
+    through the owner lets the claims of all daemons share a write and makes conflicts rare. The
+    owner has no authority: any daemon may write, and the head's version decides. If the owner
+    does not answer, this daemon writes the operation itself; if this daemon cannot reach the
+    platform, it asks daemons of other zones. Operations are identified by their claim's id, so an
+    operation that took two routes counts once.
 
     Parameters
     ==========
 
     name, zone : of this daemon.
-    writers : one for each partition.
-    peers : how to reach the others.
-    list_peers : returns the other live daemons.
-    clock : the time.
+    writers : one per partition.
+    peers : sends requests to peers.
+    list_peers : returns the live peers.
+    clock : provides the time.
     """
 
     def __init__(
@@ -180,16 +182,16 @@
         peers.handle(ClaimOperation, self._serve)
 
     def stop(self) -> None:
-        """End the writers' tasks."""
+        """Stop the writers' tasks."""
         for writer in self._writers:
             writer.stop()
 
     def count_peers(self) -> int:
-        """Return how many other daemons can be asked."""
+        """Return the number of live peers."""
         return len(self._list_peers())
 
     def perform(self, operation: Operation, limit_ms: float = LIMIT_MS) -> Result:
-        """Return what became of an operation, trying each way in turn for `limit_ms`."""
+        """Return the result of an operation, trying each route in turn for `limit_ms`."""
         until_ms = self._clock.now_ms() + limit_ms
         uncertain = False
         for way in self._list_ways(operation):
@@ -203,7 +205,7 @@
         return Result(Verdict.UNCERTAIN if uncertain else Verdict.UNAVAILABLE)
 
     def _list_ways(self, operation: Operation) -> list[Way]:
-        """Return the ways to the platform: the home, this daemon, daemons of other zones."""
+        """Return the routes to the platform: the owner, this daemon, daemons of other zones."""
         self._look_at_peers()
         partition = find_partition(operation.digest)
         order = self._rank(partition)
@@ -223,7 +225,7 @@
         return partial(self._ask, self._known[name], operation)
 
     def _look_at_peers(self) -> None:
-        """Take over who is live; the orders are ranked again only when that has changed."""
+        """Update the live peers; the orders are ranked again only when the peers changed."""
         now_ms = self._clock.now_ms()
         if now_ms - self._looked_ms < LOOK_MS:
             return
@@ -234,7 +236,7 @@
             self._orders.clear()
 
     def _rank(self, partition: int) -> list[str]:
-        """Return the first daemons of a partition's rendezvous order, and this one."""
+        """Return the first `RANKED` daemons of a partition's rendezvous order."""
         order = self._orders.get(partition)
         if order is None:
             full = rank_rendezvous(f"claims/{partition}", [*self._known, self._name])
@@ -242,7 +244,7 @@
         return order
 
     def _ask(self, peer: ClaimPeer, operation: Operation, left_ms: float) -> Result:
-        """Ask a peer to write; one that just did not answer is left alone for a moment."""
+        """Ask a peer to write; after a failure the peer is skipped for `AVOID_MS`."""
         if self._clock.now_ms() < self._avoided.get(peer.name, 0):
             return Result(Verdict.UNAVAILABLE)
         try:
@@ -254,7 +256,7 @@
             return Result(Verdict.UNCERTAIN)
 
     def _serve(self, sender: str, message: ClaimOperation) -> ClaimResult:
-        """Write a peer's operation; it is never passed on again."""
+        """Write a peer's operation; it is never forwarded to another daemon."""
         operation = message.to_operation()
         writer = self._writers[find_partition(operation.digest)]
         return ClaimResult.from_result(writer.perform(operation, ASK_TIMEOUT_MS))
--- a/hemlockswitch/process/claims/store.py
+++ b/hemlockswitch/process/claims/store.py
@@ -1,4 +1,4 @@
-"""The claims of this daemon: a key's call is dispatched once, and its answer kept."""
+"""The claims of this daemon: dispatches a key's call at most once and retains its answer."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -37,32 +37,32 @@
 
 @dataclass
 class _Running:
-    """A call with a key that this daemon is dealing with now."""
+    """A call with a key that is running in this daemon."""
 
     fingerprint: str
     result: AsyncResult = field(default_factory=AsyncResult)
 
 
 class ClaimStore:
-    """Runs each key's call at most once in the whole system.
+    """Runs the call of each key at most once across all daemons.
 
     Explanation
     ===========
 
-    The claim is in the platform before the call is dispatched, and only the daemon whose claim
-    it is dispatches, once. The outcome is written back after the caller has its answer. What
-    cannot be claimed is refused with ``ran: no``; a claim without an outcome is never dispatched
-    again. docs/explanation/claims.md weighs this against other ways.
+    The claim is stored in the platform before the call is dispatched, and only the daemon that
+    placed the claim dispatches, once. The outcome is written after the caller has its answer. A
+    call that cannot be claimed is refused with ``ran: no``; a claim without an outcome is never
+    dispatched again. docs/explanation/claims.md compares this design with the alternatives.
 
     Parameters
     ==========
 
-    holder : names this process in its claims.
-    routes : brings operations to the platform.
-    clock : the time.
-    retention_ms : returns how long claims are kept.
-    is_gone : tells whether the holder of a claim is known to have left.
-    count : called with what became of a call's claim.
+    holder : identifies this process in its claims.
+    routes : routes operations to the platform.
+    clock : provides the time.
+    retention_ms : returns how long claims are retained.
+    is_gone : returns whether the holder of a claim has certainly ended.
+    count : called with the outcome of each call's claim.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         pace: Pace | None = None,
         writer_counts: WriterCounts | None = None,
     ) -> Self:
-        """Return the claims of a daemon, with a writer for each partition."""
+        """Return the claim store of a daemon, with a writer for each partition."""
         counts = writer_counts or WriterCounts()
         writers = [
             PartitionWriter(
@@ -130,17 +130,18 @@
         Parameters
         ==========
 
-        account, key : the key is the account's own.
-        fingerprint : hash of what the call asks for.
+        account, key : keys are scoped to a client account.
+        fingerprint : hash of the call's content.
         dispatch : sends the call; called at most once.
-        limit_ms : how long to try to place the claim.
+        limit_ms : time limit for placing the claim.
 
         Raises
         ======
 
         RequestError : `CLAIM_UNAVAILABLE`, nothing was run; `CLAIM_CONFLICT`, another dispatch
-            of this key is under way; `OUTCOME_UNKNOWN`, there was one and its end is not known;
-            `BAD_REQUEST`, the key was used for another call; or what `dispatch` raises.
+            of this key is in progress; `OUTCOME_UNKNOWN`, a dispatch was begun and its outcome
+            is unknown; `BAD_REQUEST`, the key was used for a different call; or the error that
+            `dispatch` raises.
         """
         digest = digest_key(account, key)
         running = self._running.get(digest)
@@ -161,7 +162,7 @@
             del self._running[digest]
 
     def describe(self) -> dict[str, int]:
-        """Return what happened to keys so far, for the status page."""
+        """Return the counters of claims, for the status page."""
         return {
             **self.counts,
             "unwritten_outcomes": len(self._outbox),
@@ -169,11 +170,11 @@
         }
 
     def flush(self, timeout_ms: float) -> bool:
-        """Wait until the outcomes are written; return whether all are."""
+        """Wait until the outcomes are written; return whether all were within the timeout."""
         return self._outbox.flush(timeout_ms)
 
     def stop(self) -> None:
-        """End the tasks; outcomes that are not written yet stay unknown."""
+        """Stop the tasks; outcomes that are not yet written remain unknown."""
         self._outbox.stop()
         self._routes.stop()
 
@@ -182,7 +183,7 @@
         self._count_outside(outcome)
 
     def _join(self, running: _Running, fingerprint: str) -> StoredAnswer:
-        """Wait shortly for the same key's call that this daemon is dealing with."""
+        """Wait briefly for a running call with the same key in this daemon."""
         self._check_fingerprint(running.fingerprint, fingerprint)
         self._count("joined")
         try:
@@ -209,7 +210,7 @@
         raise self._refuse(digest, claim, result)
 
     def _place(self, digest: str, claim: Claim, fingerprint: str, until_ms: float) -> Result:
-        """Place a claim, waiting shortly while another's dispatch is under way."""
+        """Place a claim, waiting briefly while another dispatch of the key is in progress."""
         for pause_ms in (*REPEAT_PAUSES_MS, 0):
             result = self._routes.perform(Place(digest, claim), until_ms - self._clock.now_ms())
             if result.verdict is not Verdict.STANDING or result.claim is None:
@@ -223,23 +224,25 @@
         return result
 
     def _is_over(self, digest: str, claim: Claim) -> bool:
-        """Return whether a claim without an outcome will hardly get one."""
+        """Return whether a claim without an outcome is unlikely to get one."""
         if claim.holder == self._holder:
-            # Nobody here works on it but, perhaps, the outbox.
+            # In this process only the outbox can still be working on the claim.
             return not self._outbox.is_delivering(digest)
         return self._clock.wall_ms() > claim.ends_wall_ms or self._is_gone(claim.holder)
 
     def _check_fresh(self, digest: str, claim: Claim, began_ms: float) -> None:
-        """Refuse to dispatch on a claim that this process slept on.
+        """Refuse to dispatch if placing the claim took too long.
 
-        A process that was paused may wake after its claim's retention, when a repeat has a claim
-        of its own.
+        A process that was paused may resume after its claim has expired, when a repeated call
+        may have placed another claim.
         """
         if self._clock.now_ms() - began_ms <= min(FRESH_MS, self._retention_ms() / 2):
             return
         self._outbox.deliver(GiveBack(digest, claim))
         self._count("unavailable")
-        raise RequestError(ErrorKind.CLAIM_UNAVAILABLE, "the claim took too long")
+        raise RequestError(
+            ErrorKind.CLAIM_UNAVAILABLE, "placing the claim of the idempotency key took too long"
+        )
 
     def _run(self, digest: str, claim: Claim, dispatch: Callable[[], StoredAnswer]) -> StoredAnswer:
         self._count("placed")
@@ -269,24 +272,24 @@
                 return self._make_conflict()
             self._count("unknown")
             log_event(Event.CLAIM_OUTCOME_UNKNOWN, "warning", claim=result.claim.claim_id)
-            detail = "a call with this key was begun and its end is not known"
+            detail = "a call with this idempotency key was begun and its outcome is unknown"
             return RequestError(ErrorKind.OUTCOME_UNKNOWN, detail)
         self._count("unavailable")
         if result.verdict is Verdict.FULL:
             log_event(Event.CLAIM_PARTITION_FULL, "warning")
-            detail = "the room for claims is used up"
+            detail = "no room for another claim of an idempotency key"
             return RequestError(ErrorKind.CLAIM_UNAVAILABLE, detail, retry_after_ms=FULL_RETRY_MS)
         if result.verdict is Verdict.UNCERTAIN:
             self._outbox.deliver(GiveBack(digest, claim))
-        return RequestError(ErrorKind.CLAIM_UNAVAILABLE, "the key could not be claimed")
+        return RequestError(ErrorKind.CLAIM_UNAVAILABLE, "the idempotency key could not be claimed")
 
     def _make_conflict(self) -> RequestError:
         self._count("conflict")
-        detail = "a call with this key is under way"
+        detail = "another call with this idempotency key is in progress"
         return RequestError(ErrorKind.CLAIM_CONFLICT, detail, retry_after_ms=COME_BACK_MS)
 
     @staticmethod
     def _check_fingerprint(kept_for: str, fingerprint: str) -> None:
         if kept_for != fingerprint:
-            detail = "the idempotency key was used for another call"
+            detail = "the idempotency key was already used for a different call"
             raise RequestError(ErrorKind.BAD_REQUEST, detail)
--- a/hemlockswitch/process/claims/writer.py
+++ b/hemlockswitch/process/claims/writer.py
@@ -1,4 +1,4 @@
-"""The task that writes one partition: every operation that waits goes into the next write."""
+"""The task that writes one partition, with all waiting operations in a batch."""
 
 import random
 from collections import deque
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True)
 class Pace:
-    """When a partition's writes go out.
+    """The rate of a partition's writes.
 
     Parameters
     ==========
 
-    interval_ms : time between two writes of the partition by this daemon, on average.
-    burst : so many writes may follow one another at once after a rest.
-    lazy_ms : how long operations that no caller waits for are held back for company.
+    interval_ms : average time between two writes of the partition by this daemon.
+    burst : number of writes that may follow at once after an idle period.
+    lazy_ms : how long operations that no caller waits for are delayed, to be batched.
     """
 
     interval_ms: float = 64.0
@@ -44,7 +44,7 @@
 
 @dataclass
 class _Waiting:
-    """An operation and who waits for its result."""
+    """An operation in the queue, and its future result."""
 
     operation: Operation
     result: AsyncResult = field(default_factory=AsyncResult)
@@ -52,7 +52,7 @@
 
 @dataclass
 class WriterCounts:
-    """What the writers of a process did, and when they last logged a failure."""
+    """Counters of a process's writers, and the time of their last failure log."""
 
     operations: int = 0
     writes: int = 0
@@ -68,18 +68,18 @@
     Explanation
     ===========
 
-    While a write is under way, what arrives waits and goes into the next one together. A write
-    refused by its condition, or with its answer lost, is followed by a fresh read and the same
-    operations again; they recognise their own claims.
+    Operations that arrive during a write form the next batch. After a conflict, or a write whose
+    answer is lost, the head is read again and the same batch is applied again; this is safe
+    because operations are identified by their claim's id.
 
     Parameters
     ==========
 
     objects : the partition.
-    clock : the time.
-    retention_ms : returns how long claims are kept.
-    pace : when writes go out.
-    counts : where the work is counted; shared by the writers of a process.
+    clock : provides the time.
+    retention_ms : returns how long claims are retained.
+    pace : limits the rate of writes.
+    counts : counters, shared by the writers of a process.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         self._task: gevent.Greenlet | None = None
 
     def perform(self, operation: Operation, timeout_ms: float) -> Result:
-        """Return what became of an operation once it is in the platform, or that it may be."""
+        """Return an operation's result once it is written, or ``uncertain`` after a timeout."""
         if len(self._waiting) >= MAX_WAITING:
             return Result(Verdict.UNAVAILABLE)
         waiting = _Waiting(operation)
@@ -118,7 +118,7 @@
             return Result(Verdict.UNCERTAIN)
 
     def stop(self) -> None:
-        """End the task; who waits is told that the outcome is uncertain."""
+        """Stop the task; waiting operations get the verdict ``uncertain``."""
         if self._task is not None:
             self._task.kill(block=False)
         while self._waiting:
@@ -151,7 +151,7 @@
             waiting.result.set(result)
 
     def _commit(self, operations: list[Operation]) -> list[Result]:
-        """Apply a batch until one write of it took effect, or say what is known."""
+        """Apply and write a batch until a write succeeds; after a failure, return its verdict."""
         uncertain = False
         began_ms = self._clock.now_ms()
         try:
@@ -169,21 +169,23 @@
                     return results
                 uncertain = uncertain or isinstance(outcome, Unknown)
                 self._count_failure(outcome)
-            raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "too many conflicts")
+            raise PlatformError(
+                ErrorKind.PLATFORM_UNAVAILABLE, "too many failed attempts to write the claims"
+            )
         except HemlockError as error:
             verdict = Verdict.UNCERTAIN if uncertain else Verdict.UNAVAILABLE
             self._note_failure(error.detail)
             return [Result(verdict)] * len(operations)
 
     def _ride_over(self, error: PlatformError, began_ms: float) -> None:
-        """Wait out a short refusal, such as one over the rate; pass on any other."""
+        """Sleep through a short refusal, such as one for the request rate; raise any other."""
         spent_ms = self._clock.now_ms() - began_ms + error.answer.retry_after_ms
         if error.kind is not ErrorKind.PLATFORM_UNAVAILABLE or spent_ms > RIDE_OVER_MS:
             raise error
         self._clock.sleep_ms(error.answer.retry_after_ms)
 
     def _note_failure(self, reason: str) -> None:
-        """Count a failed batch; an outage is logged now and then, not for every call."""
+        """Count a failed batch; failures are logged at most once per `LOG_INTERVAL_MS`."""
         self._counts.failures += 1
         now_ms = self._clock.now_ms()
         if now_ms - self._counts.logged_ms >= LOG_INTERVAL_MS:
@@ -192,7 +194,7 @@
             log_event(Event.CLAIM_WRITE_FAILED, "warning", failures=failures, reason=reason)
 
     def _try_once(self, operations: list[Operation]) -> tuple[list[Result], WriteOutcome | None]:
-        """Apply a batch and write it; the outcome is None where nothing had to be written."""
+        """Apply a batch and write it; the outcome is None if nothing had to be written."""
         now_wall_ms = self._clock.wall_ms()
         draft = self._objects.make_draft(now_wall_ms - self._retention_ms())
         results = [apply(operation, draft) for operation in operations]
@@ -202,7 +204,7 @@
         return results, self._objects.write(draft, now_wall_ms)
 
     def _count_write(self) -> None:
-        """Count a write and set when the next may go out."""
+        """Count a write and schedule the earliest time of the next."""
         self._counts.writes += 1
         earliest_ms = self._clock.now_ms() - self._pace.burst * self._pace.interval_ms
         self._next_write_ms = max(self._next_write_ms, earliest_ms) + self._pace.interval_ms
--- a/tests/claim_parts.py
+++ b/tests/claim_parts.py
@@ -1,4 +1,4 @@
-"""The object service, the peers and the service of the tests of claims, without a network."""
+"""In-memory object service, peers and backend service for the tests of claims."""
 
 import json
 from collections import Counter
@@ -24,7 +24,11 @@
 
 
 class Objects:
-    """Object service; `lose` answers are lost, `down` refuses, each call lets others run."""
+    """In-memory object service; each call yields to other tasks.
+
+    `lose` is the number of writes whose answer is lost, `old_reads` the number of stale reads;
+    `down` refuses every call.
+    """
 
     def __init__(self) -> None:
         self.values: dict[str, tuple[int, Any]] = {}
@@ -77,7 +81,7 @@
 
 
 class Network:
-    """Peers that call one another's handlers; a cut address does not answer."""
+    """Peers that call each other's handlers directly."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, Callable[[str, Any], Any]] = {}
@@ -100,7 +104,7 @@
 
 
 class Service:
-    """Counts runs; `hold` makes a run wait."""
+    """Counts runs; each run takes `hold` seconds."""
 
     def __init__(self) -> None:
         self.runs = 0
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,8 @@
-"""Claims against an object service in memory that fails on demand."""
+"""Tests of claims with an in-memory object service that fails on demand.
+
+They guard against a key's call running twice: because daemons claim it at once, because the
+answer of a write is lost or a read is stale, or because a claim's holder stops or stalls.
+"""
 
 import random
 from typing import Any
@@ -85,7 +89,8 @@
 
 def test_claim_uncertain_is_given_back() -> None:
     objects, service = Objects(), Service()
-    # As the daemon is wired: a claim of this name that this process does not work on is over.
+    # As in `ClaimMembers.is_gone`: a claim of this daemon's name that no task of this process
+    # works on is over.
     store = make_store(objects, is_gone=lambda holder: holder.startswith("a-"))
     objects.lose = 1
     task = gevent.spawn(refuse, store, service)
@@ -95,7 +100,8 @@
     assert task.get(timeout=10).kind is ErrorKind.CLAIM_UNAVAILABLE
     gevent.sleep(0.05)
     objects.down = False
-    # Until it is given back a repeat is told to come back, not that the outcome is unknown.
+    # Until the claim is given back, a repeated call is answered with a conflict to retry after,
+    # not with an unknown outcome.
     assert refuse(store, service).kind is ErrorKind.CLAIM_CONFLICT
     assert store.flush(10_000)
     assert run(make_store(objects, "b"), service).status == 201 and service.runs == 1
@@ -158,7 +164,7 @@
 
 
 class FaultyObjects(Objects):
-    """Object service whose every call may go wrong, writes also by taking effect late."""
+    """Object service in which every call may fail and a write may take effect late."""
 
     def __init__(self, seed: int) -> None:
         super().__init__()
@@ -234,7 +240,7 @@
 
 
 def attempt(store: ClaimStore, service: Service, key: str) -> bool:
-    """Repeat a key; return whether it has an answer."""
+    """Repeat the call of a key; return whether it has an answer."""
     try:
         return run(store, service, key).status == 201
     except RequestError as error:
