--- a/hemlockswitch/process/claims/ledger.py
+++ b/hemlockswitch/process/claims/ledger.py
@@ -178,7 +178,7 @@
         self.claims[digest] = claim
         self.changed = True
 
-    def take_finished(self, now_wall_ms: int) -> dict[str, Claim]:
+    def pop_finished(self, now_wall_ms: int) -> dict[str, Claim]:
         """Remove and return the claims that have an outcome or whose dispatch term is over."""
         finished = {
             digest: claim
--- a/hemlockswitch/process/claims/members.py
+++ b/hemlockswitch/process/claims/members.py
@@ -14,7 +14,7 @@
 
 ROLE = "claims"
 CALL_TIMEOUT_MS = 1_000
-LEAST_RETENTION_MS = 300_000
+MIN_RETENTION_MS = 300_000
 
 
 class ClaimMembers:
@@ -39,7 +39,7 @@
             if member.is_live and member.caller_address and member.name != self._name
         ]
 
-    def is_gone(self, holder: str) -> bool:
+    def has_ended(self, holder: str) -> bool:
         """Return whether the process that placed a claim has certainly ended.
 
         A holder is named ``<daemon>-<random>``. Another holder with this daemon's name is an
@@ -77,9 +77,9 @@
         platform,
         clock,
         # A claim must outlive the longest dispatch, whatever the operator file sets.
-        lambda: max(find_limits().claim_retention_ms, LEAST_RETENTION_MS),
+        lambda: max(find_limits().claim_retention_ms, MIN_RETENTION_MS),
         peers=facts.network,
         list_peers=members.list_peers,
-        is_gone=members.is_gone,
+        has_ended=members.has_ended,
         count=count,
     )
--- a/hemlockswitch/process/claims/objects.py
+++ b/hemlockswitch/process/claims/objects.py
@@ -19,10 +19,10 @@
 
 KIND = "claims"
 HEAD_BYTES = 65_536
-HEAD_BYTES_AT_MOST = 8 * HEAD_BYTES
+MAX_HEAD_BYTES = 8 * HEAD_BYTES
 MAX_SEGMENTS = 512
-SEGMENTS_IN_MEMORY = 4
-FRESH_READS = 4
+MAX_CACHED_SEGMENTS = 4
+MAX_HEAD_READS = 4
 
 
 class ObjectService(Protocol):
@@ -82,17 +82,17 @@
         self._head: Head | None = None
         self._version = 0
         self._head_bytes = 0
-        self._least_version = 0
+        self._min_version = 0
         self._index: dict[str, str] = {}
         self._indexed: set[str] = set()
-        self._recent: OrderedDict[str, dict[str, Claim]] = OrderedDict()
-        self._strays: list[str] = []
+        self._segment_cache: OrderedDict[str, dict[str, Claim]] = OrderedDict()
+        self._unlisted_segments: list[str] = []
 
-    def forget(self) -> None:
+    def discard_head(self) -> None:
         """Discard the cached head, so that the next draft reads it again."""
         self._head = None
 
-    def is_known(self) -> bool:
+    def is_head_cached(self) -> bool:
         """Return whether a head is cached."""
         return self._head is not None
 
@@ -102,7 +102,7 @@
         draft = Draft(head, self._find_older, oldest_wall_ms)
         no_segment_left = len(draft.segments) >= self._bounds.max_segments
         large = self._head_bytes >= self._bounds.head_bytes
-        draft.full = (large and no_segment_left) or self._head_bytes >= HEAD_BYTES_AT_MOST
+        draft.full = (large and no_segment_left) or self._head_bytes >= MAX_HEAD_BYTES
         return draft
 
     def write(self, draft: Draft, now_wall_ms: int) -> WriteOutcome:
@@ -115,32 +115,32 @@
         else:
             outcome = self._platform.create(KIND, self._name, value)
         if isinstance(outcome, Written):
-            self._keep(head, outcome.version, len(value))
+            self._cache_head(head, outcome.version, len(value))
             self._remove(draft.dropped)
-            self._remove_strays()
+            self._remove_unlisted()
             return outcome
-        self.forget()
+        self.discard_head()
         if isinstance(outcome, Conflict):
-            self._least_version = max(self._least_version, outcome.version)
+            self._min_version = max(self._min_version, outcome.version)
             self._remove(moved)
         return outcome
 
-    def _keep(self, head: Head, version: int, size_bytes: int) -> None:
+    def _cache_head(self, head: Head, version: int, size_bytes: int) -> None:
         self._index_segments(head)
         self._head = head
         self._version = version
-        self._least_version = max(self._least_version, version)
+        self._min_version = max(self._min_version, version)
         self._head_bytes = size_bytes
 
     def _read_head(self) -> Head:
         """Read a head that is not older than the newest version seen, and index its segments."""
-        for _ in range(FRESH_READS):
+        for _ in range(MAX_HEAD_READS):
             stored = self._platform.read(KIND, self._name)
             version = 0 if stored is None else stored.version
-            if version < self._least_version:
+            if version < self._min_version:
                 continue
             head = Head() if stored is None else Head.from_value(stored.value)
-            self._keep(head, version, 0 if stored is None else len(encode_json(stored.value)))
+            self._cache_head(head, version, 0 if stored is None else len(encode_json(stored.value)))
             return head
         raise PlatformError(
             ErrorKind.PLATFORM_UNAVAILABLE, "the platform returned only stale reads of the claims"
@@ -161,21 +161,21 @@
         return None if name is None else self._read_segment(name)[digest]
 
     def _read_segment(self, name: str) -> dict[str, Claim]:
-        known = self._recent.get(name)
-        if known is not None:
-            self._recent.move_to_end(name)
-            return known
+        cached = self._segment_cache.get(name)
+        if cached is not None:
+            self._segment_cache.move_to_end(name)
+            return cached
         stored = self._platform.read(KIND, name)
         if stored is None:
             # Its claims may still stand: either the head that lists it or this read is stale.
-            self.forget()
+            self.discard_head()
             raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, f"claim segment {name} not found")
-        return self._remember(name, decode_claims(stored.value))
+        return self._cache_segment(name, decode_claims(stored.value))
 
-    def _remember(self, name: str, claims: dict[str, Claim]) -> dict[str, Claim]:
-        self._recent[name] = claims
-        if len(self._recent) > SEGMENTS_IN_MEMORY:
-            self._recent.popitem(last=False)
+    def _cache_segment(self, name: str, claims: dict[str, Claim]) -> dict[str, Claim]:
+        self._segment_cache[name] = claims
+        if len(self._segment_cache) > MAX_CACHED_SEGMENTS:
+            self._segment_cache.popitem(last=False)
         return claims
 
     def _move_finished(self, draft: Draft, now_wall_ms: int) -> tuple[Segment, ...]:
@@ -183,7 +183,7 @@
         too_small = self._head_bytes < self._bounds.head_bytes
         if too_small or len(draft.segments) >= self._bounds.max_segments:
             return ()
-        finished = draft.take_finished(now_wall_ms)
+        finished = draft.pop_finished(now_wall_ms)
         if not finished:
             return ()
         name = make_identifier(f"{self._name}.s")
@@ -191,30 +191,30 @@
         if not isinstance(outcome, Written):
             # The head still contains all claims; the next write tries again.
             draft.claims.update(finished)
-            self._strays.append(name)
+            self._unlisted_segments.append(name)
             return ()
         newest = max(claim.made_wall_ms for claim in finished.values())
         segment = Segment(name, outcome.version, newest)
-        self._remember(name, finished)
+        self._cache_segment(name, finished)
         draft.segments = (*draft.segments, segment)
         return (segment,)
 
     def _remove(self, segments: tuple[Segment, ...]) -> None:
         """Delete segments that no head lists; one that is not deleted only takes up space."""
         for segment in segments:
-            self._recent.pop(segment.name, None)
+            self._segment_cache.pop(segment.name, None)
             try:
                 self._platform.delete(KIND, segment.name, segment.version)
             except HemlockError:
                 return
 
-    def _remove_strays(self) -> None:
+    def _remove_unlisted(self) -> None:
         """Delete segments whose creation was not confirmed and which no head lists."""
-        for name in self._strays:
+        for name in self._unlisted_segments:
             try:
                 stored = self._platform.read(KIND, name)
             except HemlockError:
                 return
             if stored is not None:
                 self._remove((Segment(name, stored.version, 0),))
-        self._strays.clear()
+        self._unlisted_segments.clear()
--- a/hemlockswitch/process/claims/outbox.py
+++ b/hemlockswitch/process/claims/outbox.py
@@ -13,10 +13,10 @@
 from hemlockswitch.process.claims.routes import ClaimRoutes
 from hemlockswitch.request.claims import Outcome
 
-WAITING_AT_MOST = 1_024
-FIRST_PAUSE_MS = 250
-LONGEST_PAUSE_MS = 5_000
-LIFE_MS = 600_000
+MAX_PENDING = 1_024
+INITIAL_RETRY_PAUSE_MS = 250
+MAX_RETRY_PAUSE_MS = 5_000
+DELIVERY_TIMEOUT_MS = 600_000
 
 
 @dataclass(frozen=True)
@@ -48,7 +48,7 @@
         self._routes = routes
         self._clock = clock
         self._retention_ms = retention_ms
-        self._tasks = Pool(WAITING_AT_MOST)
+        self._tasks = Pool(MAX_PENDING)
         self._unwritten: dict[str, Unwritten] = {}
         self._delivering: Counter[str] = Counter()
 
@@ -83,22 +83,22 @@
 
     def _deliver_one(self, operation: Record | GiveBack) -> None:
         try:
-            if not self._keep_trying(operation):
+            if not self._retry_until_written(operation):
                 log_event(Event.CLAIM_OUTCOME_DROPPED, "warning", key=operation.digest)
         finally:
-            self._forget(operation)
+            self._discard(operation)
 
-    def _keep_trying(self, operation: Record | GiveBack) -> bool:
-        until_ms = self._clock.now_ms() + min(LIFE_MS, self._retention_ms())
-        pause_ms = FIRST_PAUSE_MS
+    def _retry_until_written(self, operation: Record | GiveBack) -> bool:
+        until_ms = self._clock.now_ms() + min(DELIVERY_TIMEOUT_MS, self._retention_ms())
+        pause_ms = INITIAL_RETRY_PAUSE_MS
         while self._clock.now_ms() < until_ms:
             if self._routes.perform(operation).verdict is Verdict.DONE:
                 return True
             self._clock.sleep_ms(pause_ms)
-            pause_ms = min(pause_ms * 2, LONGEST_PAUSE_MS)
+            pause_ms = min(pause_ms * 2, MAX_RETRY_PAUSE_MS)
         return False
 
-    def _forget(self, operation: Record | GiveBack) -> None:
+    def _discard(self, operation: Record | GiveBack) -> None:
         if isinstance(operation, Record):
             self._unwritten.pop(operation.digest, None)
         self._delivering[operation.digest] -= 1
--- a/hemlockswitch/process/claims/routes.py
+++ b/hemlockswitch/process/claims/routes.py
@@ -14,12 +14,12 @@
 from hemlockswitch.request.claims import Claim, Outcome
 
 PARTITIONS = 16
-LIMIT_MS = 8_000
-ASK_TIMEOUT_MS = 2_000
-AVOID_MS = 3_000
-LOOK_MS = 500
-OTHERS_TRIED = 2
-RANKED = 32
+OPERATION_TIMEOUT_MS = 8_000
+REQUEST_TIMEOUT_MS = 2_000
+PEER_RETRY_DELAY_MS = 3_000
+PEER_POLL_INTERVAL_MS = 500
+MAX_PEERS_TRIED = 2
+MAX_RANKED = 32
 
 
 @register_message("claim_operation")
@@ -87,7 +87,7 @@
         return Result(Verdict(self.verdict), claim)
 
 
-Way = Callable[[float], Result]
+Route = Callable[[float], Result]
 
 
 @dataclass(frozen=True)
@@ -175,10 +175,10 @@
         self._peers = peers
         self._list_peers = list_peers
         self._clock = clock
-        self._known: dict[str, ClaimPeer] = {}
-        self._looked_ms = float("-inf")
+        self._known_peers: dict[str, ClaimPeer] = {}
+        self._peers_refreshed_ms = float("-inf")
         self._orders: dict[int, list[str]] = {}
-        self._avoided: dict[str, float] = {}
+        self._avoided_until_ms: dict[str, float] = {}
         peers.handle(ClaimOperation, self._serve)
 
     def stop(self) -> None:
@@ -190,73 +190,73 @@
         """Return the number of live peers."""
         return len(self._list_peers())
 
-    def perform(self, operation: Operation, limit_ms: float = LIMIT_MS) -> Result:
+    def perform(self, operation: Operation, limit_ms: float = OPERATION_TIMEOUT_MS) -> Result:
         """Return the result of an operation, trying each route in turn for `limit_ms`."""
-        until_ms = self._clock.now_ms() + limit_ms
+        deadline_ms = self._clock.now_ms() + limit_ms
         uncertain = False
-        for way in self._list_ways(operation):
-            left_ms = until_ms - self._clock.now_ms()
+        for route in self._list_routes(operation):
+            left_ms = deadline_ms - self._clock.now_ms()
             if left_ms <= 0:
                 break
-            result = way(left_ms)
+            result = route(left_ms)
             if result.verdict not in (Verdict.UNAVAILABLE, Verdict.UNCERTAIN):
                 return result
             uncertain = uncertain or result.verdict is Verdict.UNCERTAIN
         return Result(Verdict.UNCERTAIN if uncertain else Verdict.UNAVAILABLE)
 
-    def _list_ways(self, operation: Operation) -> list[Way]:
+    def _list_routes(self, operation: Operation) -> list[Route]:
         """Return the routes to the platform: the owner, this daemon, daemons of other zones."""
-        self._look_at_peers()
+        self._refresh_peers()
         partition = find_partition(operation.digest)
         order = self._rank(partition)
-        own: Way = partial(self._writers[partition].perform, operation)
+        own: Route = partial(self._writers[partition].perform, operation)
         if order[0] == self._name:
-            home, others = [], order[1:]
+            owner, remaining = [], order[1:]
         else:
-            home, others = [self._make_way(order[0], operation)], order[1:]
+            owner, remaining = [self._make_route(order[0], operation)], order[1:]
         elsewhere = [
-            self._make_way(name, operation)
-            for name in others
-            if name in self._known and self._known[name].zone != self._zone
+            self._make_route(name, operation)
+            for name in remaining
+            if name in self._known_peers and self._known_peers[name].zone != self._zone
         ]
-        return [*home, own, *elsewhere[:OTHERS_TRIED]]
+        return [*owner, own, *elsewhere[:MAX_PEERS_TRIED]]
 
-    def _make_way(self, name: str, operation: Operation) -> Way:
-        return partial(self._ask, self._known[name], operation)
+    def _make_route(self, name: str, operation: Operation) -> Route:
+        return partial(self._request_write, self._known_peers[name], operation)
 
-    def _look_at_peers(self) -> None:
+    def _refresh_peers(self) -> None:
         """Update the live peers; the orders are ranked again only when the peers changed."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._looked_ms < LOOK_MS:
+        if now_ms - self._peers_refreshed_ms < PEER_POLL_INTERVAL_MS:
             return
-        self._looked_ms = now_ms
+        self._peers_refreshed_ms = now_ms
         peers = {peer.name: peer for peer in self._list_peers()}
-        if peers != self._known:
-            self._known = peers
+        if peers != self._known_peers:
+            self._known_peers = peers
             self._orders.clear()
 
     def _rank(self, partition: int) -> list[str]:
-        """Return the first `RANKED` daemons of a partition's rendezvous order."""
+        """Return the first `MAX_RANKED` daemons of a partition's rendezvous order."""
         order = self._orders.get(partition)
         if order is None:
-            full = rank_rendezvous(f"claims/{partition}", [*self._known, self._name])
-            order = self._orders[partition] = full[:RANKED]
+            full = rank_rendezvous(f"claims/{partition}", [*self._known_peers, self._name])
+            order = self._orders[partition] = full[:MAX_RANKED]
         return order
 
-    def _ask(self, peer: ClaimPeer, operation: Operation, left_ms: float) -> Result:
-        """Ask a peer to write; after a failure the peer is skipped for `AVOID_MS`."""
-        if self._clock.now_ms() < self._avoided.get(peer.name, 0):
+    def _request_write(self, peer: ClaimPeer, operation: Operation, left_ms: float) -> Result:
+        """Ask a peer to write; after a failure the peer is skipped for `PEER_RETRY_DELAY_MS`."""
+        if self._clock.now_ms() < self._avoided_until_ms.get(peer.name, 0):
             return Result(Verdict.UNAVAILABLE)
         try:
             message = encode_operation(operation)
-            timeout_ms = min(left_ms, ASK_TIMEOUT_MS)
+            timeout_ms = min(left_ms, REQUEST_TIMEOUT_MS)
             return self._peers.ask(peer.address, message, timeout_ms).to_result()
         except PeerError:
-            self._avoided[peer.name] = self._clock.now_ms() + AVOID_MS
+            self._avoided_until_ms[peer.name] = self._clock.now_ms() + PEER_RETRY_DELAY_MS
             return Result(Verdict.UNCERTAIN)
 
     def _serve(self, sender: str, message: ClaimOperation) -> ClaimResult:
         """Write a peer's operation; it is never forwarded to another daemon."""
         operation = message.to_operation()
         writer = self._writers[find_partition(operation.digest)]
-        return ClaimResult.from_result(writer.perform(operation, ASK_TIMEOUT_MS))
+        return ClaimResult.from_result(writer.perform(operation, REQUEST_TIMEOUT_MS))
--- a/hemlockswitch/process/claims/store.py
+++ b/hemlockswitch/process/claims/store.py
@@ -17,7 +17,7 @@
 from hemlockswitch.process.claims.objects import Bounds, ObjectService, PartitionObjects
 from hemlockswitch.process.claims.outbox import ClaimOutbox
 from hemlockswitch.process.claims.routes import (
-    LIMIT_MS,
+    OPERATION_TIMEOUT_MS,
     PARTITIONS,
     ClaimPeer,
     ClaimRoutes,
@@ -29,7 +29,7 @@
 from hemlockswitch.request.claims import Claim, Outcome, StoredAnswer, digest_key
 
 REPEAT_PAUSES_MS = (100, 200, 400, 800)
-COME_BACK_MS = 1_000
+CONFLICT_RETRY_MS = 1_000
 FULL_RETRY_MS = 30_000
 DISPATCH_TERM_MS = 120_000
 FRESH_MS = 10_000
@@ -61,7 +61,7 @@
     routes : routes operations to the platform.
     clock : provides the time.
     retention_ms : returns how long claims are retained.
-    is_gone : returns whether the holder of a claim has certainly ended.
+    has_ended : returns whether the holder of a claim has certainly ended.
     count : called with the outcome of each call's claim.
     """
 
@@ -71,7 +71,7 @@
         routes: ClaimRoutes,
         clock: Clock,
         retention_ms: Callable[[], int],
-        is_gone: Callable[[str], bool] = lambda holder: False,
+        has_ended: Callable[[str], bool] = lambda holder: False,
         count: Callable[[str], None] = lambda outcome: None,
     ) -> None:
         self.counts: Counter[str] = Counter()
@@ -80,7 +80,7 @@
         self._routes = routes
         self._clock = clock
         self._retention_ms = retention_ms
-        self._is_gone = is_gone
+        self._has_ended = has_ended
         self._running: dict[str, _Running] = {}
         self._outbox = ClaimOutbox(routes, clock, retention_ms)
 
@@ -95,7 +95,7 @@
         *,
         peers: Peers | None = None,
         list_peers: Callable[[], list[ClaimPeer]] = list_no_peers,
-        is_gone: Callable[[str], bool] = lambda holder: False,
+        has_ended: Callable[[str], bool] = lambda holder: False,
         count: Callable[[str], None] = lambda outcome: None,
         bounds: Bounds | None = None,
         pace: Pace | None = None,
@@ -115,7 +115,7 @@
         ]
         routes = ClaimRoutes(name, zone, writers, peers or NoPeers(), list_peers, clock)
         holder = make_identifier(name)
-        return cls(holder, routes, clock, retention_ms, is_gone, count)
+        return cls(holder, routes, clock, retention_ms, has_ended, count)
 
     def run_once(
         self,
@@ -123,7 +123,7 @@
         key: str,
         fingerprint: str,
         dispatch: Callable[[], StoredAnswer],
-        limit_ms: float = LIMIT_MS,
+        limit_ms: float = OPERATION_TIMEOUT_MS,
     ) -> StoredAnswer:
         """Return the key's answer, from `dispatch` or from an earlier call.
 
@@ -201,7 +201,9 @@
         began_ms = self._clock.now_ms()
         term_ms = min(DISPATCH_TERM_MS, self._retention_ms())
         claim = Claim.make(fingerprint, self._holder, self._clock.wall_ms(), term_ms)
-        result = self._place(digest, claim, fingerprint, began_ms + min(limit_ms, LIMIT_MS))
+        result = self._place(
+            digest, claim, fingerprint, began_ms + min(limit_ms, OPERATION_TIMEOUT_MS)
+        )
         if result.verdict is Verdict.PLACED:
             self._check_fresh(digest, claim, began_ms)
             return self._run(digest, claim, dispatch)
@@ -228,7 +230,7 @@
         if claim.holder == self._holder:
             # In this process only the outbox can still be working on the claim.
             return not self._outbox.is_delivering(digest)
-        return self._clock.wall_ms() > claim.ends_wall_ms or self._is_gone(claim.holder)
+        return self._clock.wall_ms() > claim.ends_wall_ms or self._has_ended(claim.holder)
 
     def _check_fresh(self, digest: str, claim: Claim, began_ms: float) -> None:
         """Refuse to dispatch if placing the claim took too long.
@@ -260,8 +262,8 @@
     def _record(self, digest: str, claim: Claim, outcome: Outcome) -> None:
         self._outbox.deliver(Record(digest, claim.claim_id, outcome), claim.fingerprint)
 
-    def _replay(self, kept_for: str, outcome: Outcome, fingerprint: str) -> StoredAnswer:
-        self._check_fingerprint(kept_for, fingerprint)
+    def _replay(self, stored_fingerprint: str, outcome: Outcome, fingerprint: str) -> StoredAnswer:
+        self._check_fingerprint(stored_fingerprint, fingerprint)
         self._count("replayed")
         return outcome.replay()
 
@@ -286,10 +288,10 @@
     def _make_conflict(self) -> RequestError:
         self._count("conflict")
         detail = "another call with this idempotency key is in progress"
-        return RequestError(ErrorKind.CLAIM_CONFLICT, detail, retry_after_ms=COME_BACK_MS)
+        return RequestError(ErrorKind.CLAIM_CONFLICT, detail, retry_after_ms=CONFLICT_RETRY_MS)
 
     @staticmethod
-    def _check_fingerprint(kept_for: str, fingerprint: str) -> None:
-        if kept_for != fingerprint:
+    def _check_fingerprint(stored_fingerprint: str, fingerprint: str) -> None:
+        if stored_fingerprint != fingerprint:
             detail = "the idempotency key was already used for a different call"
             raise RequestError(ErrorKind.BAD_REQUEST, detail)
--- a/hemlockswitch/process/claims/writer.py
+++ b/hemlockswitch/process/claims/writer.py
@@ -17,12 +17,12 @@
 from hemlockswitch.process.claims.ledger import Operation, Result, Verdict, apply
 from hemlockswitch.process.claims.objects import PartitionObjects
 
-MAX_WAITING = 4_096
+MAX_PENDING = 4_096
 MAX_BATCH = 64
 MAX_ATTEMPTS = 8
 CONFLICT_PAUSE_MS = 10.0
 LOG_INTERVAL_MS = 5_000
-RIDE_OVER_MS = 400
+MAX_REFUSAL_WAIT_MS = 400
 
 
 @dataclass(frozen=True)
@@ -43,7 +43,7 @@
 
 
 @dataclass
-class _Waiting:
+class _PendingOperation:
     """An operation in the queue, and its future result."""
 
     operation: Operation
@@ -95,7 +95,7 @@
         self._retention_ms = retention_ms
         self._pace = pace
         self._counts = counts
-        self._waiting: deque[_Waiting] = deque()
+        self._pending: deque[_PendingOperation] = deque()
         self._arrived = Signal()
         self._urgent = Signal()
         self._next_write_ms = float("-inf")
@@ -103,10 +103,10 @@
 
     def perform(self, operation: Operation, timeout_ms: float) -> Result:
         """Return an operation's result once it is written, or ``uncertain`` after a timeout."""
-        if len(self._waiting) >= MAX_WAITING:
+        if len(self._pending) >= MAX_PENDING:
             return Result(Verdict.UNAVAILABLE)
-        waiting = _Waiting(operation)
-        self._waiting.append(waiting)
+        waiting = _PendingOperation(operation)
+        self._pending.append(waiting)
         self._arrived.set()
         if not operation.lazy:
             self._urgent.set()
@@ -121,8 +121,8 @@
         """Stop the task; waiting operations get the verdict ``uncertain``."""
         if self._task is not None:
             self._task.kill(block=False)
-        while self._waiting:
-            self._waiting.popleft().result.set(Result(Verdict.UNCERTAIN))
+        while self._pending:
+            self._pending.popleft().result.set(Result(Verdict.UNCERTAIN))
 
     def _run(self) -> None:
         while True:
@@ -131,21 +131,21 @@
             self._clock.sleep_ms(self._next_write_ms - self._clock.now_ms())
             self._serve(self._take_batch())
 
-    def _take_batch(self) -> list[_Waiting]:
-        count = min(len(self._waiting), MAX_BATCH)
-        batch = [self._waiting.popleft() for _ in range(count)]
-        if not self._waiting:
+    def _take_batch(self) -> list[_PendingOperation]:
+        count = min(len(self._pending), MAX_BATCH)
+        batch = [self._pending.popleft() for _ in range(count)]
+        if not self._pending:
             self._arrived.clear()
             self._urgent.clear()
         return batch
 
-    def _serve(self, batch: list[_Waiting]) -> None:
+    def _serve(self, batch: list[_PendingOperation]) -> None:
         self._counts.operations += len(batch)
         try:
             results = self._commit([waiting.operation for waiting in batch])
         except Exception as error:
             log_event(Event.TASK_FAILED, "error", task="claim writer", error=repr(error))
-            self._objects.forget()
+            self._objects.discard_head()
             results = [Result(Verdict.UNCERTAIN)] * len(batch)
         for waiting, result in zip(batch, results, strict=True):
             waiting.result.set(result)
@@ -156,14 +156,14 @@
         began_ms = self._clock.now_ms()
         try:
             for _ in range(MAX_ATTEMPTS):
-                was_known = self._objects.is_known()
+                was_cached = self._objects.is_head_cached()
                 try:
                     results, outcome = self._try_once(operations)
                 except PlatformError as error:
-                    self._ride_over(error, began_ms)
+                    self._wait_out_refusal(error, began_ms)
                     continue
-                if outcome is None and was_known and _depends_on_age(results):
-                    self._objects.forget()
+                if outcome is None and was_cached and _depends_on_freshness(results):
+                    self._objects.discard_head()
                     continue
                 if outcome is None or isinstance(outcome, Written):
                     return results
@@ -174,17 +174,17 @@
             )
         except HemlockError as error:
             verdict = Verdict.UNCERTAIN if uncertain else Verdict.UNAVAILABLE
-            self._note_failure(error.detail)
+            self._record_failure(error.detail)
             return [Result(verdict)] * len(operations)
 
-    def _ride_over(self, error: PlatformError, began_ms: float) -> None:
+    def _wait_out_refusal(self, error: PlatformError, began_ms: float) -> None:
         """Sleep through a short refusal, such as one for the request rate; raise any other."""
         spent_ms = self._clock.now_ms() - began_ms + error.answer.retry_after_ms
-        if error.kind is not ErrorKind.PLATFORM_UNAVAILABLE or spent_ms > RIDE_OVER_MS:
+        if error.kind is not ErrorKind.PLATFORM_UNAVAILABLE or spent_ms > MAX_REFUSAL_WAIT_MS:
             raise error
         self._clock.sleep_ms(error.answer.retry_after_ms)
 
-    def _note_failure(self, reason: str) -> None:
+    def _record_failure(self, reason: str) -> None:
         """Count a failed batch; failures are logged at most once per `LOG_INTERVAL_MS`."""
         self._counts.failures += 1
         now_ms = self._clock.now_ms()
@@ -217,7 +217,7 @@
             self._counts.unknown += 1
 
 
-def _depends_on_age(results: list[Result]) -> bool:
+def _depends_on_freshness(results: list[Result]) -> bool:
     """Return whether a fresher head could change a result that needed no write."""
     return any(
         result.verdict is Verdict.FULL
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -89,9 +89,9 @@
 
 def test_claim_uncertain_is_given_back() -> None:
     objects, service = Objects(), Service()
-    # As in `ClaimMembers.is_gone`: a claim of this daemon's name that no task of this process
+    # As in `ClaimMembers.has_ended`: a claim of this daemon's name that no task of this process
     # works on is over.
-    store = make_store(objects, is_gone=lambda holder: holder.startswith("a-"))
+    store = make_store(objects, has_ended=lambda holder: holder.startswith("a-"))
     objects.lose = 1
     task = gevent.spawn(refuse, store, service)
     while not objects.writes:
@@ -137,7 +137,7 @@
         gevent.sleep(0.001)
     error = refuse(make_store(objects, "b"), service)
     assert error.kind is ErrorKind.CLAIM_CONFLICT and error.answer.retry_after_ms > 0
-    knowing = make_store(objects, "c", is_gone=lambda holder: holder.startswith("a-"))
+    knowing = make_store(objects, "c", has_ended=lambda holder: holder.startswith("a-"))
     assert refuse(knowing, service).kind is ErrorKind.OUTCOME_UNKNOWN
     dead.kill()
     assert service.runs == 1
