--- a/hemlockswitch/process/handover/__init__.py
+++ b/hemlockswitch/process/handover/__init__.py
@@ -1,4 +1,4 @@
-"""Handover of generations in progress from a daemon that leaves to another.
+"""Handover of generations in progress from a daemon that is leaving to another.
 
-`Handover` gives them away, `resuming` takes them.
+`Handover` sends generations to peers; `resuming` serves them to their callers.
 """
--- a/hemlockswitch/process/handover/handover.py
+++ b/hemlockswitch/process/handover/handover.py
@@ -1,4 +1,4 @@
-"""Handing over the generations in progress when this daemon's VM leaves."""
+"""Hands over the generations in progress when this daemon's VM is leaving."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
@@ -14,19 +14,19 @@
 from hemlockswitch.request.generation import Generation, GenerationState
 from hemlockswitch.request.running import Running
 
-ASK_TIMEOUT_MS = 500.0
-MOST_RECEIVERS = 6
-ASKS_EACH = 2
-HANDOVERS_AT_ONCE = 32
+REQUEST_TIMEOUT_MS = 500.0
+MAX_RECEIVERS = 6
+ATTEMPTS_PER_RECEIVER = 2
+MAX_PARALLEL_HANDOVERS = 32
 RESERVE_MS = 1_500.0
-LOOK_AGAIN_MS = 20.0
-UNKNOWN_GAP_MS = 60.0
-SLACK = 1.25
+HANDOVER_POLL_INTERVAL_MS = 20.0
+DEFAULT_TOKEN_GAP_MS = 60.0
+TIME_ESTIMATE_FACTOR = 1.25
 REFUSALS = frozenset({ErrorKind.LEAVING, ErrorKind.OVERLOADED, ErrorKind.BAD_REQUEST})
 
 
 class HandoverNetwork(Protocol):
-    """The part of the peer network that a handover uses."""
+    """The requests between daemons that a handover needs."""
 
     def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
         """Return the peer's reply, or raise `PeerError`."""
@@ -35,7 +35,7 @@
 def rank_receivers(
     request_id: str, zone: str, members: Iterable[HandoverMember]
 ) -> list[HandoverMember]:
-    """Order daemons for a request: those of `zone` first, each part by rendezvous.
+    """Order daemons for a request: those of `zone` first, in rendezvous order within each part.
 
     Examples
     ========
@@ -50,28 +50,28 @@
 
 
 class Handover:
-    """Moves generations in progress, and those that wait here, to other daemons.
+    """Moves generations in progress, and those stored for their callers, to other daemons.
 
     Explanation
     ===========
 
-    A generation whose rest fits into the notice ends here. For any other one the relay stops at
-    a clean point, its own task hands the state to the first live daemon of the rendezvous order
-    that takes it, and only after that daemon's answer is the caller told to move. Where nobody
-    takes it the relay goes on and it is tried again. An answer that was lost leaves a copy at a
-    daemon that the caller may find first; both copies say the same, and the one with more hops
-    is served.
+    A generation that is expected to finish before the deadline is completed here. For any other,
+    the relay stops at a consistent point, its task sends the state to the first live daemon of the
+    rendezvous order that accepts it, and the caller is redirected only after that daemon has
+    answered. If no daemon accepts the state, the relay continues and the handover is retried. A
+    lost answer can leave two copies of a state at different daemons; both have the same content,
+    and the copy with more hops is served.
 
     Parameters
     ==========
 
     name, zone : of this daemon.
     clock : the process's clock.
-    network : the peer network.
-    list_members : the live daemons that are not leaving.
-    list_running : the generations that this daemon relays.
-    store : the generations that wait here.
-    count : counts what becomes of generations.
+    network : sends requests to peers.
+    list_members : returns the live daemons that are not leaving.
+    list_running : returns the generations that this daemon relays.
+    store : the generations stored here for their callers.
+    count : called with the outcome of each handover.
     """
 
     def __init__(
@@ -99,45 +99,45 @@
         self.failed = 0
 
     def set_deadline(self, deadline_ms: float) -> None:
-        """Leave by `deadline_ms`; of several notices the earliest counts."""
+        """Set the time by which this daemon must leave; the earliest of several calls counts."""
         self._deadline_ms = min(self._deadline_ms, deadline_ms)
 
     def run(self, is_busy: Callable[[], bool]) -> None:
-        """Let end what fits and hand over the rest, until nothing is left or time is over.
+        """Hand over what cannot finish in time, until nothing is left or the deadline is over.
 
         Parameters
         ==========
 
-        is_busy : whether callers are still being answered.
+        is_busy : returns whether callers are still being answered.
         """
         self._store.accepting = False
         while self._clock.now_ms() < self._deadline_ms:
-            self._pass_on_held()
+            self._forward_stored()
             for running in self._list_running():
                 if running.hand_over is None and not self._fits(running.generation):
                     running.request_handover(self._hand_over)
             if not is_busy() and not len(self._store):
                 return
-            self._clock.sleep_ms(LOOK_AGAIN_MS)
+            self._clock.sleep_ms(HANDOVER_POLL_INTERVAL_MS)
 
     def describe(self) -> dict[str, int]:
-        """Return the counts for the daemon's status and log."""
+        """Return the counters for the daemon's status and log."""
         left = len(self._list_running()) + len(self._store)
         return {"moved": self.moved, "failed": self.failed, "left": left}
 
-    def _pass_on_held(self) -> None:
-        """Hand on what was handed over to this daemon and has not been fetched."""
-        pool = Pool(HANDOVERS_AT_ONCE)
-        for held in self._store.list_held():
-            pool.spawn(self._pass_on, held.state, held.hops)
+    def _forward_stored(self) -> None:
+        """Forward the states that were handed over to this daemon and have not been fetched."""
+        pool = Pool(MAX_PARALLEL_HANDOVERS)
+        for stored in self._store.list_stored():
+            pool.spawn(self._forward, stored.state, stored.hops)
         pool.join()
 
-    def _pass_on(self, state: GenerationState, hops: int) -> None:
+    def _forward(self, state: GenerationState, hops: int) -> None:
         if self._send(state, hops + 1):
             self._store.remove(state.request_id)
 
     def _hand_over(self, generation: Generation) -> bool:
-        """Give a generation whose relay has stopped to another daemon; return whether it has it."""
+        """Send a generation whose relay has stopped to a peer; return whether one accepted it."""
         state = generation.export_state(self._clock)
         done = self._send(state, generation.hops + 1)
         self.moved += done
@@ -147,17 +147,17 @@
 
     def _send(self, state: GenerationState, hops: int) -> bool:
         message = HandOver(encode_state(state), hops)
-        others = [member for member in self._list_members() if member.name != self._name]
-        for receiver in rank_receivers(state.request_id, self._zone, others)[:MOST_RECEIVERS]:
+        peers = [member for member in self._list_members() if member.name != self._name]
+        for receiver in rank_receivers(state.request_id, self._zone, peers)[:MAX_RECEIVERS]:
             if self._send_to(receiver, message):
                 return True
         return False
 
     def _send_to(self, receiver: HandoverMember, message: HandOver) -> bool:
-        """Ask one daemon; asked again it answers the same, so a lost answer is no harm."""
-        for _ in range(ASKS_EACH):
+        """Send to one daemon; the request is idempotent, so it is repeated after a lost answer."""
+        for _ in range(ATTEMPTS_PER_RECEIVER):
             try:
-                self._network.ask(receiver.address, message, ASK_TIMEOUT_MS)
+                self._network.ask(receiver.address, message, REQUEST_TIMEOUT_MS)
                 return True
             except PeerError as error:
                 if error.kind in REFUSALS:
@@ -165,13 +165,13 @@
         return False
 
     def _fits(self, generation: Generation) -> bool:
-        """Return whether the rest is likely to come before this daemon ends."""
+        """Return whether a generation is likely to finish before this daemon stops."""
         if generation.finish_event:
             return True
         done = len(generation.tokens)
         now_ms = self._clock.now_ms()
-        gap_ms = UNKNOWN_GAP_MS
+        gap_ms = DEFAULT_TOKEN_GAP_MS
         if generation.first_token_ms is not None and done > 1:
             gap_ms = (now_ms - generation.first_token_ms) / (done - 1)
-        rest_ms = (generation.max_tokens - done + 1) * gap_ms * SLACK
-        return now_ms + rest_ms + RESERVE_MS < self._deadline_ms
+        remaining_ms = (generation.max_tokens - done + 1) * gap_ms * TIME_ESTIMATE_FACTOR
+        return now_ms + remaining_ms + RESERVE_MS < self._deadline_ms
--- a/hemlockswitch/process/handover/messages.py
+++ b/hemlockswitch/process/handover/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which generations in progress change their daemon."""
+"""Messages that move generations in progress between daemons."""
 
 from dataclasses import asdict, dataclass, fields
 from typing import Any
@@ -11,14 +11,14 @@
 @register_message("hand-over")
 @dataclass(frozen=True)
 class HandOver:
-    """Gives a generation to the receiver, which owns it once it has answered.
+    """Transfers a generation to the receiver, which owns it once it has answered.
 
     Parameters
     ==========
 
     state : the fields of a `GenerationState`.
-    hops : how often the generation has changed its daemon, this time included; of two copies
-        the one with more hops is the newer.
+    hops : how many times the generation has moved between daemons, including this time; of two
+        copies the one with more hops is newer.
     """
 
     state: dict[str, Any]
@@ -36,7 +36,7 @@
 @register_message("find-state")
 @dataclass(frozen=True)
 class FindState:
-    """Asks whether the receiver holds a generation of an account."""
+    """Asks whether the receiver stores a generation of a client account."""
 
     request_id: str
     account: str
@@ -45,7 +45,7 @@
 @register_message("state-found")
 @dataclass(frozen=True)
 class StateFound:
-    """Whether it does; `hops` is 0 when it does not."""
+    """The reply to `FindState`; `hops` is 0 if the receiver does not store the generation."""
 
     hops: int
 
@@ -53,12 +53,12 @@
 @register_message("take-state")
 @dataclass(frozen=True)
 class TakeState:
-    """Asks for a generation; it is reserved for this taker until it confirms or gives up.
+    """Requests a generation and reserves it for a taker until it confirms or the time is over.
 
     Parameters
     ==========
 
-    taker : one identifier for one caller's fetch; asking again with it gives the same answer.
+    taker : identifier of one caller's fetch; a repeated request with it gets the same answer.
     """
 
     request_id: str
@@ -69,7 +69,7 @@
 @register_message("state-taken")
 @dataclass(frozen=True)
 class StateTaken:
-    """The generation; the receiver still owns it."""
+    """The generation; the daemon that sends this reply still owns it."""
 
     state: dict[str, Any]
     hops: int
@@ -78,7 +78,7 @@
 @register_message("confirm-take")
 @dataclass(frozen=True)
 class ConfirmTake:
-    """The taker has the generation; once this is answered it owns it."""
+    """Confirms that the taker has the generation; the taker owns it once this is answered."""
 
     request_id: str
     taker: str
@@ -87,19 +87,19 @@
 @register_message("drop-state")
 @dataclass(frozen=True)
 class DropState:
-    """An older copy than `hops` is not to be served, and its engine stream not to be ended."""
+    """Discards copies with fewer hops than `hops`, without ending their engine stream."""
 
     request_id: str
     hops: int
 
 
 def encode_state(state: GenerationState) -> dict[str, Any]:
-    """Return a state as a message carries it."""
+    """Return a state in the form that messages carry."""
     return asdict(state)
 
 
 def decode_state(content: dict[str, Any]) -> GenerationState:
-    """Return the state that a message carries; fields of a later version are passed over.
+    """Return the state that a message carries; fields of a later version are ignored.
 
     Raises
     ======
@@ -111,5 +111,7 @@
     try:
         state = GenerationState(**{**values, "tokens": tuple(values["tokens"])})
     except (KeyError, TypeError) as error:
-        raise PeerError(ErrorKind.BAD_REQUEST, f"not a generation: {error}") from error
+        raise PeerError(
+            ErrorKind.BAD_REQUEST, f"state of a generation is not valid: {error}"
+        ) from error
     return state
--- a/hemlockswitch/process/handover/resuming.py
+++ b/hemlockswitch/process/handover/resuming.py
@@ -1,4 +1,4 @@
-"""Serving the rest of a request whose daemon left: find its state, own it, go on."""
+"""Resumes a request whose daemon left: finds its state, takes ownership of it and continues."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -28,22 +28,22 @@
 from hemlockswitch.request.generation import Generation
 from hemlockswitch.request.prefixes import count_tokens
 
-ASK_TIMEOUT_MS = 500.0
-ASKED_PER_ZONE = 3
-MOST_ASKED = 64
-ASKS_EACH = 3
+REQUEST_TIMEOUT_MS = 500.0
+MAX_QUERIED_PER_ZONE = 3
+MAX_QUERIED = 64
+MAX_ATTEMPTS = 3
 RETRY_MS = 300
 LAST_EVENT_HEADER = "last-event-id"
 
 
 class Readmitter(Protocol):
-    """Who gives a permit for a request that another daemon admitted."""
+    """Issues permits for requests that another daemon admitted."""
 
     def readmit(self, account: str, tokens_charged: int) -> Any:
-        """Return a permit of which `tokens_charged` were charged elsewhere."""
+        """Return a permit; another daemon has already charged `tokens_charged` tokens of it."""
 
 
-AnswerRest = Callable[[Generation, CallerRequest, RequestRecord, bytes], CallerAnswer]
+AnswerRemaining = Callable[[Generation, CallerRequest, RequestRecord, bytes], CallerAnswer]
 
 
 class Resuming:
@@ -52,23 +52,23 @@
     Explanation
     ===========
 
-    The daemons that may hold the state are those that the leaving daemon asks first: the first
-    of the rendezvous order in each zone, leaving ones too. They are asked together; of several
-    copies the newest is taken and the others are told to forget theirs. The state is reserved,
-    confirmed, and only then served, so that one daemon owns it at any time.
+    A state is most likely at one of the daemons that a leaving daemon tries first: the first of
+    the rendezvous order in each zone, including leaving ones. These are queried concurrently. Of
+    several copies the newest is taken, and the daemons with older copies discard them. The state
+    is reserved, then confirmed, and only then served, so that exactly one daemon owns it.
 
     Parameters
     ==========
 
-    name : this daemon.
+    name : name of this daemon.
     clock : the process's clock.
-    network : the peer network.
-    list_members : the daemons that may hold states, this one and leaving ones too.
-    store : the generations that wait here.
-    admission : gives a permit without a refusal, since the request was admitted before.
-    records : begins the request's record.
-    answer : relays the rest of a generation after the bytes given.
-    count : counts what becomes of generations.
+    network : sends requests to peers.
+    list_members : returns the daemons that may store states, including this and leaving ones.
+    store : the generations stored here for their callers.
+    admission : issues a permit without a refusal, since the request was admitted before.
+    records : creates the request's record.
+    answer : relays the remaining part of a generation after the given bytes.
+    count : called with the outcome of each resumption.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         store: StateStore,
         admission: Readmitter,
         records: RequestRecords,
-        answer: AnswerRest,
+        answer: AnswerRemaining,
         count: Callable[[str], None] = lambda outcome: None,
     ) -> None:
         self._name = name
@@ -95,13 +95,13 @@
         self._count = count
 
     def resume(self, request: CallerRequest, account: str, resumed_id: str) -> CallerAnswer:
-        """Return the rest of an earlier request's answer.
+        """Return the remaining part of an earlier request's answer.
 
         Raises
         ======
 
-        RequestError : nobody holds it, somebody could not be asked, or ``Last-Event-ID`` does
-            not fit.
+        RequestError : no daemon stores the request's state, some daemons did not answer, or
+            ``Last-Event-ID`` is not valid for the request.
         """
         taken = self._take(resumed_id, account)
         generation = Generation.from_state(decode_state(taken.state), self._clock)
@@ -109,7 +109,7 @@
         try:
             start = _find_start(request, generation)
         except RequestError:
-            # The caller may ask again and better; the state waits here now.
+            # The caller may retry with a correct position; the state is now stored here.
             self._store.put("", HandOver(taken.state, taken.hops + 1))
             raise
         done = len(generation.tokens)
@@ -121,37 +121,50 @@
         return self._answer(generation, request, record, render_events(generation, start))
 
     def _take(self, request_id: str, account: str) -> StateTaken:
-        question = FindState(request_id, account)
+        query = FindState(request_id, account)
         members = list(self._list_members())
-        holders, silent = self._find_holders(question, _choose_first(request_id, members))
+        holders, unresponsive = self._find_holders(query, _choose_first(request_id, members))
         if not holders:
-            rest = [member for member in members if member.name not in silent][:MOST_ASKED]
-            holders, silent_too = self._find_holders(question, rest)
-            silent |= silent_too
-        if not holders and silent:
-            # It may be at a daemon that did not answer; it is not said to be lost.
-            detail = "not found yet: some daemons did not answer"
+            remaining = [member for member in members if member.name not in unresponsive][
+                :MAX_QUERIED
+            ]
+            holders, more_unresponsive = self._find_holders(query, remaining)
+            unresponsive |= more_unresponsive
+        if not holders and unresponsive:
+            # The state may be at a daemon that did not answer, so it is not reported as lost.
+            detail = "state of the request not found yet: some daemons did not answer"
             raise RequestError(ErrorKind.MOVED, detail, ran=Ran.UNKNOWN, retry_after_ms=RETRY_MS)
         if not holders:
-            raise RequestError(ErrorKind.UNKNOWN_REQUEST, "no such request waits to be fetched")
+            raise RequestError(
+                ErrorKind.UNKNOWN_REQUEST, "no request with this id is waiting to be resumed"
+            )
         return self._take_from(holders, request_id, account)
 
     def _find_holders(
-        self, question: FindState, members: list[HandoverMember]
+        self, query: FindState, members: list[HandoverMember]
     ) -> tuple[list[tuple[int, HandoverMember]], set[str]]:
-        """Ask all of `members` at once; return the holders, newest copy first, and the silent."""
-        asks = [(member, gevent.spawn(self._find_at, member, question)) for member in members]
-        gevent.joinall([task for _, task in asks])
-        answers = [(task.value, member) for member, task in asks]
-        # One that was leaving and is silent has most likely gone, with all it had handed over.
-        silent = {member.name for hops, member in answers if hops is None and not member.leaving}
+        """Query `members` concurrently.
+
+        Returns
+        =======
+
+        tuple : the members that store the state with their hops, the newest copy first, and the
+            names of the members that did not answer.
+        """
+        queries = [(member, gevent.spawn(self._find_at, member, query)) for member in members]
+        gevent.joinall([task for _, task in queries])
+        answers = [(task.value, member) for member, task in queries]
+        # A leaving daemon that does not answer has most likely stopped, after handing over all.
+        unresponsive = {
+            member.name for hops, member in answers if hops is None and not member.leaving
+        }
         holders = [(hops, member) for hops, member in answers if hops]
         holders.sort(key=lambda holder: holder[0], reverse=True)
-        return holders, silent
+        return holders, unresponsive
 
-    def _find_at(self, member: HandoverMember, question: FindState) -> int | None:
+    def _find_at(self, member: HandoverMember, query: FindState) -> int | None:
         try:
-            return self._ask(member, question).hops
+            return self._request(member, query).hops
         except PeerError:
             return None
 
@@ -161,41 +174,41 @@
         taker = make_identifier("take")
         for _, member in holders:
             try:
-                taken = self._ask_again(member, TakeState(request_id, account, taker))
-                self._ask_again(member, ConfirmTake(request_id, taker))
+                taken = self._request_with_retries(member, TakeState(request_id, account, taker))
+                self._request_with_retries(member, ConfirmTake(request_id, taker))
             except PeerError:
                 continue
             for _, other in holders:
                 if other.name != member.name:
                     gevent.spawn(self._drop_at, other, DropState(request_id, taken.hops + 1))
             return taken
-        detail = "its state could not be taken over"
+        detail = "state of the request could not be taken over"
         raise RequestError(ErrorKind.MOVED, detail, ran=Ran.UNKNOWN, retry_after_ms=RETRY_MS)
 
     def _drop_at(self, member: HandoverMember, message: DropState) -> None:
         try:
-            self._ask(member, message)
+            self._request(member, message)
         except PeerError:
             return
 
-    def _ask_again(self, member: HandoverMember, message: Any) -> Any:
-        """Ask up to `ASKS_EACH` times: every question may be repeated with the same effect."""
-        for attempt in range(ASKS_EACH):
+    def _request_with_retries(self, member: HandoverMember, message: Any) -> Any:
+        """Send a request up to `MAX_ATTEMPTS` times; all these requests are idempotent."""
+        for attempt in range(MAX_ATTEMPTS):
             try:
-                return self._ask(member, message)
+                return self._request(member, message)
             except PeerError as error:
-                if error.kind is not ErrorKind.PEER_UNAVAILABLE or attempt == ASKS_EACH - 1:
+                if error.kind is not ErrorKind.PEER_UNAVAILABLE or attempt == MAX_ATTEMPTS - 1:
                     raise
         raise AssertionError("not reached")
 
-    def _ask(self, member: HandoverMember, message: Any) -> Any:
+    def _request(self, member: HandoverMember, message: Any) -> Any:
         if member.name == self._name:
             return serve_state_message(self._store, message)
-        return self._network.ask(member.address, message, ASK_TIMEOUT_MS)
+        return self._network.ask(member.address, message, REQUEST_TIMEOUT_MS)
 
 
 def serve_state_message(store: StateStore, message: Any) -> Any:
-    """Serve a question about waiting generations on this daemon's own store."""
+    """Serve a message about stored generations from this daemon's own store."""
     if isinstance(message, FindState):
         return store.find("", message)
     if isinstance(message, TakeState):
@@ -206,7 +219,7 @@
 
 
 def render_events(generation: Generation, start: int) -> bytes:
-    """Return the events of the tokens from position `start` on, as the caller gets them."""
+    """Return the events of the tokens from position `start` on, in the caller's format."""
     pieces = []
     for position in range(start, len(generation.tokens)):
         content = generation.tokens[position].decode("utf-8", "surrogatepass")
@@ -224,23 +237,27 @@
 
 
 def _find_start(request: CallerRequest, generation: Generation) -> int:
-    """Return the position after the one that the caller names as its last."""
+    """Return the position after the caller's ``Last-Event-ID``."""
     last = request.headers.get(LAST_EVENT_HEADER, "")
     if not last:
         return 0
     named_id, _, position = last.rpartition(":")
     fits = position.isascii() and position.isdigit() and len(position) < 12
     if named_id != generation.request_id or not fits:
-        raise RequestError(ErrorKind.BAD_REQUEST, "Last-Event-ID: not of this request")
+        raise RequestError(
+            ErrorKind.BAD_REQUEST, "Last-Event-ID is not an event id of this request"
+        )
     if int(position) >= len(generation.tokens):
-        raise RequestError(ErrorKind.BAD_REQUEST, "Last-Event-ID: not sent yet")
+        raise RequestError(
+            ErrorKind.BAD_REQUEST, "Last-Event-ID names an event that was not sent yet"
+        )
     return int(position) + 1
 
 
 def _choose_first(request_id: str, members: list[HandoverMember]) -> list[HandoverMember]:
-    """Return the daemons that a leaving one asks first, whatever its zone was."""
+    """Return the daemons that a leaving daemon tries first, for any zone of that daemon."""
     chosen: list[HandoverMember] = []
     for zone in sorted({member.zone for member in members}):
         here = [member for member in members if member.zone == zone]
-        chosen += rank_receivers(request_id, zone, here)[:ASKED_PER_ZONE]
-    return chosen[:MOST_ASKED]
+        chosen += rank_receivers(request_id, zone, here)[:MAX_QUERIED_PER_ZONE]
+    return chosen[:MAX_QUERIED]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,5 +1,8 @@
-"""Handed over generations: one owner at a time, found by their account alone, never lost to a
-lost answer, ended when nobody comes."""
+"""Tests of the handover of generations between daemons.
+
+They guard against a generation with two owners or none after a lost answer, against one that is
+visible to another client account, and against engine streams that run on when no caller returns.
+"""
 
 from dataclasses import replace
 
@@ -19,7 +22,11 @@
     encode_state,
 )
 from hemlockswitch.process.handover.resuming import Resuming, render_events, serve_state_message
-from hemlockswitch.process.handover.state_store import LINGER_MS, RESERVED_MS, StateStore
+from hemlockswitch.process.handover.state_store import (
+    RESERVATION_MS,
+    STATE_RETENTION_MS,
+    StateStore,
+)
 from hemlockswitch.request.generation import Generation, GenerationState
 
 BODY = b'{"model": "m", "messages": [{"role": "user", "content": "a"}], "stream": true}'
@@ -48,7 +55,7 @@
     with pytest.raises(PeerError) as caught:
         take(store, "two")
     assert caught.value.kind is ErrorKind.MOVED
-    store._clock.advance(RESERVED_MS)
+    store._clock.advance(RESERVATION_MS)
     take(store, "two")
     with pytest.raises(PeerError):
         store.confirm("", ConfirmTake("req-1", "one"))
@@ -67,7 +74,7 @@
 
 def test_a_state_that_nobody_fetches_ends_with_its_engine_stream(store):
     store.put("", MESSAGE)
-    store._clock.advance(LINGER_MS - 1)
+    store._clock.advance(STATE_RETENTION_MS - 1)
     store.sweep()
     assert (len(store), store.streams_ended) == (1, [])
     store._clock.advance(1)
@@ -89,7 +96,11 @@
 
 
 class Peers:
-    """Stores by address; answers to the message types in `lost` are lost once each, in order."""
+    """State stores by address.
+
+    The answers to the message types in `lost` are lost, once each and in this order; addresses in
+    `gone` do not answer.
+    """
 
     def __init__(self, *names):
         self.clock = ManualClock()
@@ -157,7 +168,7 @@
     resuming = peers.make_resuming("two")
     assert decode_state(resuming._take("req-1", "abdoun").state) == STATE
     while find_holders(peers):
-        gevent.sleep(0)  # The messages that drop older copies are on their way.
+        gevent.sleep(0)  # The messages that discard older copies are in transit.
     with pytest.raises(RequestError) as caught:
         resuming._take("req-1", "abdoun")
     assert caught.value.kind is ErrorKind.UNKNOWN_REQUEST
