--- a/hemlockswitch/process/membership/__init__.py
+++ b/hemlockswitch/process/membership/__init__.py
@@ -1,4 +1,5 @@
-"""Which daemons there are, found and watched by one another.
+"""Group membership: the daemons of the system, which discover and probe each other.
 
-`Membership` keeps the members; `overlay` and `discovery` say whom a daemon probes.
+`Membership` stores the members; `overlay` chooses the members that a daemon probes, and
+`discovery` finds addresses to join by.
 """
--- a/hemlockswitch/process/membership/discovery.py
+++ b/hemlockswitch/process/membership/discovery.py
@@ -1,4 +1,4 @@
-"""Finds entry VMs of zones of which no member is known, by the platform's VM list."""
+"""Finds the entry VMs of zones without a live member, in the platform's VM list."""
 
 from collections.abc import Callable, Iterable
 from typing import Protocol
@@ -10,29 +10,29 @@
 
 
 class VmLister(Protocol):
-    """What discovery needs of the platform's client."""
+    """The operation of the platform client that discovery needs."""
 
     def list_vms(self, zone: str = "") -> VmList:
         """Return the VM list of a zone."""
 
 
 class Discovery:
-    """Peer addresses by the VM list, where neither seeds nor members give any.
+    """Finds peer addresses in the VM list, for zones that seeds and members do not cover.
 
     Explanation
     ===========
 
-    Seeds can all be gone: every daemon of a zone may be replaced, even while the zone is cut off.
-    An entry VM stands in the VM list under ``hemlock-entry``, with its peer address as the
-    control address. Only zones without a live member are asked for, so a whole system asks
-    nothing.
+    All seeds may have stopped: every daemon of a zone may be replaced, even while the zone is
+    partitioned from the others. The VM list shows an entry VM under ``hemlock-entry``, with its
+    peer address as the control address. Only zones without a live member are looked up, so there
+    are no platform calls while every zone has one.
 
     Parameters
     ==========
 
-    own_zone : asked for when this daemon knows nobody.
-    list_zones : the zones of the configuration in force, empty before there is one.
-    find_covered : the zones that have a live member beside this daemon.
+    own_zone : looked up if this daemon has no live peer in it.
+    list_zones : returns the zones of the configuration in force; empty before there is one.
+    find_covered : returns the zones that have a live member other than this daemon.
     """
 
     def __init__(
--- a/hemlockswitch/process/membership/members.py
+++ b/hemlockswitch/process/membership/members.py
@@ -1,4 +1,4 @@
-"""Members of the system: one daemon each, and their form as news items."""
+"""Members of the system, each a daemon, and their encoding as gossip items."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -10,7 +10,7 @@
 
 
 class MemberState(IntEnum):
-    """What is known of a daemon. Within one incarnation the higher state wins."""
+    """The reported state of a daemon. Within one incarnation the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -30,10 +30,11 @@
 
     name : unique in the system.
     zone, region : where it runs.
-    peer_address : where other daemons reach it.
-    caller_address : where callers reach it.
-    state : what is known of it.
-    incarnation : raised only by the daemon itself; a higher one overrides any state of a lower.
+    peer_address : its address for other daemons.
+    caller_address : its address for callers; empty if it does not serve callers.
+    state : its reported state.
+    incarnation : increased only by the daemon itself; a higher incarnation overrides any state of
+        a lower one.
     """
 
     name: str
@@ -51,7 +52,7 @@
 
     @classmethod
     def from_item(cls, item: NewsItem) -> "Member":
-        """Return the member that a news item describes.
+        """Return the member that a gossip item describes.
 
         Examples
         ========
@@ -68,7 +69,7 @@
         return cls(name, zone, region, peer_address, caller_address, state, incarnation)
 
     def to_item(self) -> NewsItem:
-        """Return the news item that describes this member."""
+        """Return the gossip item that describes this member."""
         return NewsItem(
             MEMBER_PREFIX + self.name,
             self.incarnation * STATES_PER_INCARNATION + self.state,
--- a/hemlockswitch/process/membership/membership.py
+++ b/hemlockswitch/process/membership/membership.py
@@ -1,4 +1,4 @@
-"""Membership: which daemons there are, where, and in what state."""
+"""The members of the system, with their addresses and states."""
 
 import contextlib
 import random
@@ -29,17 +29,19 @@
 
 
 class Membership:
-    """The members of the system as this daemon knows them.
+    """This daemon's local view of the members of the system.
 
     Explanation
     ===========
 
-    Each member is a news item that rises with the member's incarnation and, within one, with its
-    state; `Spread` passes the items on like any other. Only the daemon itself raises its
-    incarnation: when it hears that it is suspect or dead it refutes by a higher one.
+    Each member is a gossip item whose version increases with the member's incarnation and, within
+    one incarnation, with its state; `Spread` disseminates these items like any others. Only the
+    daemon itself increases its incarnation: when it receives a report that it is suspect or dead,
+    it refutes the report with a higher incarnation.
 
-    A daemon that has heard nobody for the detection time is isolated. It accuses nobody then, since
-    its silence has one cause; `list_members` reports the others as dead until someone answers.
+    A daemon that has had no answer from any peer for the detection time is isolated. It then
+    reports no peer as failed, since the fault is most likely its own link. While it is isolated,
+    `list_members` shows the peers as dead.
 
     Parameters
     ==========
@@ -47,7 +49,7 @@
     own : this daemon; its `peer_address` and `incarnation` are set when it starts.
     seeds : peer addresses to join by.
     discover : returns further peer addresses, such as those of the platform's VM list; it may
-        raise a `HemlockError`, and is called seldom.
+        raise a `HemlockError`, and is called rarely.
     """
 
     def __init__(
@@ -94,7 +96,7 @@
         )
 
     def start(self) -> None:
-        """Announce this daemon, join the others in the background, and begin to probe."""
+        """Announce this daemon, and start to join and probe its peers in the background."""
         address = self._network.address
         incarnation = self._clock.wall_ms()
         self._own = replace(self._own, peer_address=address, incarnation=incarnation)
@@ -104,12 +106,12 @@
         self._tasks = [gevent.spawn(task) for task in tasks]
 
     def leave(self) -> None:
-        """Tell the others that this daemon leaves; it takes no new work from now on."""
+        """Announce that this daemon is leaving; it accepts no new work from now on."""
         self._own = replace(self._own, state=MemberState.LEAVING)
         self._board.learn(self._own.to_item())
 
     def stop(self) -> None:
-        """Tell the others that this daemon has gone, and end the tasks."""
+        """Announce that this daemon has stopped, and stop the tasks."""
         gevent.killall(self._tasks, block=False)
         self._own = replace(self._own, state=MemberState.DEAD)
         self._board.learn(self._own.to_item())
@@ -117,12 +119,12 @@
 
     @property
     def own(self) -> Member:
-        """This daemon as the others should see it."""
+        """This daemon as it announces itself."""
         return self._own
 
     @property
     def is_isolated(self) -> bool:
-        """Whether other members are known and none has answered for the detection time."""
+        """Whether there are live peers and none has answered for the detection time."""
         others = any(one.is_live for one in self._members.values() if one.name != self._own.name)
         return others and not self._has_heard_since(self.times.detection_ms)
 
@@ -130,14 +132,14 @@
         return self._clock.now_ms() - self._prober.last_answer_ms <= span_ms
 
     def list_members(self, zone: str | None = None) -> list[Member]:
-        """Return the known members, of one zone or of all, this daemon among them."""
+        """Return the members of one zone or of all zones, including this daemon."""
         members = list(self._members.values())
         if self.is_isolated:
             members = [self._show_isolated(member) for member in members]
         return [member for member in members if zone is None or member.zone == zone]
 
     def list_live(self, zone: str | None = None) -> list[Member]:
-        """Return the members that count as running: alive or suspect."""
+        """Return the members that are assumed to be running: alive or suspect."""
         return [member for member in self.list_members(zone) if member.is_live]
 
     def list_names(self) -> list[str]:
@@ -147,7 +149,7 @@
     def add_listener(self, listener: MemberListener) -> None:
         """Call `listener` with each member whose state or incarnation changed.
 
-        A listener must return at once.
+        A listener must not block.
         """
         self._listeners.append(listener)
 
@@ -185,7 +187,7 @@
 
     def _note_suspicion(self, member: Member) -> None:
         if member.state is MemberState.SUSPECT:
-            # Rounded up to the next sweep: the time to refute is never cut short.
+            # Rounded up to the next sweep, so that the time to refute is never shortened.
             self._suspected_ms[member.name] = self._active_ms + SWEEP_MS
         else:
             self._suspected_ms.pop(member.name, None)
@@ -193,7 +195,8 @@
     def _hear_of_itself(self, heard: Member) -> None:
         another_process = heard.peer_address != self._own.peer_address
         if another_process and heard.state is MemberState.ALIVE:
-            # The newer process keeps the name. Were both to claim it, neither would ever stop.
+            # The newer process keeps the name. If both refuted, they would outbid each other's
+            # incarnation without end.
             log_event(Event.MEMBER_NAME_TAKEN, "error", address=heard.peer_address)
             return
         self._refute(heard)
@@ -217,7 +220,7 @@
         while True:
             gevent.sleep(SWEEP_MS / MS_PER_SECOND)
             now_ms = self._clock.now_ms()
-            # A pause of this process is not time in which a suspect could have refuted.
+            # Time in which this process was paused does not count: no refutation could arrive.
             self._active_ms += min(now_ms - last_ms, 2 * SWEEP_MS)
             last_ms = now_ms
             self._spread.forget_tombstones()
@@ -233,7 +236,8 @@
     def _end_suspicions(self) -> None:
         probed = {member.name for member in self._find_links().probed}
         for name, since_ms in list(self._suspected_ms.items()):
-            # Those that probe it speak first; the others only if all of them have gone as well.
+            # Daemons that probe the suspect declare it dead first; the others wait twice as long,
+            # and act only if all of those have failed as well.
             wait_ms = self.times.suspicion_ms * (1 if name in probed else 2)
             if self._active_ms - since_ms >= wait_ms:
                 self._board.learn(replace(self._members[name], state=MemberState.DEAD).to_item())
@@ -272,7 +276,7 @@
 
     def _list_candidates(self) -> list[str]:
         candidates = list(self._seeds)
-        # The platform may be down; the seeds stay, and the next round asks it again.
+        # The platform may be down: the seeds are still tried, and the next round retries it.
         with contextlib.suppress(HemlockError):
             candidates += self._discover()
         random.shuffle(candidates)
--- a/hemlockswitch/process/membership/overlay.py
+++ b/hemlockswitch/process/membership/overlay.py
@@ -1,9 +1,10 @@
-"""Who watches whom and who passes news to whom: dense inside a zone, a few links beyond it.
+"""The overlay of links for probes and gossip: dense within a zone, sparse between zones.
 
-Every daemon works the links out of the members that it knows; nothing is negotiated. Inside a
-zone the members stand on `RINGS` rings, each in another stable order, and each daemon probes its
-successor on every ring. Two zones of a region, and two regions, are joined by a few pairs of
-members chosen by rendezvous hashing. A member that comes or goes changes only the links next to it.
+Every daemon computes its links from its own view of the members; nothing is negotiated. Within a
+zone the members form `RINGS` rings, each with a different stable order, and each daemon probes its
+successor on every ring. Any two zones of a region, and any two regions, are linked by a few pairs
+of members chosen by rendezvous hashing. When a member joins or leaves, only the adjacent links
+change.
 """
 
 from collections import defaultdict
@@ -26,7 +27,8 @@
     ==========
 
     probed : members that this daemon probes.
-    neighbours : members to which it passes news: those that it probes and those that probe it.
+    neighbours : members to which it sends gossip: those that it probes and, within the zone, those
+        that probe it.
     """
 
     probed: tuple[Member, ...] = ()
@@ -90,7 +92,7 @@
         theirs = rank_rendezvous(pair, by_name)[:count]
         longest = max(len(ours), len(theirs))
         for rank in range(longest):
-            # The shorter list is used again, so that a small zone has all of its links as well.
+            # The shorter list is reused cyclically, so that a small zone gets all its links too.
             if ours[rank % len(ours)] == own.name:
                 links.append(by_name[theirs[rank % len(theirs)]])
     return links
--- a/hemlockswitch/process/membership/probes.py
+++ b/hemlockswitch/process/membership/probes.py
@@ -1,4 +1,4 @@
-"""The failure detector: probes the linked members, asks others before it suspects anyone."""
+"""The failure detector: probes the linked members, directly and through helpers."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -22,12 +22,12 @@
 @register_message("probe")
 @dataclass(frozen=True)
 class Probe:
-    """A heartbeat.
+    """A heartbeat request.
 
     Parameters
     ==========
 
-    target : the member that is to answer; another one at its address must not.
+    target : the member that must answer; a different member at its address must refuse.
     zone : the prober's zone.
     """
 
@@ -38,7 +38,7 @@
 @register_message("ack")
 @dataclass(frozen=True)
 class Ack:
-    """The answer to a probe: the digest that the answering daemon shares with the prober."""
+    """The reply to a probe: the digest of the items that the two daemons' zones share."""
 
     digest: int
 
@@ -46,7 +46,7 @@
 @register_message("probe-for")
 @dataclass(frozen=True)
 class ProbeFor:
-    """Asks the receiver to probe the member `target` at `address` in its place."""
+    """Asks the receiver to probe the member `target` at `address` on behalf of the sender."""
 
     target: str
     address: str
@@ -56,7 +56,7 @@
 @register_message("probed-for")
 @dataclass(frozen=True)
 class ProbedFor:
-    """Whether the member answered."""
+    """The reply to `ProbeFor`: whether the member answered."""
 
     answered: bool
 
@@ -68,11 +68,11 @@
     Parameters
     ==========
 
-    period_ms : each linked member is probed once in this time.
-    direct_ms : how long a probe waits.
-    indirect_ms : how long the probes through others wait.
-    suspicion_ms : a suspect that does not refute in this time is dead.
-    retry_dead_ms : how often a dead member is tried again.
+    period_ms : each linked member is probed once per period.
+    direct_ms : timeout of a direct probe.
+    indirect_ms : timeout of a probe through a helper.
+    suspicion_ms : a suspect that does not refute within this time is declared dead.
+    retry_dead_ms : average time between attempts to reach a dead member.
     """
 
     period_ms: float = 2_000
@@ -83,7 +83,7 @@
 
     @classmethod
     def from_period(cls, period_ms: float) -> "ProbeTimes":
-        """Return times in the proportions of the defaults.
+        """Return times for a probe period, in the proportions of the defaults.
 
         Examples
         ========
@@ -96,28 +96,29 @@
 
     @property
     def detection_ms(self) -> float:
-        """Longest time from a daemon's end until those that probe it call it dead."""
+        """Maximum time from a daemon's failure until the daemons that probe it declare it dead."""
         probing_ms = self.period_ms + 2 * self.direct_ms + self.indirect_ms
         return probing_ms + self.suspicion_ms + 2 * SWEEP_MS
 
 
 class Prober:
-    """Probes the linked members each period and reports those that nobody reaches.
+    """Probes the linked members each period and reports those that cannot be reached.
 
     Explanation
     ===========
 
-    A member that does not answer is probed through helpers: one of its zone, one of ours, one of
-    a third where there is one, so that a lost link alone accuses nobody. When a member of another
-    zone stays silent, a few more of that zone are tried; if none answers the zone as a whole is
-    reported. A round in which this process itself was paused, or heard nobody at all, accuses nobody.
+    A member that does not answer is probed through helpers: one of its zone, one of this daemon's
+    zone and one of a third zone if there is one, so that a broken link alone raises no suspicion.
+    If a member of another zone cannot be reached, a sample of that zone is probed; if none answers,
+    all live members of the zone are reported. Nothing is reported after a probe during which this
+    process was paused or no other peer answered.
 
     Parameters
     ==========
 
-    list_probed : the members to probe.
-    list_live : the members that count as running.
-    report : called with the members that nobody reaches.
+    list_probed : returns the members to probe.
+    list_live : returns the members that are assumed to be running.
+    report : called with the members that cannot be reached.
     """
 
     def __init__(
@@ -145,7 +146,7 @@
         network.handle(ProbeFor, self._answer_probe_for)
 
     def run(self) -> None:
-        """Probe each linked member once a period, spread over the period."""
+        """Probe each linked member once per period, evenly spaced, without end."""
         while True:
             probed = list(self._list_probed())
             step_ms = self._times.period_ms / max(len(probed), 1)
@@ -178,7 +179,7 @@
             silent = self._find_silent(member)
             allowed_ms = self._times.direct_ms + 2 * self._times.indirect_ms
             paused = self._clock.now_ms() - started_ms > PAUSE_FACTOR * allowed_ms
-            # Where nobody else answered either, the fault may be on this side.
+            # If no other peer answered either, the fault may be on this daemon's side.
             heard_others = self.last_answer_ms >= started_ms
             if heard_others and not paused:
                 self._report(silent)
@@ -229,7 +230,9 @@
 
     def _answer_probe(self, sender: str, probe: Probe) -> Ack:
         if probe.target != self._own.name:
-            raise PeerError(ErrorKind.BAD_REQUEST, f"this is {self._own.name}")
+            raise PeerError(
+                ErrorKind.BAD_REQUEST, f"probe is for another daemon; this is {self._own.name}"
+            )
         return Ack(self._spread.compute_digest(probe.zone))
 
     def _answer_probe_for(self, sender: str, message: ProbeFor) -> ProbedFor:
--- a/hemlockswitch/process/news/__init__.py
+++ b/hemlockswitch/process/news/__init__.py
@@ -1,4 +1,4 @@
-"""News between daemons: facts that spread from one to the next and are repaired.
+"""Gossip between daemons: versioned items that are pushed to peers and repaired by digests.
 
-`NewsBoard` holds them, `Spread` passes them on.
+`NewsBoard` stores the items; `Spread` disseminates them.
 """
--- a/hemlockswitch/process/news/board.py
+++ b/hemlockswitch/process/news/board.py
@@ -1,4 +1,4 @@
-"""News: facts with rising versions that every daemon of a zone must learn soon."""
+"""Gossip items: versioned values that all daemons of a zone must receive soon."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,16 +7,17 @@
 
 @dataclass(frozen=True)
 class NewsItem:
-    """One fact.
+    """A versioned value.
 
     Parameters
     ==========
 
-    key : what it is about, such as ``vm/llm-1``, ``notice/llm-1`` or ``revision``.
-    version : rises with each change of the fact; the platform's version where it has one.
+    key : its subject, such as ``vm/llm-1``, ``notice/llm-1`` or ``revision``.
+    version : increases with each change of the value; the platform's version where there is one.
     value : msgpack-ready content.
-    tombstone : the last word on its key, kept for a time so that older items do not come back,
-        then forgotten; it is not part of the digests that daemons compare.
+    tombstone : whether the key was removed. A tombstone is retained for a time, so that older
+        items of its key are not accepted again, and then discarded. It is not part of the digests
+        that daemons compare.
     """
 
     key: str
@@ -29,14 +30,14 @@
 
 
 class NewsBoard:
-    """The newest known item for each key; the higher version wins.
+    """Stores the newest item of each key; the higher version wins.
 
     Explanation
     ===========
 
-    Learning is idempotent and commutative, so items may arrive twice, late and by any path.
-    Listeners are called once for each item that is newer than what was known; a listener must
-    return at once (put the item on its task's queue).
+    `learn` is idempotent and commutative, so items may arrive repeatedly, late and by any path.
+    Listeners are called once for each item that is newer than the stored one; a listener must not
+    block (it should put the item on its task's queue).
 
     Examples
     ========
@@ -55,12 +56,12 @@
         self._listeners: list[tuple[str, Listener]] = []
 
     def learn(self, item: NewsItem) -> bool:
-        """Keep `item` if it is newer than what is known, and tell the listeners.
+        """Store `item` if it is newer than the stored one, and call the listeners.
 
         Returns
         =======
 
-        bool : whether the item was new.
+        bool : whether the item was newer.
         """
         known = self._items.get(item.key)
         if known is not None and known.version >= item.version:
@@ -72,11 +73,11 @@
         return True
 
     def forget(self, key: str) -> None:
-        """Drop the item for `key` without telling the listeners."""
+        """Discard the item of `key` without calling the listeners."""
         self._items.pop(key, None)
 
     def find(self, key: str) -> NewsItem | None:
-        """Return the newest item for `key`, or None."""
+        """Return the newest item of `key`, or None."""
         return self._items.get(key)
 
     def list_items(self, prefix: str = "") -> list[NewsItem]:
--- a/hemlockswitch/process/news/digests.py
+++ b/hemlockswitch/process/news/digests.py
@@ -1,4 +1,4 @@
-"""Digests of a news board: one number to compare, buckets to find what differs."""
+"""Digests of gossip items: a total to compare, and buckets to locate differences."""
 
 import struct
 from collections.abc import Iterable
@@ -11,18 +11,18 @@
 
 
 def choose_bucket(key: str) -> int:
-    """Return the number of the bucket to which `key` belongs."""
+    """Return the index of the bucket to which `key` belongs."""
     return hash_stable(key) % BUCKETS
 
 
 class Digest:
-    """The exclusive or of the hashes of all live items, in buckets; kept up to date item by item.
+    """The exclusive or of the hashes of all live items, in buckets, updated incrementally.
 
     Explanation
     ===========
 
-    Equal boards have equal digests whatever the order in which they learned. Tombstones do not
-    count, so that daemons which forget them at different times still agree.
+    Equal sets of items have equal digests, regardless of the order of insertion. Tombstones are
+    excluded, so that daemons which discard them at different times still agree.
 
     Examples
     ========
@@ -41,7 +41,7 @@
         self._hashes: dict[str, int] = {}
 
     def replace(self, item: NewsItem) -> None:
-        """Count `item` in place of the item with the same key."""
+        """Include `item`, in place of the item with the same key."""
         new = 0 if item.tombstone else hash_stable(f"{item.key}\0{item.version}")
         change = new ^ self._hashes.get(item.key, 0)
         if item.tombstone:
@@ -52,7 +52,7 @@
         self._buckets[choose_bucket(item.key)] ^= change
 
     def pack_buckets(self, others: Iterable["Digest"] = ()) -> bytes:
-        """Return the buckets, joined with those of `others`, as bytes."""
+        """Return the buckets, combined with those of other digests, as bytes."""
         buckets = list(self._buckets)
         for other in others:
             buckets = [mine ^ its for mine, its in zip(buckets, other._buckets, strict=True)]
@@ -60,12 +60,12 @@
 
 
 def list_different(left: bytes, right: bytes) -> list[int]:
-    """Return the numbers of the buckets that differ between two packed digests.
+    """Return the indices of the buckets that differ between two packed digests.
 
     Raises
     ======
 
-    struct.error : one of them is not a packed digest.
+    struct.error : an argument is not a packed digest.
     """
     pairs = zip(_PACKED.unpack(left), _PACKED.unpack(right), strict=True)
     return [number for number, (mine, its) in enumerate(pairs) if mine != its]
--- a/hemlockswitch/process/news/messages.py
+++ b/hemlockswitch/process/news/messages.py
@@ -1,4 +1,4 @@
-"""The messages in which daemons pass news on, and the bounds of doing so."""
+"""The messages of the gossip protocol, and its limits."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -12,7 +12,7 @@
 @register_message("news")
 @dataclass(frozen=True)
 class News:
-    """Items as rows of key, version, value and whether it is a tombstone."""
+    """Items, as rows of key, version, value and tombstone flag."""
 
     items: list[list[Any]]
 
@@ -20,7 +20,7 @@
 @register_message("have")
 @dataclass(frozen=True)
 class Have:
-    """Announces large items that the sender holds, as rows of key and version."""
+    """Announces large items that the sender stores, as rows of key and version."""
 
     held: list[list[Any]]
 
@@ -28,7 +28,7 @@
 @register_message("fetch")
 @dataclass(frozen=True)
 class Fetch:
-    """Asks for the items with these keys."""
+    """Requests the items with these keys."""
 
     keys: list[str]
 
@@ -36,7 +36,7 @@
 @register_message("compare")
 @dataclass(frozen=True)
 class Compare:
-    """Asks what the receiver holds in the buckets that differ from the sender's."""
+    """Requests the versions that the receiver stores in the buckets that differ."""
 
     zone: str
     buckets: bytes
@@ -45,7 +45,7 @@
 @register_message("difference")
 @dataclass(frozen=True)
 class Difference:
-    """The buckets compared, and rows of key, version and tombstone for what is held in them."""
+    """The buckets that differ, and rows of key, version and tombstone flag for their items."""
 
     buckets: list[int]
     held: list[list[Any]]
@@ -53,19 +53,20 @@
 
 @dataclass(frozen=True)
 class SpreadBounds:
-    """Bounds of the spreading of news.
+    """Limits of the gossip protocol.
 
     Parameters
     ==========
 
-    batch_ms : a new item waits this long for others to go along with it.
-    batch_bytes : most bytes in one message of items.
+    batch_ms : how long a new item waits, to be batched with others.
+    batch_bytes : maximum size of one message of items.
     eager_bytes : a larger item is announced, and fetched once by each daemon that lacks it.
-    item_bytes : a larger item is not passed on.
-    held_rows : most rows in one `Difference`.
-    fetch_keys : most keys in one `Fetch`.
+    item_bytes : a larger item is not sent.
+    held_rows : maximum number of rows in one `Difference`.
+    fetch_keys : maximum number of keys in one `Fetch`.
     ask_timeout_ms : how long a daemon waits for each reply.
-    tombstone_ms : how long a tombstone is kept; longer than a cut that must heal by itself.
+    tombstone_ms : how long a tombstone is retained; longer than any network partition that must
+        be repaired without an operator.
     """
 
     batch_ms: int = 10
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """An item ready to be sent, with its size."""
+    """An item encoded for sending, with its size."""
 
     content: list[Any]
     size_bytes: int
@@ -100,7 +101,7 @@
 
 
 def cut_rows(rows: list[Row], batch_bytes: int) -> list[list[Any]]:
-    """Return the rows' contents in batches of at most `batch_bytes`, a larger row by itself.
+    """Return the rows' contents in batches of at most `batch_bytes`; a larger row is alone in one.
 
     Examples
     ========
--- a/hemlockswitch/process/news/retrieval.py
+++ b/hemlockswitch/process/news/retrieval.py
@@ -1,4 +1,4 @@
-"""Fetches announced news items, each once, from whoever announced it."""
+"""Fetches announced gossip items, each once, from a peer that announced it."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -13,27 +13,27 @@
 
 @dataclass
 class Retrieval:
-    """Items under way: their versions, and the peers that hold them and were not asked yet."""
+    """Items being fetched: their versions, and the holders that have not been asked yet."""
 
     versions: dict[str, int]
     holders: deque[str]
 
 
 class Retrievals:
-    """Fetches what was announced and is lacking.
+    """Fetches announced items that this daemon lacks.
 
     Explanation
     ===========
 
-    An item is asked for at one holder at a time, so that its content comes once whatever the
-    number of announcements. When a holder does not answer, the next one that announced it is
-    asked; when none is left, the comparison of digests brings the item later.
+    An item is requested from one holder at a time, so that its content is transferred once
+    regardless of the number of announcements. If a holder does not answer, the next one that
+    announced the item is asked; if none is left, a later comparison of digests brings the item.
 
     Parameters
     ==========
 
-    lacks : whether the board lacks this version of a key.
-    receive : called with the holder and the items that came.
+    lacks : returns whether this version of a key, or a later one, is missing.
+    receive : called with the holder and the received items.
     """
 
     def __init__(
@@ -87,12 +87,12 @@
             return
 
     def fetch(self, holder: str, keys: list[str]) -> None:
-        """Fetch these keys from one peer.
+        """Fetch the items of these keys from one peer.
 
         Raises
         ======
 
-        PeerError : it did not answer.
+        PeerError : the peer did not answer.
         """
         pending = keys
         while pending:
@@ -100,5 +100,6 @@
             news = self._network.ask(holder, Fetch(asked), self._bounds.ask_timeout_ms)
             self._receive(holder, news)
             got = {row[0] for row in news.items}
-            # A reply is cut at its bound in bytes; an empty one says that nothing more is held.
+            # A reply is truncated at its limit in bytes; an empty one means that the holder has
+            # none of the requested items.
             pending = [key for key in asked if key not in got] + rest if got else rest
--- a/hemlockswitch/process/news/spread.py
+++ b/hemlockswitch/process/news/spread.py
@@ -1,4 +1,4 @@
-"""Spreads news items between daemons: pushed at once, repaired by comparing digests."""
+"""Disseminates gossip items: new items are pushed, missed ones are repaired by digests."""
 
 import contextlib
 import struct
@@ -32,24 +32,24 @@
 
 
 class Spread:
-    """Passes the items of a board on to the neighbours and repairs what was missed.
+    """Sends the items of a board to the linked peers and repairs what was missed.
 
     Explanation
     ===========
 
-    An item that is new to the board goes at once to every neighbour but the one it came from,
-    together with what else became new within `batch_ms`; only the newest version of a key waits.
-    A large item is announced instead, and each daemon that lacks it fetches it once.
+    A new item is sent to every linked peer except the one it came from, batched with the other
+    items of the next `batch_ms`; only the newest version of a key is sent. A large item is
+    announced instead, and each daemon that lacks it fetches it once.
 
-    A heartbeat carries a digest; when it differs from a peer's twice running, the two boards are
-    compared by buckets and both sides get what they lack. So a lost message or a healed cut costs
-    about what differs.
+    A heartbeat carries a digest. If it differs from a peer's in two consecutive heartbeats, the
+    two daemons compare their items by buckets, and each receives what it lacks. So the cost of
+    repair after a lost message or a network partition is proportional to the difference.
 
     Parameters
     ==========
 
     zone : the daemon's zone.
-    zone_prefixes : keys with these prefixes stay inside the zone.
+    zone_prefixes : items whose keys have these prefixes are not sent to other zones.
     """
 
     def __init__(
@@ -90,41 +90,42 @@
         network.handle(Fetch, self._answer_fetch, quick=True)
 
     def start(self, list_neighbours: Callable[[], Iterable[Member]]) -> None:
-        """Start passing items on to the members that `list_neighbours` returns."""
+        """Start sending items to the members that `list_neighbours` returns."""
         self._list_neighbours = list_neighbours
         self._task = gevent.spawn(self._push_forever)
 
     def stop(self) -> None:
-        """Stop passing items on; what waits goes first."""
+        """Send the pending items and stop."""
         if self._task is not None:
             self._task.kill(block=False)
         self._push()
 
     def compute_digest(self, zone: str) -> int:
-        """Return the digest of what this daemon shares with the daemons of `zone`."""
+        """Return the digest of the items that this daemon shares with the daemons of `zone`."""
         if zone == self._zone:
             return self._everywhere.total ^ self._in_zone.total
         return self._everywhere.total
 
     def check_digest(self, address: str, zone: str, digest: int) -> None:
-        """Compare a peer's digest with ours, and repair when they differ twice running."""
+        """Compare a peer's digest with the own one; repair at the second difference in a row."""
         if digest == self.compute_digest(zone):
             self._differed.discard(address)
         elif address not in self._differed:
             self._differed.add(address)
         elif not self._repairing:
-            # One at a time: several would bring the same items several times.
+            # One repair at a time: concurrent ones would transfer the same items repeatedly.
             self._repairing = True
             self._differed.discard(address)
             gevent.spawn(self._repair_quietly, address, zone)
 
     def repair(self, address: str, zone: str = "") -> None:
-        """Exchange with the peer at `address` what either side lacks.
+        """Exchange with the peer at `address` the items that either side lacks.
 
         Parameters
         ==========
 
-        zone : the peer's zone, where known; items that stay inside a zone need it.
+        zone : the peer's zone, or empty; items that stay within a zone are exchanged only if it
+            is this daemon's zone.
 
         Raises
         ======
@@ -141,7 +142,7 @@
         self._retrievals.fetch(address, wanted)
 
     def forget_tombstones(self) -> None:
-        """Drop the tombstones that have been kept long enough; the oldest stand first."""
+        """Discard the tombstones whose retention is over; they are ordered oldest first."""
         oldest_ms = self._clock.now_ms() - self._bounds.tombstone_ms
         for key, learned_ms in list(self._tombstones.items()):
             if learned_ms > oldest_ms:
@@ -151,7 +152,7 @@
 
     def _repair_quietly(self, address: str, zone: str) -> None:
         try:
-            # When it fails the next heartbeat shows the difference again.
+            # If the repair fails, the next heartbeats show the difference again.
             with contextlib.suppress(PeerError):
                 self.repair(address, zone)
         finally:
@@ -165,11 +166,11 @@
         return not tombstone if known is None else known.version < version
 
     def _list_missing(self, zone: str, held: dict[str, Any], buckets: set[int]) -> list[NewsItem]:
-        """Return the items in `buckets` of which a peer that holds `held` lacks our version."""
+        """Return the items in `buckets` whose version is newer than the peer's in `held`."""
         missing = []
         for item in self._list_shared(zone):
             version, _ = held.get(item.key, (-1, False))
-            # A peer that does not know the key needs no tombstone for it.
+            # A peer without the key needs no tombstone for it.
             needed = version >= 0 or not item.tombstone
             if item.version > version and needed and choose_bucket(item.key) in buckets:
                 missing.append(item)
@@ -226,7 +227,7 @@
         return [row for row in rows if row.size_bytes <= self._bounds.item_bytes]
 
     def _pass_on(self, address: str, rows: list[Row]) -> None:
-        """Send small items, announce large ones."""
+        """Send small items and announce large ones."""
         eager_bytes = self._bounds.eager_bytes
         self._send_items(address, [row for row in rows if row.size_bytes <= eager_bytes])
         large = [row.content[:2] for row in rows if row.size_bytes > eager_bytes]
@@ -252,7 +253,9 @@
         try:
             different = list_different(mine, compare.buckets)
         except struct.error as error:
-            raise PeerError(ErrorKind.BAD_REQUEST, "not a packed digest") from error
+            raise PeerError(
+                ErrorKind.BAD_REQUEST, "buckets to compare are not a packed digest"
+            ) from error
         rows: dict[int, list[list[Any]]] = {number: [] for number in different}
         for item in self._list_shared(compare.zone):
             bucket = choose_bucket(item.key)
@@ -268,7 +271,7 @@
 
 
 def _cut_to_bound(rows: dict[int, list[list[Any]]], bound: int) -> Difference:
-    """Return the first buckets whose rows fit; the next comparison goes on with the others."""
+    """Return the first buckets whose rows fit; the next comparison continues with the others."""
     buckets: list[int] = []
     held: list[list[Any]] = []
     for number, bucket_rows in rows.items():
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,8 @@
-"""Membership in one process: daemons on loopback with short times, links cut at will."""
+"""Tests of membership: daemons in one process, with short probe times and links that can be cut.
+
+They guard against a running daemon that is declared dead because of a broken link, a partition or
+an address reused by another daemon, and against a stopped daemon that is still shown as live.
+"""
 
 from contextlib import ExitStack
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -1,4 +1,8 @@
-"""Spreading news: what is announced comes once, what is cut by bounds comes in the end."""
+"""Tests of gossip between daemons.
+
+They guard against a large item that is transferred more than once, or never because its first
+holder stopped, and against items or tombstones that a repair loses or restores.
+"""
 
 from contextlib import ExitStack
 
