--- a/hemlockswitch/process/revisions/__init__.py
+++ b/hemlockswitch/process/revisions/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration: applied as a whole, spread to every daemon, and in force.
+"""The configuration: applied atomically as a revision and disseminated to every daemon.
 
-`Configuration` holds the revision in force; `Applier` applies a file.
+`Configuration` stores the revision in force; `Applier` applies a file.
 """
--- a/hemlockswitch/process/revisions/applying.py
+++ b/hemlockswitch/process/revisions/applying.py
@@ -1,17 +1,17 @@
-"""Apply one configuration as a whole: write its revision, then move the one pointer.
+"""Applies a configuration atomically: writes its revision, then moves the pointer to it.
 
 Explanation
 ===========
 
-The revision object is created if absent and never changed; the pointer moves by conditional
-update from the very version that held the revision the operator saw. So one of two racing
-operators wins whole and the other gets a conflict. Each write may be sent again after a lost
-answer: the second copy is refused by the first, and the refusal is recognised as the apply's own
-by its apply id.
+The revision object is created if absent and never changed. The pointer moves by a conditional
+update from the version that named the revision which the operator saw. So of two concurrent
+operators one succeeds and the other gets a conflict. Each write may be repeated after a lost
+answer: if the first attempt took effect, the second is refused, and the apply id shows that the
+refusal was caused by this apply itself.
 
-An apply that dies between its two writes leaves a revision object that no pointer names. It is
-never in force, since only its own apply would move the pointer to it, from a version that any
-later apply has passed. The next apply takes the next free number; nothing has to be cleaned.
+An apply that stops between its two writes leaves a revision object that no pointer names. It
+never comes in force: only its own apply would move the pointer to it, from a version that any
+later apply has replaced. The next apply takes the next free number; no cleanup is needed.
 """
 
 import contextlib
@@ -42,23 +42,23 @@
 
 RETRY_PAUSE_MS = 200
 KEPT_REVISIONS = 200
-"""Older revision objects are deleted, one for each that is applied."""
+"""Each apply deletes the revision object that is this many revisions older."""
 FINAL_REFUSALS = frozenset({ErrorKind.BODY_TOO_LARGE})
-"""Refusals that trying again does not change."""
+"""Errors for which a retry is pointless."""
 
 
 @dataclass(frozen=True)
 class Applied:
-    """An apply that took effect.
+    """The result of an apply that took effect.
 
     Parameters
     ==========
 
     number, digest, apply_id : of the revision.
-    changes : what it changed against the revision that the operator saw.
-    written : False when the file was in force already and nothing was written.
-    replaced_by : the number of a later revision that is in force by now, if any.
-    version : the pointer's version when it was known to name this revision or a later one.
+    changes : the changes from the revision that the operator saw.
+    written : False if the file was already in force and nothing was written.
+    replaced_by : the number of a later revision that is already in force, if any.
+    version : a version of the pointer that names this revision or a later one.
     """
 
     number: int
@@ -71,14 +71,15 @@
 
 
 class RevisionConflictError(ConfigurationError):
-    """Another operator's revision is in force, and not the one that this operator saw.
+    """The revision in force is another operator's, not the one that this operator saw.
 
     Parameters
     ==========
 
-    seen : the number that the operator saw.
+    seen : the number of the revision that the operator saw.
     found : the number of the revision in force.
-    their_changes : from the revision that the operator saw to the one in force, if it is known.
+    their_changes : from the revision that the operator saw, if it still exists, to the one in
+        force.
     our_changes : from the revision in force to the operator's file.
     """
 
@@ -89,7 +90,7 @@
         their_changes: tuple[Change, ...],
         our_changes: tuple[Change, ...],
     ) -> None:
-        detail = f"revision {found} is in force, not {seen}; nothing was changed"
+        detail = f"revision {found} is in force instead of revision {seen}; nothing was changed"
         super().__init__(ErrorKind.REVISION_CONFLICT, detail)
         self.seen = seen
         self.found = found
@@ -98,24 +99,24 @@
 
 
 class UnknownOutcomeError(PlatformError):
-    """The platform did not say in time whether the pointer moved."""
+    """The platform did not confirm in time whether the pointer moved."""
 
     def __init__(self, number: int, apply_id: str) -> None:
-        detail = f"no answer on whether revision {number} ({apply_id}) took effect"
+        detail = f"no answer from the platform whether revision {number} ({apply_id}) took effect"
         super().__init__(ErrorKind.OUTCOME_UNKNOWN, detail)
         self.number = number
         self.apply_id = apply_id
 
 
 class Applier:
-    """Puts one checked file in force.
+    """Puts a checked file in force.
 
     Parameters
     ==========
 
     objects : the platform's object service.
-    clock : the time.
-    patience_ms : how long to try before giving up.
+    clock : provides the time.
+    patience_ms : time limit for all attempts.
     """
 
     def __init__(
@@ -127,19 +128,19 @@
         self._deadline_ms = clock.now_ms() + patience_ms
 
     def apply(self, checked: CheckedFile, seen: int | None) -> Applied:
-        """Put a file in force as one new revision.
+        """Put a file in force as a new revision.
 
         Parameters
         ==========
 
         checked : the file.
-        seen : the number of the revision that the operator saw; None for whichever is there.
+        seen : the number of the revision that the operator saw; None accepts any revision.
 
         Raises
         ======
 
         RevisionConflictError : another revision is in force.
-        UnknownOutcomeError : it may or may not have taken effect.
+        UnknownOutcomeError : the apply may or may not have taken effect.
         PlatformError : the service does not answer; nothing was changed.
         """
         applied = self._apply_once(checked, seen)
@@ -156,9 +157,9 @@
         return self._write(checked, base)
 
     def _forget(self, number: int) -> None:
-        """Delete one old revision; no pointer can come to name it any more.
+        """Delete one old revision, which no pointer can name any more.
 
-        Whatever fails here is left to lie: the file is in force already.
+        Failures are ignored, since the file is already in force.
         """
         if number <= NO_REVISION:
             return
@@ -170,7 +171,7 @@
     def _confirm_unchanged(
         self, checked: CheckedFile, base: Current, revision: Revision, seen: int | None
     ) -> Applied:
-        """Write the pointer's own value again: an old read must not pass for the present."""
+        """Rewrite the pointer with its current value, to detect that `base` is a stale read."""
         outcome = self._write_until_known(
             lambda: self._objects.update(
                 POINTER_KIND, CURRENT_POINTER, revision.to_pointer(), base.version
@@ -202,7 +203,7 @@
     def _recognise(
         self, checked: CheckedFile, proposal: Revision, base: Current, version: int
     ) -> Applied:
-        """Tell a refusal by this apply's own earlier copy from a refusal by another operator."""
+        """Determine whether a conflict was caused by this apply's own write or by another apply."""
         try:
             found = self._store.read_current(version)
             was_in_force = self._was_in_force(proposal, found)
@@ -218,7 +219,7 @@
         )
 
     def _write_revision(self, proposal: Revision) -> Revision:
-        """Create the revision object under the first free number."""
+        """Create the revision object with the first free number."""
         while True:
             number, value = proposal.number, proposal.to_value()
             outcome = self._write_until_known(
@@ -229,7 +230,7 @@
             proposal = proposal.renumber(number + 1)
 
     def _is_own(self, proposal: Revision) -> bool:
-        """Return whether the object that stands under the number is this apply's own."""
+        """Return whether the existing object with the proposal's number is this apply's own."""
         while True:
             found = self._store.read_revision(proposal.number)
             if found is not None:
@@ -243,7 +244,7 @@
         return self._objects.update(POINTER_KIND, CURRENT_POINTER, value, base.version)
 
     def _was_in_force(self, proposal: Revision, found: Current) -> bool:
-        """Return whether the proposal is in force, or an ancestor of what is."""
+        """Return whether the proposal is the revision in force or an ancestor of it."""
         revision = found.revision
         while revision is not None and revision.number > proposal.number:
             revision = self._store.read_revision(revision.previous) if revision.previous else None
@@ -252,9 +253,9 @@
     def _write_until_known(
         self, write: Callable[[], WriteOutcome], proposal: Revision | None = None
     ) -> Written | Conflict:
-        """Send a conditional write until the service says what it did.
+        """Send a conditional write until the service confirms its outcome.
 
-        Sending it again is safe: when the first copy took effect, the second is refused.
+        Repeating the write is safe: if the first attempt took effect, the second is refused.
         """
         may_have_run = False
         while True:
@@ -275,7 +276,9 @@
 
     def _pause(self) -> None:
         if self._clock.now_ms() >= self._deadline_ms:
-            raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "the platform serves old reads")
+            raise PlatformError(
+                ErrorKind.PLATFORM_UNAVAILABLE, "the platform serves stale reads of revisions"
+            )
         self._clock.sleep_ms(RETRY_PAUSE_MS)
 
     def _report(self, proposal: Revision, base: Current, version: int) -> Applied:
--- a/hemlockswitch/process/revisions/configuration.py
+++ b/hemlockswitch/process/revisions/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force in this process: its number only rises."""
+"""The configuration in force in this process; its revision number only increases."""
 
 from collections import deque
 from collections.abc import Callable
@@ -14,24 +14,23 @@
 
 KEPT_ADOPTIONS = 64
 MOST_KEPT_CHANGES = 4_096
-"""Single changes kept over all steps to serve differences to daemons that lag."""
+"""Changes retained over all adoptions, to serve differences to daemons that lag behind."""
 
 Listener = Callable[[Revision], None]
 
 
 @dataclass(frozen=True)
 class Adoption:
-    """One step of this process from a revision to a later one.
+    """A transition of this process from a revision to a later one.
 
     Parameters
     ==========
 
-    number : of the revision that came in force.
-    digest : its digest.
-    base_number, base_digest : of the revision before; 0 and empty for the first.
-    wall_ms : when it came in force here.
-    source : where it came from, such as ``platform``, a peer's address or ``news``.
-    changes : from the revision before; None where there is none or it was forgotten.
+    number, digest : of the revision that came in force.
+    base_number, base_digest : of the previous revision; 0 and empty for the first.
+    wall_ms : wall-clock time at which the revision came in force here.
+    source : where the revision came from, such as ``platform``, a peer's address or ``news``.
+    changes : from the previous revision; None if there is none or the changes were discarded.
     """
 
     number: int
@@ -44,18 +43,18 @@
 
 
 class Configuration:
-    """Holds the revision in force and the steps that led to it.
+    """Stores the revision in force and the latest adoptions that led to it.
 
     Explanation
     ===========
 
-    `adopt` replaces the one reference, so a request that reads `current` once sees one revision
-    whole. A lower number is never taken, wherever it comes from.
+    `adopt` replaces a single reference, so a request that reads `current` once sees one consistent
+    revision. A lower number is never adopted, regardless of its source.
 
     Parameters
     ==========
 
-    clock : the time.
+    clock : provides the time.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -66,22 +65,22 @@
 
     @property
     def current(self) -> Revision | None:
-        """The revision in force; None before the first."""
+        """The revision in force; None before the first adoption."""
         return self._current
 
     @property
     def revision(self) -> int:
-        """The number in force; 0 before the first."""
+        """The number of the revision in force; 0 before the first adoption."""
         return NO_REVISION if self._current is None else self._current.number
 
     @property
     def digest(self) -> str:
-        """The digest of the revision in force; empty before the first."""
+        """The digest of the revision in force; empty before the first adoption."""
         return "" if self._current is None else self._current.digest
 
     @property
     def is_ready(self) -> bool:
-        """Whether any revision is in force; a daemon takes no work before."""
+        """Whether a revision is in force; before that, a daemon accepts no work."""
         return self._current is not None
 
     @property
@@ -91,7 +90,7 @@
         Raises
         ======
 
-        ConfigurationError : none is in force yet.
+        ConfigurationError : no revision is in force yet.
         """
         if self._current is None:
             raise ConfigurationError(ErrorKind.NOT_READY, "no configuration is in force yet")
@@ -99,16 +98,16 @@
 
     @property
     def adoptions(self) -> tuple[Adoption, ...]:
-        """The latest steps, oldest first."""
+        """The latest adoptions, oldest first."""
         return tuple(self._adoptions)
 
     def adopt(self, revision: Revision, source: str = "") -> bool:
-        """Put a revision in force if it is higher than the one in force.
+        """Put a revision in force if its number is higher than that of the one in force.
 
         Returns
         =======
 
-        bool : whether it came in force.
+        bool : whether the revision came in force.
         """
         known = self._current
         if known is not None and revision.number <= known.number:
@@ -125,13 +124,13 @@
         return True
 
     def add_listener(self, listener: Listener) -> None:
-        """Call `listener` for each revision that comes in force, and now for the one in force."""
+        """Call `listener` now for the revision in force, and for each later one."""
         self._listeners.append(listener)
         if self._current is not None:
             listener(self._current)
 
     def find_changes(self, number: int, digest: str) -> tuple[Change, ...] | None:
-        """Return the changes from an earlier revision to the one in force, if they are kept."""
+        """Return the changes from an earlier revision to the one in force, if still retained."""
         found: list[Change] = []
         started = False
         for step in self._adoptions:
--- a/hemlockswitch/process/revisions/messages.py
+++ b/hemlockswitch/process/revisions/messages.py
@@ -1,4 +1,4 @@
-"""What daemons say to one another about revisions."""
+"""The messages and the gossip item about revisions."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True)
 class RevisionNews:
-    """The value of the news item about a revision.
+    """The value of the gossip item about a revision.
 
     Parameters
     ==========
 
     head : the revision's value without its file.
-    holder : peer address of a daemon that has the content.
+    holder : peer address of a daemon that has the revision's content.
     base_number, base_digest : the revision to which `changes` apply.
-    changes : None where they are too large for the news.
+    changes : None if there are none or they are too large for gossip.
     """
 
     head: dict[str, Any]
@@ -30,14 +30,14 @@
 
     @classmethod
     def from_item(cls, item: NewsItem | None) -> "RevisionNews | None":
-        """Return what an item says; None for no item and for one of another version."""
+        """Decode an item; return None for no item and for one in a different format."""
         try:
             return None if item is None else cls(*item.value)
         except TypeError:
             return None
 
     def to_item(self, number: int) -> NewsItem:
-        """Return the item that passes this on."""
+        """Return the gossip item with this value."""
         value = [self.head, self.holder, self.base_number, self.base_digest, self.changes]
         return NewsItem(REVISION_KEY, number, value)
 
@@ -45,13 +45,13 @@
 @register_message("revision-question")
 @dataclass(frozen=True)
 class RevisionQuestion:
-    """Asks for whatever is newer than `number`.
+    """Requests the revision in force at the receiver if it is newer than `number`.
 
     Parameters
     ==========
 
-    number, digest : the revision that the asker has; 0 and empty for none.
-    whole : whether whole content is wanted when no difference is known.
+    number, digest : the revision that the sender has; 0 and empty for none.
+    whole : whether to send the complete file if the difference is not available.
     """
 
     number: int
@@ -62,14 +62,14 @@
 @register_message("revision-answer")
 @dataclass(frozen=True)
 class RevisionAnswer:
-    """A revision as a difference, as a whole, or only as its number.
+    """The reply to `RevisionQuestion`: a difference, a complete file or only a head.
 
     Parameters
     ==========
 
-    head : the revision's value without its file; empty when the answerer has none.
-    changes : from the revision of the asker; None when that is not known.
-    file : the whole file's tree; None when it is not sent.
+    head : the revision's value without its file; empty if the replying daemon has none.
+    changes : from the requesting daemon's revision; None if they are not available.
+    file : the tree of the complete file; None if it is not sent.
     """
 
     head: dict[str, Any]
--- a/hemlockswitch/process/revisions/spread.py
+++ b/hemlockswitch/process/revisions/spread.py
@@ -1,13 +1,14 @@
-"""Spreads revisions between daemons: small changes with the news, the rest asked from a peer.
+"""Disseminates revisions: small changes by gossip, everything else on request from a peer.
 
 Explanation
 ===========
 
-The news item ``revision`` carries the number, the address of a daemon that holds the content, and
-the changes from the revision before where these are small. A daemon that has that revision adopts
-at once. Any other asks a peer by its own number and digest and gets the difference. Whole content
-goes only to a daemon that has none, or when no peer that was asked knows a difference. The
-platform is asked last, and only by the daemons that watch it anyway when all is well.
+The gossip item ``revision`` carries the number, the address of a daemon that has the content, and
+the changes from the previous revision if they are small. A daemon that has the previous revision
+adopts the new one immediately. Any other sends its own number and digest to a peer and receives
+the difference. The complete file is sent only to a daemon without a revision, or if none of the
+queried peers has the difference. The platform is read last; in normal operation only by the
+daemons that watch it.
 """
 
 import random
@@ -44,14 +45,14 @@
 NEAR_PEERS_ASKED = 3
 FAR_PEERS_ASKED = 3
 PLATFORM_AFTER_MS = 5_000
-"""How long peers are tried before the platform; the daemons that watch it come sooner."""
+"""How long peers are tried before the platform; daemons that watch the platform read it sooner."""
 MOST_NEWS_CHANGES_BYTES = 4_096
-"""Larger differences are asked for instead of going along with the news."""
+"""Larger differences are not included in the gossip item; peers request them."""
 
 
 @dataclass
 class SpreadCounts:
-    """How this daemon received its revisions, for the metrics and /status."""
+    """How many revisions this daemon received from each source, for metrics and /status."""
 
     by_news: int = 0
     by_difference: int = 0
@@ -61,16 +62,17 @@
 
 
 class RevisionSpread:
-    """Keeps this daemon's configuration at the highest revision that its peers know.
+    """Updates this daemon's configuration to the highest revision that its peers have.
 
     Parameters
     ==========
 
-    configuration : what is in force here.
-    board : the news.
-    network : the streams to peers.
-    list_peers : peer addresses of running daemons, the nearest first.
-    read_platform : reads what the platform says is in force; raises `HemlockError`.
+    configuration : the configuration of this daemon.
+    board : the gossip items.
+    network : the connections to peers.
+    list_peers : returns the peer addresses of running daemons, the nearest first.
+    read_platform : reads the revision that the platform's pointer names; raises `HemlockError`.
+    clock : provides the time.
     """
 
     def __init__(
@@ -97,12 +99,12 @@
 
     @property
     def wanted(self) -> int:
-        """The highest number that this daemon has heard of."""
+        """The highest revision number that this daemon has received by gossip."""
         item = self._board.find(REVISION_KEY)
         return NO_REVISION if item is None else item.version
 
     def catch_up(self) -> bool:
-        """Try once to reach the highest known revision; return whether it is in force."""
+        """Try once to adopt the highest announced revision; return whether it is in force."""
         if self._is_behind():
             self._adopt_from_news()
         if self._is_behind():
@@ -112,7 +114,7 @@
         return not self._is_behind()
 
     def check_peers(self) -> None:
-        """Take what is newer at a peer without having heard of it: for who hears no news."""
+        """Adopt a newer revision from a peer, for a process that does not receive gossip."""
         if not self._configuration.is_ready:
             self._adopt_from_peers()
             return
@@ -123,7 +125,7 @@
                 return
 
     def run(self) -> None:
-        """Catch up for ever: at once when there is news, and again until it succeeds."""
+        """Catch up after each announcement, with retries until it succeeds, without end."""
         pause_ms = FIRST_PAUSE_MS
         while True:
             self._wake.clear()
@@ -136,7 +138,7 @@
             pause_ms = min(pause_ms * 2, LONGEST_PAUSE_MS)
 
     def _is_behind(self) -> bool:
-        """Return whether there is a higher revision, or none in force at all."""
+        """Return whether a higher revision was announced, or no revision is in force."""
         return not self._configuration.is_ready or self._configuration.revision < self.wanted
 
     def _adopt_from_news(self) -> None:
@@ -150,7 +152,7 @@
             self.counts.by_news += 1
 
     def _adopt_from_peers(self) -> None:
-        """Ask peers for the difference; only when none knew one, ask again for the whole."""
+        """Request the difference from peers; if none has it, request the complete file."""
         addresses = self._choose_peers()
         if self._configuration.is_ready:
             for address in addresses:
@@ -163,7 +165,7 @@
                 return
 
     def _rank_by_number(self, addresses: list[str]) -> list[str]:
-        """Return the peers that have a revision, the highest first: a new daemon begins there."""
+        """Return the peers that have a revision, the highest number first."""
         asked = [gevent.spawn(self._find_number, address) for address in addresses]
         gevent.joinall(asked)
         numbers = {address: task.value for address, task in zip(addresses, asked, strict=True)}
@@ -186,7 +188,7 @@
         return [news.holder, *(address for address in chosen if address != news.holder)]
 
     def _ask(self, address: str, whole: bool) -> bool:
-        """Ask one peer and adopt what it gives; return whether this daemon has caught up."""
+        """Request from one peer and adopt its answer; return whether this daemon is up to date."""
         answer = self._fetch(address, whole)
         if answer is not None:
             self._take(answer, address)
@@ -250,7 +252,7 @@
         return RevisionAnswer(current.to_head(), None, current.tree if question.whole else None)
 
     def _publish(self, revision: Revision) -> None:
-        """Tell the others, with the changes where they are small."""
+        """Announce a revision by gossip, including the changes if they are small."""
         step = self._configuration.adoptions[-1]
         rows = None if step.changes is None else pack_changes(step.changes)
         if rows is not None and len(msgpack.packb(rows)) > MOST_NEWS_CHANGES_BYTES:
--- a/hemlockswitch/process/revisions/store.py
+++ b/hemlockswitch/process/revisions/store.py
@@ -1,4 +1,4 @@
-"""Reads the revisions and the pointer that the platform's object service holds."""
+"""Reads the revisions and their pointer from the platform's object service."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -23,13 +23,13 @@
 
 @dataclass(frozen=True)
 class Current:
-    """What the platform says is in force.
+    """The revision that the platform's pointer names.
 
     Parameters
     ==========
 
-    version : the pointer's version in the service; 0 when there is none.
-    revision : the revision it names; None when there is none.
+    version : the pointer's version in the service; 0 if there is no pointer.
+    revision : the revision that the pointer names; None if there is no pointer.
     """
 
     version: int
@@ -37,19 +37,19 @@
 
     @property
     def number(self) -> int:
-        """The revision's number; 0 when there is none."""
+        """The revision's number; 0 if there is none."""
         return NO_REVISION if self.revision is None else self.revision.number
 
 
 class RevisionStore:
-    """Reads revisions and the pointer of one object service.
+    """Reads revisions and their pointer from an object service.
 
     Parameters
     ==========
 
     objects : the platform's object service.
-    clock : the time.
-    patience_ms : how long one operation tries before it gives up.
+    clock : provides the time.
+    patience_ms : time limit for the attempts of one operation.
     """
 
     def __init__(
@@ -60,24 +60,24 @@
         self._patience_ms = patience_ms
 
     def read_revision(self, number: int) -> Revision | None:
-        """Return a revision object, or None where there is none.
+        """Return a revision, or None if it does not exist.
 
         Raises
         ======
 
         PlatformError : the service does not answer.
-        ConfigurationError : the object is damaged.
+        ConfigurationError : the stored object is corrupt.
         """
         stored = self._read_object(REVISION_KIND, str(number))
         return None if stored is None else Revision.from_value(stored.value)
 
     def read_current(self, at_least: int = NO_VERSION) -> Current:
-        """Return what the pointer says, waiting out reads older than version `at_least`.
+        """Return the revision that the pointer names, retrying reads older than `at_least`.
 
         Raises
         ======
 
-        PlatformError : the service does not answer, or answers only with old reads.
+        PlatformError : the service does not answer, or serves only stale reads.
         """
         deadline_ms = self._clock.now_ms() + self._patience_ms
         while True:
@@ -86,7 +86,8 @@
                 return current
             if self._clock.now_ms() >= deadline_ms:
                 raise PlatformError(
-                    ErrorKind.PLATFORM_UNAVAILABLE, "the platform serves only old reads"
+                    ErrorKind.PLATFORM_UNAVAILABLE,
+                    "the platform serves only stale reads of the revision pointer",
                 )
             self._clock.sleep_ms(RETRY_PAUSE_MS)
 
@@ -112,16 +113,17 @@
 
 
 def read_pointer(value: Any) -> StoredPointer:
-    """Return the pointer in a stored value.
+    """Decode the pointer in a stored value.
 
     Raises
     ======
 
-    ConfigurationError : it is not a pointer.
+    ConfigurationError : the value is not a pointer.
     """
     try:
         return StoredPointer.model_validate(value)
     except ValidationError as error:
         raise ConfigurationError(
-            ErrorKind.INVALID_CONFIGURATION, "the pointer in the platform is not one"
+            ErrorKind.INVALID_CONFIGURATION,
+            "the platform's pointer object does not contain a revision pointer",
         ) from error
--- a/hemlockswitch/process/revisions/tasks.py
+++ b/hemlockswitch/process/revisions/tasks.py
@@ -1,4 +1,4 @@
-"""A daemon's configuration and the tasks that keep it current and say so to operators."""
+"""A daemon's configuration, and the tasks that update it and report it to operators."""
 
 import random
 from collections.abc import Callable
@@ -17,38 +17,38 @@
 from hemlockswitch.version.revisions import CURRENT_POINTER, POINTER_KIND
 
 READ_PATIENCE_MS = 0.0
-"""The tasks that read have their own pauses; one call fails at once."""
+"""A read is not retried: the tasks that read have their own retry intervals."""
 
 
 def follow_pointer(configuration: Configuration, store: RevisionStore, item: StoredObject) -> None:
-    """Put the revision that the pointer names in force, if it is higher.
+    """Put the revision that the pointer names in force, if its number is higher.
 
     Raises
     ======
 
-    PlatformError : the platform does not show the revision yet; the pointer is to be asked again.
+    PlatformError : the platform does not show the revision yet; the pointer must be read again.
     """
     pointer = read_pointer(item.value)
     if pointer.number <= configuration.revision:
         return
     revision = store.read_revision(pointer.number)
     if revision is None or revision.digest != pointer.digest:
-        detail = f"revision {pointer.number} cannot be read yet"
+        detail = f"revision {pointer.number} cannot be read from the platform yet"
         raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, detail)
     configuration.adopt(revision, "platform")
 
 
 class RevisionTasks:
-    """Wires a daemon's configuration to the platform, its peers and its zone's status.
+    """Connects a daemon's configuration with the platform, its peers and its zone's status.
 
     Parameters
     ==========
 
-    facts : the daemon's members, news, network and platform client.
+    facts : the daemon's members, gossip items, network and platform client.
     name, zone, program : of the daemon.
     clock : the daemon's clock.
-    is_ready : whether the daemon takes new work.
-    describe : a few numbers more for the zone's status.
+    is_ready : returns whether the daemon accepts new work.
+    describe : returns further values for the zone's status.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         follow_pointer(self.configuration, self._store, item)
 
     def list_peers(self) -> list[str]:
-        """Return the peer addresses of the other live daemons, those of this zone first."""
+        """Return the peer addresses of the live peers, those of this zone first."""
         members = [one for one in self._list_live() if one.name != self._name]
         random.shuffle(members)
         members.sort(key=lambda member: member.zone != self._zone)
@@ -112,7 +112,7 @@
         ]
 
     def make_report(self) -> DaemonReport:
-        """Return what this daemon says of itself."""
+        """Return this daemon's report for the zone's status."""
         return DaemonReport(
             self._name,
             self._program,
--- a/hemlockswitch/process/status/__init__.py
+++ b/hemlockswitch/process/status/__init__.py
@@ -1,4 +1,5 @@
-"""What an operator sees of the fleet.
+"""The state of the fleet for operators.
 
-`fleet_view` and `zone_view` join what daemons say; `zone_status` writes it down.
+`zone_status` collects the reports of daemons and writes them to the platform; `fleet_view`,
+`zone_view` and `fleet_events` present the platform's state.
 """
--- a/hemlockswitch/process/status/fleet_events.py
+++ b/hemlockswitch/process/status/fleet_events.py
@@ -1,4 +1,4 @@
-"""What happens in the system as an operator sees it: the changes of the platform's objects."""
+"""Events of the system for operators, derived from changes of the platform's objects."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import asdict, dataclass
@@ -21,10 +21,10 @@
 
 
 class WatchedPlatform(Protocol):
-    """What is asked of the platform."""
+    """The operations of the platform that `FleetEvents` needs."""
 
     def watch(self, kind: str, since: int, wait_ms: int, prefix: str = "") -> ObjectPage:
-        """Return what changed after a version."""
+        """Return the objects that changed after a version."""
 
     def list_vms(self, zone: str = "") -> VmList:
         """Return the VM list."""
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True)
 class FleetEvent:
-    """One thing that happened.
+    """An event.
 
     Parameters
     ==========
 
     what : ``revision``, ``lease``, ``zone``, ``vm`` or ``platform``.
-    name : of the zone or the VM; empty for a revision.
-    text : one sentence for people.
+    name : name of the object, such as a zone or a VM; empty for a revision.
+    text : human-readable description.
     """
 
     what: str
@@ -47,18 +47,18 @@
     text: str
 
     def describe(self) -> dict[str, Any]:
-        """Return the event for a program."""
+        """Return the event's JSON-ready form."""
         return asdict(self)
 
 
 class FleetEvents:
-    """Follows the platform and passes on what changes.
+    """Watches the platform and yields an event for each change.
 
     Parameters
     ==========
 
     platform : the platform.
-    clock : the time.
+    clock : provides the time.
     """
 
     def __init__(self, platform: WatchedPlatform, clock: Clock) -> None:
@@ -68,7 +68,7 @@
         self._said: dict[tuple[str, str], str] = {}
 
     def follow(self, duration_ms: float | None) -> Iterator[FleetEvent]:
-        """Yield events as they come, for so long or for ever."""
+        """Yield events as they occur, for `duration_ms` or without end."""
         tasks = [
             gevent.spawn(self._watch, POINTER_KIND, "revision", _describe_pointer),
             gevent.spawn(self._watch, LEASE_KIND, "lease", _describe_lease),
@@ -111,7 +111,7 @@
             self._clock.sleep_ms(VM_LIST_PAUSE_MS)
 
     def _say(self, what: str, name: str, text: str) -> None:
-        """Pass an event on unless it says what was said last."""
+        """Emit an event, unless its text equals the previous one of the same subject."""
         if self._said.get((what, name)) != text:
             self._said[what, name] = text
             self._queue.put(FleetEvent(what, name, text))
--- a/hemlockswitch/process/status/fleet_view.py
+++ b/hemlockswitch/process/status/fleet_view.py
@@ -1,4 +1,4 @@
-"""The running copies against the licence, as the VM list and the file in force show them."""
+"""The number of copies compared to the licence, from the VM list and the operator file."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -9,7 +9,7 @@
 from hemlockswitch.version.models import Model, OperatorFile, Service
 
 COUNTED_STATES = ("live", "starting", "leaving")
-"""A leaving copy holds its licence until its VM has stopped."""
+"""A leaving copy uses a licence until its VM has stopped."""
 
 
 @dataclass(frozen=True)
@@ -19,9 +19,9 @@
     Parameters
     ==========
 
-    live, starting, leaving : VMs of the list that serve it, by state.
-    licensed, min_copies : from the file in force.
-    limited_by : what keeps it from having more capacity, in a few words; empty for nothing.
+    live, starting, leaving : numbers of VMs that serve it, by state.
+    licensed, min_copies : from the operator file in force.
+    limited_by : short description of what limits its capacity; empty if nothing does.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
 
 def count_copies(file: OperatorFile, vms: Iterable[ListedVm]) -> list[CopyCount]:
-    """Return the copies of every model and service of the file."""
+    """Return the copy counts of every model and service of the operator file."""
     states = Counter((vm.serves, vm.state) for vm in vms)
     targets: Sequence[Model | Service] = (*file.models, *file.services)
     return [_count_target(target, states) for target in targets]
@@ -56,23 +56,23 @@
 
 def _find_limit(target: Model | Service, live: int, held: int) -> str:
     if held > target.licensed_copies:
-        return "over the licence"
+        return "the licence, which is exceeded"
     if held == target.licensed_copies:
-        return "the licence: every copy is held"
+        return "the licence: every licensed copy is in use"
     if live < target.min_copies:
         return "copies missing: starts are pending or refused"
     return ""
 
 
 def describe_copies(count: CopyCount) -> dict[str, Any]:
-    """Return a count for a program."""
+    """Return the JSON-ready form of a count."""
     return asdict(count)
 
 
 def format_copies(count: CopyCount) -> str:
-    """Return a count for people."""
+    """Return a human-readable line for a count."""
     held = count.live + count.starting + count.leaving
-    line = f"{count.name}: {held} of {count.licensed} licensed copies held"
+    line = f"{count.name}: {held} of {count.licensed} licensed copies in use"
     line += f" ({count.live} live, {count.starting} starting, {count.leaving} leaving;"
     line += f" at least {count.min_copies})"
     return f"{line}; limited by {count.limited_by}" if count.limited_by else line
--- a/hemlockswitch/process/status/zone_status.py
+++ b/hemlockswitch/process/status/zone_status.py
@@ -1,13 +1,13 @@
-"""What each zone tells operators: one object in the platform, written by one daemon at a low rate.
+"""The status of each zone for operators: a platform object written by one daemon at a low rate.
 
 Explanation
 ===========
 
 Every daemon sends a short report to its zone's reporter, the first of the rendezvous order over
-the zone's live daemons: at once when a revision comes in force, and otherwise seldom. The
-reporter writes ``status/<zone>``. So the platform's writes grow with the number of zones and not
-of daemons, and a zone that is cut off from the platform goes silent as a whole, with the age of
-its last word.
+the zone's live daemons: immediately when a revision comes in force, and otherwise at a long
+interval. The reporter writes ``status/<zone>``. So the number of platform writes grows with the
+number of zones, not of daemons. If a zone is disconnected from the platform, the whole zone's
+status stops changing, and its age shows for how long.
 """
 
 import random
@@ -38,16 +38,16 @@
 @register_message("daemon-report")
 @dataclass(frozen=True)
 class DaemonReport:
-    """What one daemon says of itself.
+    """A daemon's report about itself.
 
     Parameters
     ==========
 
-    name : of the daemon.
-    program : such as ``hemlock-entry``.
-    revision, digest : what is in force there; 0 and empty before the first.
-    ready : whether it takes new work.
-    details : a few numbers more, for people.
+    name : name of the daemon.
+    program : its program, such as ``hemlock-entry``.
+    revision, digest : of the revision in force there; 0 and empty before the first.
+    ready : whether it accepts new work.
+    details : further values for operators.
     """
 
     name: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class ZoneMember:
-    """A live daemon of the zone as the membership knows it."""
+    """A live daemon of the zone, according to the membership."""
 
     name: str
     peer_address: str
@@ -73,17 +73,17 @@
 
 
 class ZoneStatus:
-    """One daemon's part in its zone's status: it reports, and writes when it is its turn.
+    """Sends this daemon's reports, and writes the zone's status while it is the reporter.
 
     Parameters
     ==========
 
     zone, name : of this daemon.
     describe : returns this daemon's report.
-    list_members : the live daemons of the zone, this one among them.
-    network : the streams to peers.
+    list_members : returns the live daemons of the zone, including this one.
+    network : the connections to peers.
     objects : the platform's object service.
-    clock : the time.
+    clock : provides the time.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         network.handle(DaemonReport, self._hear, quick=True)
 
     def report_soon(self) -> None:
-        """Send a report without waiting for the interval; returns at once."""
+        """Request a report before the interval is over, without blocking."""
         self._wake_report.set()
 
     def report(self) -> None:
@@ -123,7 +123,7 @@
             self._network.send(reporter.peer_address, report)
 
     def write(self) -> bool:
-        """Write the zone's status if it is this daemon's turn; return whether it was written.
+        """Write the zone's status if this daemon is the reporter; return whether it was written.
 
         Raises
         ======
@@ -176,7 +176,7 @@
             self._wake_write.set()
 
     def run_reports(self) -> None:
-        """Report for ever: on a change, to a new reporter, and after each interval."""
+        """Report on a change, to a new reporter and after each interval, without end."""
         told: ZoneMember | None = None
         due_ms = 0.0
         while True:
@@ -189,7 +189,7 @@
             self._wake_report.wait(REPORTER_CHECK_MS / MS_PER_SECOND)
 
     def run_writes(self) -> None:
-        """Write for ever, whenever it is this daemon's turn."""
+        """Write the status periodically while this daemon is the reporter, without end."""
         failing = False
         while True:
             self._wake_write.wait(WRITE_INTERVAL_MS / MS_PER_SECOND)
--- a/hemlockswitch/process/status/zone_view.py
+++ b/hemlockswitch/process/status/zone_view.py
@@ -1,4 +1,4 @@
-"""What an operator's command makes of the zones' status objects."""
+"""Interprets the zones' status objects for the operator's commands."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -17,8 +17,9 @@
     Explanation
     ===========
 
-    ``waiting``: the zone has given a word since the revision was applied, and not all of its
-    daemons have it. ``silent``: it has not given one; ``never_heard``: it never gave any.
+    ``waiting``: the zone has written its status since the revision was applied, and not all of its
+    daemons have the revision. ``silent``: it has not written its status since then.
+    ``never_heard``: it has no readable status.
     """
 
     IN_FORCE = "in_force"
@@ -54,17 +55,18 @@
 
 @dataclass(frozen=True)
 class ZoneView:
-    """One zone as its last word shows it.
+    """A zone according to its last written status.
 
     Parameters
     ==========
 
-    zone : its name.
-    state : against the revision that was asked for.
-    age_ms : how old the last word is, by the wall clocks of both ends; None where there is none.
-    revisions : the lowest and the highest revision in force there.
+    zone : name of the zone.
+    state : whether the requested revision is in force in the zone.
+    age_ms : age of the status, from the wall clocks of its writer and its reader; None if there is
+        no status.
+    revisions : the lowest and the highest revision in force in the zone.
     behind : names of the daemons that do not have the revision yet.
-    daemons : all that the zone says.
+    daemons : the reported daemons.
     """
 
     zone: str
@@ -82,21 +84,21 @@
     version: int,
     now_wall_ms: int,
 ) -> list[ZoneView]:
-    """Return every zone's view against a revision, in the order of `zones`.
+    """Return the view of every zone with respect to a revision, in the order of `zones`.
 
     Explanation
     ===========
 
-    A zone is in force when its word says that each of its live daemons has the revision or a
-    later one, however old the word is: numbers only rise. Whether a word is older than the apply
-    is told by the platform's versions and not by clocks.
+    The revision is in force in a zone if the zone's status shows it or a later one for each live
+    daemon, regardless of the status's age: revision numbers only increase. Whether a status is
+    older than the apply is decided by the platform's versions, not by clocks.
 
     Parameters
     ==========
 
     objects : the zones' status objects.
-    number : of the revision.
-    version : of the pointer when it was moved to the revision.
+    number : the number of the revision.
+    version : the version of the pointer when it was moved to the revision.
     """
     stored = {one.name: one for one in objects}
     return [_view_zone(zone, stored.get(zone), number, version, now_wall_ms) for zone in zones]
@@ -128,7 +130,7 @@
 
 
 def sum_refusals(daemons: Iterable[StoredDaemon]) -> dict[str, int]:
-    """Return how often each limit refused a request, over these daemons since they started."""
+    """Return the number of requests that each limit refused, summed over these daemons."""
     total: Counter[str] = Counter()
     for daemon in daemons:
         refused = daemon.details.get("refused")
--- a/tests/memory_store.py
+++ b/tests/memory_store.py
@@ -1,4 +1,4 @@
-"""An object service in memory, for tests of what is kept there."""
+"""An in-memory object service for tests of stored records."""
 
 from hemlockswitch.connection.stored_objects import (
     Conflict,
@@ -11,7 +11,7 @@
 
 
 class MemoryStore:
-    """Objects by name; `is_away` fails every call, `loses` counts the answers of writes to lose."""
+    """Objects by name; `is_away` fails every call, `loses` is the number of lost write answers."""
 
     def __init__(self):
         self.objects = {}
@@ -20,7 +20,7 @@
         self.is_away = False
 
     def read(self, kind, name):
-        """Return an object, or None."""
+        """Return an object, or None if it does not exist."""
         self.check()
         return self.objects.get(name)
 
@@ -30,12 +30,12 @@
         return ObjectPage(tuple(self.objects.values()), self.version)
 
     def create(self, kind, name, value):
-        """Write an object that must not exist yet."""
+        """Create an object; conflicts if it exists."""
         self.check()
         return Conflict(1) if name in self.objects else self._put(kind, name, value)
 
     def update(self, kind, name, value, version):
-        """Write an object whose version must be `version`."""
+        """Replace an object if it is at this version."""
         self.check()
         known = self.objects.get(name)
         if known is None or known.version != version:
@@ -55,7 +55,7 @@
             raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "away")
 
     def note_change(self):
-        """Something was written."""
+        """Called after each change; subclasses override it."""
 
     def _put(self, kind, name, value):
         self.version += 1
--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -1,4 +1,8 @@
-"""An apply takes effect whole or not at all, whatever becomes of its writes."""
+"""Tests of applying a configuration.
+
+They guard against an apply that takes effect in part or twice, or overwrites another operator's
+revision, because the answer of a write is lost, a read is stale or the apply stops midway.
+"""
 
 import json
 
@@ -19,7 +23,7 @@
 
 
 class FakeObjects:
-    """An object service in memory; `plan` gives the fate of each pointer write in turn."""
+    """An in-memory object service; `plan` lists the outcomes of the writes of the pointer."""
 
     def __init__(self):
         self.objects = {}
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,8 @@
-"""The revision in force only rises, and a daemon catches up by differences from its peers."""
+"""Tests of the configuration in force and of its dissemination.
+
+They guard against a daemon that returns to an older revision because of a stale read or a late
+message, and against one that misses a revision or requests the complete file needlessly.
+"""
 
 import json
 
@@ -46,7 +50,7 @@
 
 
 class Daemon:
-    """The parts of a daemon that hold and spread revisions."""
+    """The parts of a daemon that store and disseminate revisions."""
 
     def __init__(self, peers=(), platform=None):
         self.configuration = Configuration(SystemClock())
@@ -154,7 +158,7 @@
 
 
 class StalePlatform:
-    """A platform whose reads are all of revision 1."""
+    """A platform that always returns revision 1."""
 
     def read(self, kind, name):
         revision = make_revision(1)
@@ -175,7 +179,7 @@
 
 
 class OldWatch:
-    """A platform whose first watch answers an old pointer together with its newest version."""
+    """A platform whose first watch returns a stale pointer with the newest list version."""
 
     def __init__(self):
         self.asked = 0
--- a/tests/test_zone_status.py
+++ b/tests/test_zone_status.py
@@ -1,4 +1,8 @@
-"""A zone's word to operators: who writes it, and what a command makes of it."""
+"""Tests of the zones' status objects.
+
+They guard against a status that several daemons write or none, and against a revision that is
+shown as in force in a zone where a daemon lacks it.
+"""
 
 import pytest
 
@@ -12,7 +16,7 @@
 
 
 class FakeNetwork:
-    """Collects what is sent, and keeps the handlers."""
+    """Records the sent messages and the registered handlers."""
 
     def __init__(self):
         self.sent = []
@@ -26,7 +30,7 @@
 
 
 class FakeObjects:
-    """One object that conflicts unless the version is right."""
+    """A single object with conditional writes."""
 
     def __init__(self):
         self.version = 0
