--- a/hemlockswitch/process/controller.py
+++ b/hemlockswitch/process/controller.py
@@ -1,4 +1,4 @@
-"""The controller daemon: its parts, wired together, started and stopped in order."""
+"""The controller daemon: builds, connects, starts and stops its parts."""
 
 from collections.abc import Callable
 from typing import Self
@@ -40,20 +40,20 @@
 
 
 class CurrentFile:
-    """The configuration that the controller compares with; its number only rises.
+    """The configuration that the controller works towards; its revision number only increases.
 
     Explanation
     ===========
 
-    The platform may serve an old read, and a controller that starts then knows nothing newer; so
-    the entry daemons are asked as well, by difference once the controller has a revision.
+    The platform may serve a stale read, which a newly started controller could not detect; so the
+    entry daemons are queried as well, for the difference once the controller has a revision.
 
     Parameters
     ==========
 
-    platform : the controller's client.
-    network : its peer network.
-    list_daemons : peer addresses of entry daemons.
+    platform : the controller's client of the platform.
+    network : the controller's connections to peers.
+    list_daemons : returns the peer addresses of entry daemons.
     clock : the process's clock.
     """
 
@@ -73,11 +73,11 @@
 
     @property
     def number(self) -> int:
-        """The number of the revision in force here; 0 before the first."""
+        """The number of the revision in force here; 0 before the first adoption."""
         return self._configuration.revision
 
     def refresh(self) -> OperatorFile | None:
-        """Return the newest file that the daemons or the platform name, or the last one known."""
+        """Adopt a newer revision from the daemons or the platform; return the file in force."""
         self._spread.check_peers()
         stored = self._platform.read(POINTER_KIND, CURRENT_POINTER)
         if stored is not None:
@@ -86,7 +86,7 @@
 
 
 class ControllerMetrics:
-    """What the controller shows of itself."""
+    """The metrics of the controller."""
 
     def __init__(self, clock: Clock) -> None:
         self.registry = CollectorRegistry()
@@ -96,17 +96,17 @@
         )
 
     def render(self) -> bytes:
-        """Return the Prometheus text."""
+        """Return the metrics as Prometheus text."""
         return generate_latest(self.registry)
 
 
 class ControllerDaemon:
-    """One `hemlock-controller` process: a candidate for its zone's lease, or the leader.
+    """A `hemlock-controller` process: a candidate for its zone's lease, or its holder.
 
     Parameters
     ==========
 
-    settings : the checked settings file.
+    settings : the validated settings.
     clock : the process's clock.
     """
 
@@ -138,7 +138,7 @@
 
     @classmethod
     def from_settings(cls, settings: ControllerSettings) -> Self:
-        """Return a daemon on the system's clock."""
+        """Return a daemon that uses the system's clock."""
         return cls(settings, SystemClock())
 
     def _make_controller(self) -> Controller:
@@ -169,7 +169,7 @@
         return CallerServer(address, application, PAGE_TIMEOUT_MS)
 
     def start(self) -> dict[str, str]:
-        """Open the sockets, spawn the tasks, and return the addresses that are bound."""
+        """Open the sockets, spawn the tasks and return the bound addresses."""
         self._pages.start()
         peer_address = self._network.start()
         watch, is_leader = self._reclaims.watch_forever, lambda: self.lease.is_held
@@ -181,7 +181,7 @@
         return {"control": self._pages.bound_address, "peers": peer_address}
 
     def stop(self) -> None:
-        """End the tasks between two orders, then give the lease back."""
+        """Stop the tasks, then release the lease."""
         gevent.killall(self._tasks)
         self.lease.release()
         self._network.stop()
--- a/hemlockswitch/process/departure.py
+++ b/hemlockswitch/process/departure.py
@@ -1,4 +1,4 @@
-"""The end of an entry daemon's life: told by a signal or a reclaim notice, it leaves in order."""
+"""The shutdown of an entry daemon, started by a signal or a reclaim notice."""
 
 from collections.abc import Callable
 
@@ -33,17 +33,17 @@
 
 
 class Departure:
-    """Hears that this daemon is to leave, and hands over what it still has.
+    """Detects that this daemon must leave, and hands over its generations.
 
     Parameters
     ==========
 
-    settings : of this daemon.
-    facts : its board, members and peer network.
+    settings : settings of this daemon.
+    facts : its gossip items, members and peer network.
     clock : the process's clock.
     relay : the generations in progress.
-    opener : ends the engine streams of generations that nobody fetched.
-    count : counts what becomes of generations.
+    opener : ends the engine streams of generations that were not fetched.
+    count : called with the outcome of each generation.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
     def build_resuming(
         self, admission: Admission, records: RequestRecords, serving: Serving
     ) -> Resuming:
-        """Return the service of the requests that were handed over."""
+        """Return the service that resumes requests handed over to this daemon."""
         return Resuming(
             name=self._settings.name,
             clock=self._clock,
@@ -92,12 +92,12 @@
         )
 
     def request(self) -> None:
-        """Leave within the grace of the settings; for signals."""
+        """Request a departure within the settings' grace period; called by signal handlers."""
         self.handover.set_deadline(self._clock.now_ms() + self._settings.stop_grace_ms)
         self.told.set()
 
     def run(self, is_busy: Callable[[], bool]) -> None:
-        """Tell the peers, then let end what fits and hand over the rest."""
+        """Announce the departure, finish what fits in the time and hand over the remainder."""
         self.request()
         if self._facts.membership is not None:
             self._facts.membership.leave()
@@ -119,7 +119,7 @@
         self._leave_in(left_ms)
 
     def _hear_leaving(self, name: str, deadline_wall_ms: int) -> None:
-        # The VM list says that it leaves, not when.
+        # The VM list shows that the VM is leaving, but not when.
         if name == self._settings.name and not deadline_wall_ms:
             self._leave_in(UNKNOWN_NOTICE_MS)
 
@@ -129,7 +129,7 @@
         self.told.set()
 
     def _list_holders(self) -> list[HandoverMember]:
-        """Return the entry daemons that may hold states: live ones and leaving ones."""
+        """Return the entry daemons that may store states, both live and leaving ones."""
         membership = self._facts.membership
         members = membership.list_members() if membership is not None else []
         return [
--- a/hemlockswitch/process/entry.py
+++ b/hemlockswitch/process/entry.py
@@ -1,4 +1,4 @@
-"""The entry daemon: its parts, wired together, started and stopped in order."""
+"""The entry daemon: builds, connects, starts and stops its parts."""
 
 from typing import Any, Self
 
@@ -47,23 +47,23 @@
 
 CLAIM_FLUSH_MS = 3_000.0
 ENDED_CONNECT_MS = 50.0
-"""How long a server that cut a connection is asked for another one; a refusal takes a crossing, and the
-request waits for it."""
+"""Timeout of a test connection to a server that broke a connection. A refusal arrives within one
+network round trip, and the request waits for it."""
 
 
 class EntryDaemon:
-    """One `hemlock-entry` process.
+    """A `hemlock-entry` process.
 
     Explanation
     ===========
 
-    `__init__` builds the parts, lowest first; `start` opens the sockets and spawns the tasks;
-    `stop` ends them gracefully. Each part owns its sockets and state.
+    `__init__` builds the parts, lowest layer first; `start` opens the sockets and spawns the
+    tasks; `stop` ends them gracefully. Each part owns its sockets and state.
 
     Parameters
     ==========
 
-    settings : the checked settings file.
+    settings : the validated settings.
     clock : the process's clock.
     """
 
@@ -81,11 +81,11 @@
 
     @classmethod
     def from_settings(cls, settings: EntrySettings) -> Self:
-        """Return a daemon on the system's clock."""
+        """Return a daemon that uses the system's clock."""
         return cls(settings, SystemClock())
 
     def _build_facts(self) -> None:
-        """Build what the daemon knows: backend servers and the configuration in force."""
+        """Build the daemon's view of the cluster and the configuration in force."""
         self.facts = Facts.from_settings(self.settings, "entry", self.clock)
         self.board = self.facts.board
         self.directory = self.facts.directory
@@ -114,7 +114,7 @@
         self.status.add("name", lambda: self.settings.name)
 
     def _build_requests(self) -> None:
-        """Build the path of a request."""
+        """Build the parts that a request passes through."""
         client = BackendClient()
         self.tracing = Tracing.from_setting(self.settings.traces, self.settings.name)
         reports = RequestReports(self.metrics, self.tracing)
@@ -125,7 +125,7 @@
         self._build_departure()
 
     def _build_guard(self) -> None:
-        """Build what holds back requests under which backend servers end."""
+        """Build the quarantine of requests that crash backend servers."""
         self.quarantine = Quarantine(self.clock)
         process = f"{self.settings.name}/{self.clock.wall_ms()}"
         news = SuspectNews(
@@ -151,7 +151,7 @@
         return membership is not None and membership.is_isolated
 
     def _build_relay(self, client: BackendClient, reports: RequestReports) -> None:
-        """Build what chooses a backend server and relays its stream."""
+        """Build the parts that choose a backend server and relay its stream."""
         self.router = Router(
             self.directory, self._find_traits, await_facts=self.facts.freshness.await_facts
         )
@@ -178,7 +178,7 @@
         self.sweep = OverdueSweep(self.relay, self.clock)
 
     def _build_service_calls(self, client: BackendClient, reports: RequestReports) -> None:
-        """Build the calls of plain services and the claims that make them run once."""
+        """Build the calls to plain services, and the claims that prevent repeated runs."""
         self.claims = build_claims(
             self.settings, self.facts, self.clock, self._find_limits, self.metrics.count_claim
         )
@@ -195,7 +195,7 @@
         )
 
     def _build_admission(self, reports: RequestReports) -> None:
-        """Build what admits requests, records them and serves their callers."""
+        """Build the parts that admit requests, record them and serve their callers."""
         self.shares = build_shares(self.settings, self.facts, self.clock, self._find_file)
         self.status.add("limits", self.shares.describe)
         capacity = CapacityQueue(self.clock)
@@ -208,7 +208,7 @@
         self.metrics.in_progress.set_function(lambda: self.records.in_progress)
 
     def _build_departure(self) -> None:
-        """Build the handover of requests, which needs all the rest of their path."""
+        """Build the handover of requests, which needs all the other parts of their path."""
         self.departure = Departure(
             self.settings,
             self.facts,
@@ -224,7 +224,7 @@
         self.status.add("requests_in_progress", lambda: self.records.in_progress)
 
     def _build_servers(self) -> None:
-        """Build the two HTTP servers; nothing listens yet."""
+        """Build the two HTTP servers, which do not listen yet."""
         timeout_ms = self.settings.caller_timeout_ms
         self.callers = CallerServer(
             split_address(self.settings.listen),
@@ -249,7 +249,7 @@
         self.shares.start()
 
     def start(self) -> dict[str, str]:
-        """Open the sockets, spawn the tasks, and return the addresses that are bound."""
+        """Open the sockets, spawn the tasks and return the bound addresses."""
         self.control.start()
         self.callers.start()
         peer_address = self.facts.start(self.callers.bound_address, self._tasks.spawn)
@@ -270,7 +270,7 @@
         }
 
     def stop(self) -> None:
-        """Refuse new work, let requests in progress end or hand them over, then stop."""
+        """Refuse new requests, finish or hand over those in progress, then stop."""
         self.serving.stop_accepting()
         gevent.spawn(self.shares.leave)
         self.departure.run(lambda: self.callers.answering > 0)
@@ -283,7 +283,7 @@
         self.control.stop(timeout=1)
 
     def _describe_use(self) -> dict[str, Any]:
-        """Return what the zone's status shows of this daemon beside its revision."""
+        """Return the details of this daemon for the zone's status."""
         return {
             "requests_in_progress": self.records.in_progress,
             "refused": self.metrics.count_refusals(),
@@ -297,7 +297,7 @@
         return True
 
     def _list_peers(self) -> list[tuple[str, str]]:
-        """Return the names and peer addresses of the other running daemons of all zones."""
+        """Return the names and peer addresses of the live peers of all zones."""
         live = self.facts.membership.list_live() if self.facts.membership else []
         return [(one.name, one.peer_address) for one in live if one.name != self.settings.name]
 
@@ -310,7 +310,7 @@
         return self.file
 
     def _find_traits(self, target: str) -> TargetTraits:
-        """Return what the configuration wants of a model or service."""
+        """Return the traits of a model or service from the configuration."""
         models = self.file.models if self.file else ()
         for model in models:
             if model.name == target:
--- a/hemlockswitch/process/facts.py
+++ b/hemlockswitch/process/facts.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of the world beside the configuration, and the tasks that keep it true."""
+"""A daemon's view of the cluster apart from the configuration, and the tasks that update it."""
 
 from collections.abc import Callable
 from typing import Self
@@ -27,20 +27,20 @@
 
 
 class Facts:
-    """The board, the members, the backend servers, and how fresh all this is.
+    """The gossip items, the members, the backend servers, and whether they are up to date.
 
     Explanation
     ===========
 
-    Items of VMs, notices and the notice feed stay inside the zone; other zones hear of servers
-    by question (see `zones`).
+    Items about VMs, notices and the notice feed are not sent to other zones; other zones query
+    this zone's servers (see `zones`).
 
     Parameters
     ==========
 
     settings : the daemon's settings.
-    board : the daemon's news board.
-    network : the daemon's peer network.
+    board : the daemon's gossip items.
+    network : the daemon's connections to peers.
     platform : the daemon's client of the platform.
     clock : the daemon's clock.
     """
@@ -80,7 +80,7 @@
 
     @classmethod
     def from_settings(cls, settings: ProgramSettings, role: str, clock: Clock) -> Self:
-        """Return the facts of a daemon with a board, a network and a client of its own."""
+        """Return the view of a daemon, with a new board, peer network and platform client."""
         network = PeerNetwork(
             settings.cluster,
             settings.name,
@@ -92,16 +92,16 @@
         return cls(settings, NewsBoard(), network, platform, clock)
 
     def list_names(self) -> list[str]:
-        """Return the names of the zone's live daemons of this program."""
+        """Return the names of the zone's live daemons; before the start, only this one's."""
         return self.membership.list_names() if self.membership else [self._settings.name]
 
     def start(self, caller_address: str, spawn: Callable[[str, Callable[[], None]], None]) -> str:
-        """Open the peer network, join the others, start the tasks; return where it listens.
+        """Open the peer network, start the membership and the tasks; return the bound address.
 
         Parameters
         ==========
 
-        caller_address : where callers reach this daemon.
+        caller_address : this daemon's address for callers.
         spawn : runs a named task until the daemon stops.
         """
         address = self.network.start()
@@ -131,7 +131,7 @@
         return self.network.bound_address
 
     def describe_members(self) -> list[dict[str, str]]:
-        """Return the known daemons for the status page."""
+        """Return the members for the status page."""
         members = self.membership.list_members() if self.membership else []
         return [
             {"name": one.name, "zone": one.zone, "state": one.state.name.lower()} for one in members
@@ -162,7 +162,7 @@
         return {member.zone for member in live if member.name != self._settings.name}
 
     def _run_questions(self) -> None:
-        """Keep one asking task for each other zone that this daemon asks."""
+        """Run a query task for each other zone that this daemon queries."""
         while True:
             wanted = set(self.questions.choose_zones())
             for zone in set(self._zone_tasks) - wanted:
@@ -178,7 +178,7 @@
         return addresses
 
     def _list_sources(self) -> list[Refresh]:
-        """Return who can say what was missed during a pause: the feed, and some peers."""
+        """Return the sources of changes missed during a pause: the feed and some peers."""
         peers = set(self._list_addresses().get(self._settings.zone, []))
         chosen = choose_some(sorted(peers - {self.network.address}), PEERS_ASKED)
         ask_peers: list[Refresh] = [self._make_question(address) for address in chosen]
--- a/hemlockswitch/process/freshness.py
+++ b/hemlockswitch/process/freshness.py
@@ -1,4 +1,4 @@
-"""Whether this process may rely on what it knows, or was paused and has to ask first."""
+"""Detects pauses of the process, after which its local state must be refreshed before use."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -19,23 +19,23 @@
 
 
 class Freshness:
-    """Notices that the process was paused, and has the facts asked for anew before they are used.
+    """Detects that the process was paused, and refreshes its local state before it is used.
 
     Explanation
     ===========
 
-    A process that was frozen wakes with the facts of the time before. A task ticks; when the
-    last tick is more than `PAUSE_MS` ago, whoever comes first (the task, or a request about to
-    be routed) starts a refresh: all sources are asked at once, and the first that answers ends
-    it. Requests wait for at most `REFRESH_WAIT_MS`. When nobody can be reached they go on with
-    what is known: an old fact is better than no service.
+    A process that was frozen resumes with outdated state. A task ticks periodically; if the last
+    tick is more than `PAUSE_MS` ago, the first to check (the task, or a request about to be
+    routed) starts a refresh: all sources are queried concurrently, and the first answer completes
+    it. Requests wait for at most `REFRESH_WAIT_MS`. If no source can be reached, they continue
+    with the outdated state, which is better than no service.
 
     Parameters
     ==========
 
     clock : the process's clock.
-    list_sources : returns the calls that bring the facts up to date; each raises a
-        `HemlockError` when it cannot.
+    list_sources : returns the calls that refresh the state; each raises a `HemlockError` if it
+        fails.
     """
 
     def __init__(self, clock: Clock, list_sources: Callable[[], Sequence[Refresh]]) -> None:
@@ -47,17 +47,17 @@
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the process ran without a pause since its facts were last refreshed."""
+        """Whether the process has run without a pause since its state was last refreshed."""
         self._check()
         return self._settled.is_set()
 
     def await_facts(self) -> None:
-        """Return when the facts may be used; wait, bounded, after a pause."""
+        """Wait after a pause, for at most `REFRESH_WAIT_MS`, until the state is refreshed."""
         if not self.is_fresh:
             self._settled.wait(REFRESH_WAIT_MS / MS_PER_SECOND)
 
     def run(self) -> None:
-        """Tick for ever."""
+        """Tick periodically, without end."""
         while True:
             self._check()
             self._clock.sleep_ms(TICK_MS)
@@ -88,7 +88,7 @@
 
 
 def choose_some(items: Sequence[str], most: int) -> list[str]:
-    """Return at most `most` of the items, at random.
+    """Return a random sample of at most `most` items.
 
     Examples
     ========
--- a/hemlockswitch/process/lease.py
+++ b/hemlockswitch/process/lease.py
@@ -1,8 +1,8 @@
-"""The lease of one availability zone: who may order, until when, under which number.
+"""The lease of an availability zone, which permits one process at a time to give orders.
 
-The lease is one object of the platform, ``leases/<zone>``. Every write of it is conditional on
-the version that the writer knows, so the platform itself decides between two writers, and the
-version that a write returns is the fencing number of the orders given under it.
+The lease is the platform object ``leases/<zone>``. Every write of it is conditional on the version
+that the writer last read, so the platform decides between two writers. The version that a write
+returns is the fencing number of the orders given under it.
 """
 
 import random
@@ -25,22 +25,23 @@
 LEASE_KIND = "leases"
 RENEWALS_REMEMBERED = 8
 RECENT_HOLDERS = 3
-"""Earlier holders that the lease names: more than can hold it one after the other in a term."""
+"""Earlier holders recorded in the lease: more than can hold it in succession within a term."""
 
 
 @dataclass(frozen=True)
 class LeaseTimes:
-    """The durations that holder and successor agree on.
+    """The durations of the lease protocol, equal for all candidates.
 
     Parameters
     ==========
 
-    term_ms : how long one write of the lease lasts.
+    term_ms : how long a write of the lease is valid.
     renew_ms : time between two renewals.
-    stop_before_ms : a holder gives no order in this last part of the term; longer than an
-        order's time-out, so that an order is over before the term is.
-    margin_ms : what a successor waits beyond the term, for clocks that run at different rates.
-    look_ms : time between two looks at the lease, over all candidates of a zone together.
+    stop_before_ms : a holder gives no orders in this last part of the term. It is longer than an
+        order's timeout, so that every order ends before the term.
+    margin_ms : how long a successor waits beyond the term, to allow for clocks that run at
+        different rates.
+    look_ms : average time between two polls of the lease, over all candidates of a zone.
     """
 
     term_ms: int = 10_000
@@ -51,7 +52,7 @@
 
 
 class LeaseError(HemlockError):
-    """An order was wanted by a process that may not give it now."""
+    """The process does not hold the lease, so it may not give orders."""
 
 
 @dataclass(frozen=True)
@@ -68,30 +69,33 @@
 
 
 class Lease:
-    """One process's side of its zone's lease: a candidate, or the holder.
+    """This process's role in its zone's lease, as a candidate or as the holder.
 
     Explanation
     ===========
 
-    The term of a holder begins at its clock reading from before the write was sent; a successor
-    counts from a reading after it saw the version. So on any two clocks of about equal rate the
-    successor's wait ends later than the holder's term. One that held the lease a moment ago, before
-    another one, also waits a term, whether the lease was released or not: its orders before and
-    after the other's would look like those of two holders at a time. A write whose answer was lost is looked
-    for by the identifier in its value; found, the term counts from when it was first sent.
+    A holder's term starts at its clock reading before the write was sent; a successor counts from
+    its reading after it first read the version. So on two clocks of about the same rate the
+    successor's wait ends after the holder's term. A process that held the lease recently, before
+    another holder, also waits for a term, whether or not the lease was released: its orders before
+    and after the other holder's would look like those of two concurrent holders. After a lost
+    answer, the process finds its write by the identifier in the lease's value; the term then
+    counts from the time that this write was sent.
 
     Parameters
     ==========
 
-    platform : where the object is kept.
-    clock : monotonic milliseconds.
+    platform : the object service that stores the lease.
+    clock : provides monotonic time.
     zone : the availability zone.
-    holder : this process's name; only people read it.
-    times : the agreed durations.
-    count_candidates : how many controllers the zone has; spreads their looks.
-    get_address : returns the address that this process has bound, or nothing. A candidate that
-        finds its own address in the lease succeeds the process before it at once: the address
-        would not be free if that process still ran.
+    holder : name of this process. Candidates compare it with the recent holders that the lease
+        records.
+    times : the durations of the protocol.
+    count_candidates : returns the number of candidates in the zone; their polls are spread out
+        accordingly.
+    get_address : returns the address that this process has bound, or an empty string. A candidate
+        that finds its own address in the lease takes the lease immediately: the address could not
+        be bound if the process that wrote the lease were still running.
     """
 
     def __init__(
@@ -119,22 +123,25 @@
 
     @property
     def is_held(self) -> bool:
-        """Whether this process may give an order now."""
+        """Whether this process may give orders now."""
         return self._held is not None and self._left_ms(self._held) > 0
 
     def get_fencing(self) -> int:
-        """Return the fencing number, after reading the clock.
+        """Return the fencing number, after checking the remaining time.
 
         Raises
         ======
 
-        LeaseError : this process does not hold the lease, or is too near to its end.
+        LeaseError : this process does not hold the lease, or the lease is about to end.
         """
         if self._held is None:
-            raise LeaseError(ErrorKind.STALE_FENCING, f"the lease of {self._zone} is not held")
+            raise LeaseError(
+                ErrorKind.STALE_FENCING,
+                f"this process does not hold the lease of zone {self._zone}",
+            )
         if self._left_ms(self._held) <= 0:
             self._log_lapse(self._held)
-            raise LeaseError(ErrorKind.STALE_FENCING, f"the lease of {self._zone} has lapsed")
+            raise LeaseError(ErrorKind.STALE_FENCING, f"the lease of zone {self._zone} has lapsed")
         return self._held.version
 
     def describe(self) -> dict[str, object]:
@@ -146,7 +153,7 @@
         }
 
     def take_turn(self) -> float:
-        """Do what is due, renew or look, and return the milliseconds until the next turn."""
+        """Renew or poll the lease, and return the time in milliseconds until the next call."""
         try:
             if self._held is not None:
                 return self._renew(self._held)
@@ -156,12 +163,12 @@
             return self._times.renew_ms / 4
 
     def step_down(self, highest: int) -> None:
-        """Stop ordering: a backend server has seen the fencing number `highest` of another."""
+        """Stop giving orders if a backend server has seen a higher fencing number, `highest`."""
         if self._held is not None and highest > self._held.version:
             self._lose(highest)
 
     def release(self) -> None:
-        """Give the lease back, so that a successor need not wait."""
+        """Release the lease, so that a successor need not wait for the end of the term."""
         held, self._held = self._held, None
         if held is None:
             return
@@ -202,19 +209,23 @@
         return self._take(found)
 
     def _find_term_ms(self, found: StoredObject) -> float:
-        """Return how long this process must wait for the lease from when it saw this version."""
+        """Return how long this process must wait after it first read this version."""
         _, *before = _list_holders(found)
         if self._holder in before:
             return max(float(found.value["term_ms"]), self._times.term_ms)
         return float(found.value["term_ms"])
 
     def _is_predecessor(self, found: StoredObject) -> bool:
-        """Return whether an earlier process on this process's address holds the lease."""
+        """Return whether the lease was written by an earlier process with this one's address."""
         address = self._get_address()
         return bool(address) and found.value.get("address") == address
 
     def _plan_next_look(self, found: StoredObject, before: _Seen | None) -> float:
-        """Look twice in a row; after a change between the two the holder lives: rest long."""
+        """Return the time until the next poll after a new version of the lease.
+
+        A change within two renewals of the previous poll shows that the holder is running, so the
+        next poll is later.
+        """
         if self._find_term_ms(found) == 0:
             return self._take(found)
         two_renewals_ms = self._times.renew_ms * 2
@@ -232,7 +243,7 @@
         return self._times.renew_ms
 
     def _write(self, send: Callable[[dict[str, Any]], WriteOutcome]) -> None:
-        """Send one write of the lease and learn what became of it."""
+        """Write the lease once and determine the outcome."""
         identifier = make_identifier("lease")
         sent_ms = self._clock.now_ms()
         self._remember(identifier, sent_ms)
@@ -251,7 +262,7 @@
             self._read_back(outcome)
 
     def _read_back(self, outcome: WriteOutcome) -> None:
-        """Find out whether the lease is ours after a lost answer or a conflict."""
+        """After a lost answer or a conflict, read whether this process holds the lease."""
         found = self._platform.read(LEASE_KIND, self._zone)
         if found is None:
             return
@@ -292,7 +303,7 @@
 
 
 def _list_holders(found: StoredObject) -> list[str]:
-    """Return the last holder and those before it, the latest first."""
+    """Return the current or last holder and the recorded earlier ones, the latest first."""
     recent = [str(name) for name in found.value.get("recent", ())]
     holder = str(found.value["holder"])
     return [holder, *recent] if holder else recent or [""]
--- a/hemlockswitch/process/metrics.py
+++ b/hemlockswitch/process/metrics.py
@@ -1,4 +1,4 @@
-"""The entry daemon's metrics, by prometheus_client, with units in their names."""
+"""The entry daemon's Prometheus metrics, with units in their names."""
 
 from collections import Counter as Tally
 
@@ -21,7 +21,7 @@
 
 
 class EntryMetrics:
-    """What the entry daemon counts.
+    """The metrics of the entry daemon.
 
     Examples
     ========
@@ -48,16 +48,16 @@
         )
         self.recomputed = Counter(
             "hemlock_recomputed_tokens",
-            "Tokens that engines computed again, by cause.",
+            "Tokens recomputed by engines, by cause.",
             ["cause"],
             registry=self.registry,
         )
         self.relayed = Counter(
-            "hemlock_relayed_tokens", "Tokens passed on to callers.", registry=self.registry
+            "hemlock_relayed_tokens", "Tokens relayed to callers.", registry=self.registry
         )
         self.dropped = Counter(
             "hemlock_dropped_events",
-            "Engine events dropped because they were late or doubled.",
+            "Engine events dropped because they were late or duplicate.",
             registry=self.registry,
         )
         self.attempts = Counter(
@@ -84,7 +84,7 @@
         )
         self.call_seconds = Histogram(
             "hemlock_service_call_seconds",
-            "Time of a plain service's answer.",
+            "Duration of calls to plain services.",
             ["service"],
             buckets=CALL_BUCKETS,
             registry=self.registry,
@@ -93,13 +93,13 @@
     def _build_outcome_counters(self) -> None:
         self.claims = Counter(
             "hemlock_claims",
-            "Calls with an idempotency key, by what became of their claim.",
+            "Calls with an idempotency key, by outcome of their claim.",
             ["outcome"],
             registry=self.registry,
         )
         self.handovers = Counter(
             "hemlock_handovers",
-            "Generations that changed their daemon, by what became of them.",
+            "Generations that moved between daemons, by outcome.",
             ["outcome"],
             registry=self.registry,
         )
@@ -114,35 +114,37 @@
             "hemlock_requests_in_progress", "Requests in progress.", registry=self.registry
         )
         self.revision = Gauge(
-            "hemlock_revision_number", "The configuration in force.", registry=self.registry
+            "hemlock_revision_number",
+            "Number of the configuration revision in force.",
+            registry=self.registry,
         )
 
     def count_claim(self, outcome: str) -> None:
-        """Count what became of one call's claim."""
+        """Count the outcome of a call's claim."""
         self.claims.labels(outcome).inc()
 
     def count_handover(self, outcome: str) -> None:
-        """Count what became of one generation that changes its daemon."""
+        """Count the outcome of a generation that moves to another daemon."""
         self.handovers.labels(outcome).inc()
 
     def count_recomputed(self, cause: str, tokens: int) -> None:
-        """Count tokens that were computed again because of `cause`."""
+        """Count tokens that were recomputed because of `cause`."""
         if tokens:
             self.recomputed.labels(cause).inc(tokens)
 
     def observe_first_token(self, model: str, waited_ms: float) -> None:
-        """Note the time to a request's first token."""
+        """Record the time to a request's first token."""
         self.first_token.labels(model).observe(waited_ms / MS_PER_SECOND)
 
     def observe_answer(self, model: str, tokens: int, streamed_ms: float) -> None:
-        """Note a whole answer: its tokens and the time from the first to the last."""
+        """Record an answer's number of tokens and the time from the first to the last token."""
         self.relayed.inc(tokens)
         if tokens > 1:
             gap_ms = streamed_ms / (tokens - 1)
             self.token_gap.labels(model).observe(gap_ms / MS_PER_SECOND)
 
     def count_refusals(self) -> dict[str, int]:
-        """Return how often each limit refused a request since the process began."""
+        """Return the number of requests that each limit refused since the process started."""
         counts: Tally[str] = Tally()
         for family in self.requests.collect():
             for sample in family.samples:
--- a/hemlockswitch/process/peer_metrics.py
+++ b/hemlockswitch/process/peer_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the peer network, the membership and the spreading of news."""
+"""Metrics of the peer network, the membership and gossip."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -12,12 +12,12 @@
 
 
 class PeerCollector(Collector):
-    """Reads the counts that the parts keep anyway, when somebody asks.
+    """Exports the counters of the peer network, membership and gossip when scraped.
 
     Parameters
     ==========
 
-    facts : the daemon's facts.
+    facts : the daemon's view of the cluster.
     """
 
     def __init__(self, facts: Facts) -> None:
@@ -29,22 +29,24 @@
         registry.register(cls(facts))
 
     def describe(self) -> list[Metric]:
-        """Return nothing: the names are known only once the daemon runs."""
+        """Return no metrics, since they exist only once the daemon is running."""
         return []
 
     def collect(self) -> Iterator[Metric]:
-        """Return the metrics as they are now."""
+        """Return the current metrics."""
         yield self._collect_members()
         yield from _collect_traffic(self._facts.network.traffic)
         streams = len(self._facts.network.list_streams())
         yield GaugeMetricFamily("hemlock_peer_streams", "Open peer streams.", streams)
         repairs = self._facts.spread.repairs
-        yield CounterMetricFamily("hemlock_news_repairs", "Comparisons of boards.", repairs)
+        yield CounterMetricFamily(
+            "hemlock_news_repairs", "Repairs of gossip items with a peer.", repairs
+        )
 
     def _collect_members(self) -> Metric:
         family = GaugeMetricFamily(
             "hemlock_members",
-            "Daemons that this one knows, by zone and state.",
+            "Daemons in this daemon's membership, by zone and state.",
             labels=("zone", "state"),
         )
         membership = self._facts.membership
--- a/hemlockswitch/process/records.py
+++ b/hemlockswitch/process/records.py
@@ -1,4 +1,4 @@
-"""The record of one caller's request: its permit, its spans, and how it counts in the end."""
+"""The record of one caller's request: its permit, its spans and its outcome."""
 
 from collections import Counter
 from types import TracebackType
@@ -20,17 +20,17 @@
     """The right to run one admitted request."""
 
     def record_tokens(self, count: int) -> None:
-        """Add tokens to what the request used."""
+        """Add to the number of tokens that the request used."""
 
     def close(self) -> None:
-        """End the request."""
+        """End the request and charge what it used."""
 
     def cancel(self) -> None:
-        """Give everything back: nothing was sent."""
+        """End the request without a charge, since nothing was sent."""
 
 
 class Admitter(Protocol):
-    """Who decides whether a request may begin."""
+    """Decides whether a request is admitted."""
 
     def admit(
         self,
@@ -39,18 +39,18 @@
         priority: int = 1,
         deadline_ms: float | None = None,
     ) -> Permit:
-        """Admit a request or raise a refusal."""
+        """Return a permit, or raise a `RequestError` with the refusal."""
 
 
 class RequestRecord:
-    """One request from its first span to its last count; a context manager.
+    """A request from its first span to its outcome; a context manager.
 
     Parameters
     ==========
 
-    records : where it is counted.
-    request_id, target : what it is and what it is for.
-    trace_id : of its spans.
+    records : counts the request.
+    request_id : the request's id.
+    target : the model or service that it is for.
     """
 
     def __init__(self, records: "RequestRecords", request_id: str, target: str) -> None:
@@ -63,12 +63,12 @@
     def admit(
         self, account: str, tokens_wanted: int, priority: int, deadline_ms: float | None
     ) -> None:
-        """Take the permit; a refusal ends the record.
+        """Obtain the permit; a refusal ends the record.
 
         Raises
         ======
 
-        RequestError : nothing was sent.
+        RequestError : the request was refused; nothing was sent.
         """
         self._records.reports.hop_began(self._request_id, "admission")
         try:
@@ -81,16 +81,16 @@
         self._records.reports.hop_ended(self._request_id, "admission")
 
     def adopt_permit(self, permit: Permit) -> None:
-        """Hold a permit that was taken elsewhere."""
+        """Use a permit that the caller of this method obtained."""
         self._permit = permit
 
     def record_tokens(self, count: int) -> None:
-        """Note tokens that the request used."""
+        """Record tokens that the request used."""
         if self._permit is not None:
             self._permit.record_tokens(count)
 
     def end(self, error: BaseException | None = None) -> None:
-        """Close the permit, the spans and the counts."""
+        """Close the permit and the spans, and count the outcome."""
         permit, self._permit = self._permit, None
         if permit is not None:
             refund = isinstance(error, HemlockError) and error.answer.ran is Ran.NO
@@ -110,13 +110,14 @@
 
 
 class RequestRecords:
-    """Begins the records of requests and counts them.
+    """Creates the records of requests and counts their outcomes.
 
     Parameters
     ==========
 
-    admission : decides whether requests may begin.
-    metrics, reports : where they are counted and traced.
+    admission : decides whether requests are admitted.
+    metrics : counts requests.
+    reports : traces requests.
     clock : the process's clock.
     """
 
@@ -131,7 +132,7 @@
         self.refused: Counter[str] = Counter()
 
     def begin(self, request: CallerRequest, target: str) -> RequestRecord:
-        """Begin a request's record and name its trace in the answer."""
+        """Create a request's record and set the answer's `TRACE_HEADER`."""
         parent = request.headers.get("traceparent", "")
         trace_id = self.reports.request_began(request.request_id, target, parent)
         request.answer_headers[TRACE_HEADER] = trace_id
@@ -139,7 +140,7 @@
         return RequestRecord(self, request.request_id, target)
 
     def count(self, request_id: str, target: str, outcome: str) -> None:
-        """Count a request that ended."""
+        """Count the outcome of a request."""
         self.in_progress -= 1
         self.metrics.requests.labels(target, outcome).inc()
         if outcome in WANT_OF_SERVERS:
@@ -147,13 +148,13 @@
         self.reports.request_ended(request_id, outcome)
 
     def observe_call(self, target: str, begun_ms: float) -> None:
-        """Note how long a service's answer took."""
+        """Record the duration of a service call."""
         waited_ms = self.clock.now_ms() - begun_ms
         self.metrics.call_seconds.labels(target).observe(waited_ms / MS_PER_SECOND)
 
 
 def _name_outcome(error: BaseException | None) -> str:
-    """Return the outcome for the metrics: ok, an error kind, or that the caller left."""
+    """Return the outcome for the metrics: ok, an error kind, or that the caller disconnected."""
     if error is None:
         return OK
     return error.kind.value if isinstance(error, HemlockError) else CALLER_GONE
--- a/hemlockswitch/process/reports.py
+++ b/hemlockswitch/process/reports.py
@@ -1,4 +1,4 @@
-"""What the relay and the service calls report, turned into metrics and spans."""
+"""Turns the reports of the relay and of service calls into metrics and spans."""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -13,11 +13,11 @@
 
 
 class Identified(Protocol):
-    """What has a request's id: a model request's generation or a service's call."""
+    """An object with a request's id: a model request's generation or a service call."""
 
     @property
     def request_id(self) -> str:
-        """The id in every answer."""
+        """The id that every answer contains."""
 
 
 @dataclass
@@ -29,13 +29,13 @@
 
 
 class RequestReports:
-    """Hears what happens to requests; counts it and keeps a span for each hop.
+    """Receives the events of requests, counts them and records a span for each hop.
 
     Parameters
     ==========
 
-    metrics : where it is counted.
-    tracing : where spans come from.
+    metrics : the counters.
+    tracing : creates spans.
     """
 
     def __init__(self, metrics: EntryMetrics, tracing: Tracing) -> None:
@@ -44,13 +44,13 @@
         self._hops: dict[str, _Hops] = {}
 
     def request_began(self, request_id: str, target: str, parent: str) -> str:
-        """Begin the caller's span and return the trace's id."""
+        """Start the caller's span and return the trace's id."""
         root = self._tracing.begin("caller", {"request_id": request_id, "target": target}, parent)
         self._hops[request_id] = _Hops(root)
         return self._tracing.find_trace_id(root)
 
     def request_ended(self, request_id: str, outcome: str) -> None:
-        """End the caller's span and whatever hop is still open in it."""
+        """End the caller's span and the hops that are still open in it."""
         hops = self._hops.pop(request_id, None)
         if hops is None:
             return
@@ -60,7 +60,7 @@
         self._tracing.end(hops.root, error)
 
     def hop_began(self, request_id: str, name: str, **attributes: str | int) -> str:
-        """Begin a hop within the request; return the header that carries the trace on."""
+        """Start a hop within the request; return the ``traceparent`` header for the next hop."""
         hops = self._hops.get(request_id)
         if hops is None:
             return ""
@@ -76,15 +76,15 @@
             self._tracing.end(span, error)
 
     def choice_began(self, request: Identified) -> None:
-        """A backend server is being chosen."""
+        """Start the routing hop."""
         self.hop_began(request.request_id, "routing")
 
     def choice_ended(self, request: Identified, server_name: str) -> None:
-        """It was chosen, or none was when the name is empty."""
+        """End the routing hop; an empty name means that no backend server was chosen."""
         self.hop_ended(request.request_id, "routing", "" if server_name else "no backend server")
 
     def attempt_began(self, generation: Generation) -> str:
-        """Count an attempt by its cause, and begin its hop."""
+        """Count an attempt by its cause and start its hop."""
         self._metrics.attempts.labels(generation.cause.value).inc()
         return self.hop_began(
             generation.request_id,
@@ -96,11 +96,11 @@
         )
 
     def first_token(self, generation: Generation, waited_ms: float) -> None:
-        """Note the time to the first token."""
+        """Record the time to the first token."""
         self._metrics.observe_first_token(generation.model, waited_ms)
 
     def attempt_ended(self, generation: Generation, recomputed_tokens: int, reason: str) -> None:
-        """Count what was computed again, and end the attempt's hop."""
+        """Count the recomputed tokens and end the attempt's hop."""
         self._metrics.count_recomputed(generation.cause.value, recomputed_tokens)
         error = "" if reason in ("finished", "moved") else reason
         self.hop_ended(generation.request_id, "backend", error)
@@ -110,7 +110,7 @@
         self._metrics.dropped.inc(count)
 
     def dispatch_began(self, request: CallerRequest, server: BackendServer) -> dict[str, str]:
-        """Begin the hop of a service call; return the headers that carry the trace on."""
+        """Start the hop of a service call; return the trace headers for the backend server."""
         parent = self.hop_began(request.request_id, "backend", server=server.name)
         return {PARENT_HEADER: parent} if parent else {}
 
--- a/hemlockswitch/process/serving.py
+++ b/hemlockswitch/process/serving.py
@@ -1,4 +1,4 @@
-"""Serves the callers' requests: from the account's key to the last byte of the answer."""
+"""Serves the callers' requests, from authentication to the last byte of the answer."""
 
 import json
 from collections.abc import Callable, Generator, Iterator
@@ -21,20 +21,21 @@
 
 
 class Resumer(Protocol):
-    """Who serves the rest of requests that came from another daemon."""
+    """Resumes requests that another daemon began."""
 
     def resume(self, request: CallerRequest, account: str, resumed_id: str) -> CallerAnswer:
-        """Return the rest of an earlier request's answer."""
+        """Return the remaining part of an earlier request's answer."""
 
 
 class Serving:
-    """The callers' service of one daemon.
+    """The service that a daemon provides to callers.
 
     Parameters
     ==========
 
-    relay, services : carry requests out.
-    records : admits, counts and traces them.
+    relay : relays model requests to backend servers.
+    services : calls plain services.
+    records : admits, counts and traces requests.
     clock : the process's clock.
     """
 
@@ -52,36 +53,36 @@
         self.has_limits: Callable[[], bool] = lambda: True
 
     def use_configuration(self, file: OperatorFile) -> None:
-        """Serve by `file` from now on; requests in progress go on as they began."""
+        """Use `file` for new requests; requests in progress are not affected."""
         self._keys = AccountKeys.from_config(file.client_accounts)
         self._file = file
 
     def stop_accepting(self) -> None:
-        """Refuse new work from now on."""
+        """Refuse new requests from now on."""
         self._stopping = True
 
     def check_ready(self) -> None:
-        """Raise when no new work is taken.
+        """Raise an error if no new requests are accepted.
 
         Raises
         ======
 
-        RequestError : `LEAVING` once the daemon stops, `NOT_READY` before it has a configuration
-            and its shares of the limits.
+        RequestError : `LEAVING` if the daemon is stopping, `NOT_READY` before it has a
+            configuration and its shares of the limits.
         """
         if self._stopping:
             raise RequestError(ErrorKind.LEAVING, "this daemon is stopping")
         if self._file is None:
             raise RequestError(ErrorKind.NOT_READY, "no configuration is in force yet")
         if not self.has_limits():
-            raise RequestError(ErrorKind.NOT_READY, "no limits were granted yet")
+            raise RequestError(ErrorKind.NOT_READY, "no shares of the limits were granted yet")
 
     def check_caller(self, authorization: str | None) -> None:
-        """Raise `UNAUTHORIZED` unless the key is known; nothing of the body is read before."""
+        """Raise `UNAUTHORIZED` unless the API key is valid; called before the body is read."""
         self._keys.authenticate(authorization)
 
     def limit_body_bytes(self) -> int:
-        """Return the largest body that may be read."""
+        """Return the maximum size of a request body."""
         limits = self._file.limits if self._file else DEFAULT_LIMITS
         return limits.body_bytes
 
@@ -103,9 +104,9 @@
         record: RequestRecord,
         replay: bytes = b"",
     ) -> CallerAnswer:
-        """Relay an admitted generation: as a stream, or whole when the caller wants that.
+        """Relay an admitted generation, as a stream or, if the caller asked for it, as one body.
 
-        `replay` are events of a resumed stream that the caller did not get.
+        `replay` contains the events of a resumed stream that the caller did not receive.
         """
         events = self._relay_recorded(generation, request, record, replay)
         if generation.stream:
@@ -123,7 +124,7 @@
         record: RequestRecord,
         replay: bytes,
     ) -> Generator[bytes, None, None]:
-        """Relay; the record ends however the relay does."""
+        """Relay the generation; the record ends with the relay, also after an error."""
         with record:
             try:
                 if replay:
@@ -141,7 +142,7 @@
         self._records.metrics.observe_answer(generation.model, used, streamed_ms)
 
     def call_service(self, request: CallerRequest, service: str, path: str) -> CallerAnswer:
-        """Serve a call of a plain service."""
+        """Serve a call to a plain service."""
         account = self._authenticate(request)
         found = self._find_service(service, account)
         limit_ms = self._clock.now_ms() + found.timeout_ms
@@ -154,10 +155,10 @@
             return answer
 
     def resume(self, request: CallerRequest, resumed_id: str) -> CallerAnswer:
-        """Serve the rest of an earlier request."""
+        """Serve the remaining part of an earlier request's answer."""
         account = self._authenticate(request)
         if self.resumer is None:
-            raise RequestError(ErrorKind.UNKNOWN_REQUEST, "no such request here")
+            raise RequestError(ErrorKind.UNKNOWN_REQUEST, "this daemon does not resume requests")
         return self.resumer.resume(request, account.name, resumed_id)
 
     def _authenticate(self, request: CallerRequest) -> ClientAccount:
@@ -168,14 +169,16 @@
         for model in models:
             if model.name == name and account.may_use(name):
                 return model
-        raise RequestError(ErrorKind.UNKNOWN_MODEL, "no such model")
+        raise RequestError(ErrorKind.UNKNOWN_MODEL, "model does not exist for this client account")
 
     def _find_service(self, name: str, account: ClientAccount) -> Service:
         services = self._file.services if self._file else ()
         for service in services:
             if service.name == name and account.may_use(name):
                 return service
-        raise RequestError(ErrorKind.UNKNOWN_SERVICE, "no such service")
+        raise RequestError(
+            ErrorKind.UNKNOWN_SERVICE, "service does not exist for this client account"
+        )
 
     def _build_generation(
         self, request: CallerRequest, chat: ChatRequest, model: Model, account: ClientAccount
@@ -183,10 +186,14 @@
         limits = self._file.limits if self._file else DEFAULT_LIMITS
         wanted = chat.max_tokens or model.max_tokens
         if wanted > model.max_tokens:
-            raise RequestError(ErrorKind.BAD_REQUEST, f"max_tokens: over {model.max_tokens}")
+            raise RequestError(
+                ErrorKind.BAD_REQUEST, f"max_tokens exceeds the model's limit of {model.max_tokens}"
+            )
         if count_tokens(chat.prompt) + wanted > model.context_tokens:
             raise RequestError(
-                ErrorKind.BAD_REQUEST, f"messages: over the context of {model.context_tokens}"
+                ErrorKind.BAD_REQUEST,
+                "messages and max_tokens exceed the model's context of "
+                f"{model.context_tokens} tokens",
             )
         longest_ms = self._clock.now_ms() + limits.default_deadline_ms
         return Generation(
@@ -204,19 +211,19 @@
 
 
 def find_priority(request: CallerRequest, account: ClientAccount) -> int:
-    """Return the request's priority; a caller may lower its account's, not raise it."""
+    """Return the request's priority; a caller may lower its client account's, not raise it."""
     asked = request.priority
     return account.priority if asked is None else max(asked, account.priority)
 
 
 def render_moved(moved: MovedError, request_id: str) -> bytes:
-    """Return the event that tells a stream's caller where the rest is."""
+    """Return the event that redirects a stream's caller to the remaining part."""
     body = {"request_id": request_id, "retry_after_ms": moved.answer.retry_after_ms}
     return b"event: moved\ndata: " + json.dumps(body).encode() + b"\n\n"
 
 
 class _Events:
-    """A stream's events for the server: an error after the first becomes the last event."""
+    """A stream's events for the server; an error after the first event becomes the last event."""
 
     def __init__(
         self, generation: Generation, first: bytes, events: Generator[bytes, None, None]
@@ -236,5 +243,5 @@
             yield b"event: error\ndata: " + json.dumps(body).encode() + b"\n\n"
 
     def close(self) -> None:
-        """End the relay when the server is done with the caller, whole or not."""
+        """End the relay when the server closes the answer, whether or not it is complete."""
         self._events.close()
--- a/hemlockswitch/process/tasks.py
+++ b/hemlockswitch/process/tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of a daemon: each runs until the daemon stops, and again after a fault of the program."""
+"""The tasks of a daemon: each runs until the daemon stops, and is restarted after an exception."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,16 +10,16 @@
 from hemlockswitch.core.logs import log_event
 
 RESTART_MS = 500.0
-"""Pause before a task that failed is started again."""
+"""Pause before a failed task is restarted."""
 
 
 class Tasks:
-    """Runs tasks and keeps them running.
+    """Runs tasks and restarts them after exceptions.
 
     Parameters
     ==========
 
-    clock : the time.
+    clock : provides the time.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -27,11 +27,11 @@
         self._running: list[gevent.Greenlet] = []
 
     def spawn(self, name: str, run: Callable[[], Any]) -> None:
-        """Run a task until it returns or the daemon stops; one that fails is logged and started again."""
+        """Run a task until it returns or the daemon stops; a failure is logged and it restarts."""
         self._running.append(gevent.spawn(self._keep_running, name, run))
 
     def kill(self, *, block: bool = True) -> None:
-        """End all tasks; with `block`, wait until they have ended."""
+        """Kill all tasks; with `block`, wait until they have ended."""
         gevent.killall(self._running, block=block)
 
     def _keep_running(self, name: str, run: Callable[[], Any]) -> None:
@@ -39,6 +39,6 @@
             try:
                 run()
                 return
-            except Exception as error:  # noqa: BLE001 - one task's fault must not end the daemon
+            except Exception as error:  # noqa: BLE001 - one failed task must not stop the daemon
                 log_event(Event.TASK_FAILED, "error", task=name, error=repr(error))
                 self._clock.sleep_ms(RESTART_MS)
--- a/hemlockswitch/process/traces.py
+++ b/hemlockswitch/process/traces.py
@@ -1,11 +1,11 @@
-"""Traces by OpenTelemetry: a span for each hop of a request, its context taken and passed on.
+"""OpenTelemetry traces: a span for each hop of a request, with context propagation.
 
 Explanation
 ===========
 
-Spans always have ids, so that an answer can name its trace. Where they go is a setting: nowhere
-(the default) or to the log, by a task of its own behind a bounded queue that drops rather than
-waits, so that exporting is never in a caller's way.
+Spans always have ids, so that an answer can name its trace. Their export is a setting: none (the
+default) or to the log. A dedicated task writes the log from a bounded queue; when the queue is
+full, spans are dropped, so that the export never delays a request.
 """
 
 from collections.abc import Mapping, Sequence
@@ -43,33 +43,33 @@
 
 
 class LogExport(SpanProcessor):
-    """Writes ended spans to the log from a task of its own; a full queue drops them."""
+    """Writes ended spans to the log in a dedicated task; drops them if its queue is full."""
 
     def __init__(self) -> None:
         self._queue: Queue[ReadableSpan] = Queue(QUEUE_LENGTH)
         self.dropped = 0
 
     def on_end(self, span: ReadableSpan) -> None:
-        """Queue an ended span, or drop it; never waits."""
+        """Queue an ended span, or drop it; never blocks."""
         try:
             self._queue.put_nowait(span)
         except Full:
             self.dropped += 1
 
     def run(self) -> None:
-        """Write spans for ever."""
+        """Write queued spans, without end."""
         while True:
             log_event(Event.SPAN_ENDED, **describe_span(self._queue.get()))
 
 
 class Tracing:
-    """Begins and ends spans.
+    """Starts and ends spans.
 
     Parameters
     ==========
 
-    process_name : names this process in each span.
-    processors : get every span when it ends.
+    process_name : identifies this process in each span.
+    processors : receive every span when it ends.
 
     Examples
     ========
@@ -92,7 +92,7 @@
 
     @classmethod
     def from_setting(cls, traces: str, process_name: str) -> Self:
-        """Return the tracing that a settings file asks for."""
+        """Return the tracing for the value of the ``traces`` setting."""
         return cls(process_name, (LogExport(),) if traces == "log" else ())
 
     def begin(
@@ -102,12 +102,12 @@
         parent: str = "",
         within: Span | None = None,
     ) -> Span:
-        """Begin a span under a ``traceparent`` header or within another span."""
+        """Start a span under a ``traceparent`` header or within another span."""
         context = _read_parent(parent) if within is None else set_span_in_context(within)
         return self._tracer.start_span(name, context, attributes=dict(attributes))
 
     def end(self, span: Span, error: str = "") -> None:
-        """End a span, as failed when `error` says why."""
+        """End a span; if `error` is not empty, mark the span as failed."""
         if error:
             span.set_status(StatusCode.ERROR, error)
             span.set_attribute("error", error)
@@ -120,7 +120,7 @@
 
     @staticmethod
     def find_parent(span: Span) -> str:
-        """Return the ``traceparent`` header that makes others' spans children of `span`."""
+        """Return the ``traceparent`` header for spans that other processes start under `span`."""
         carrier: dict[str, str] = {}
         _propagator.inject(carrier, set_span_in_context(span))
         return carrier.get(PARENT_HEADER, "")
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,8 @@
-"""The lease: one holder at a time by the clocks, and what lost answers and pauses do to it."""
+"""Tests of the lease of a zone.
+
+They guard against two holders at a time, as after a pause of the holder or a restart, and against
+a lease that is lost because the answer of a renewal is lost.
+"""
 
 import pytest
 
@@ -12,7 +16,7 @@
 
 
 class FakeObjects:
-    """One object with versions; `lose` writes take effect without an answer."""
+    """A single object with conditional writes; `lose` is the number of lost write answers."""
 
     def __init__(self):
         self.stored = None
@@ -178,7 +182,7 @@
 
 
 def test_another_process_of_the_same_name_waits_the_term(objects, clock):
-    """A replaced VM may still run: only the bound address shows that its process has ended."""
+    """A replaced VM may still run; only the same bound address shows that its process ended."""
     first = Lease(objects, clock, ZONE, "gateway-1", TIMES, get_address=lambda: "10.0.0.1:7")
     first.take_turn()
     replaced = Lease(objects, clock, ZONE, "gateway-1", TIMES, get_address=lambda: "10.0.0.2:7")
@@ -188,7 +192,7 @@
 
 
 def test_a_holder_of_a_moment_ago_does_not_take_a_released_lease_at_once(objects, clock):
-    """A rolling restart: calls of A, B and A again within the term look like two holders."""
+    """After a rolling restart, orders of A, B and A within a term look like two holders."""
     first, second, third = (make_lease(objects, clock, name) for name in ("a", "b", "c"))
     first.take_turn()
     first.release()
