--- a/hemlockswitch/process/claims/store.py
+++ b/hemlockswitch/process/claims/store.py
@@ -1,4 +1,4 @@
-"""The claims of this daemon: a key's call is dispatched once, and its answer kept."""
+"""The claims of this daemon: dispatches a key's call at most once and retains its answer."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 from hemlockswitch.process.claims.objects import Bounds, ObjectService, PartitionObjects
 from hemlockswitch.process.claims.outbox import ClaimOutbox
 from hemlockswitch.process.claims.routes import (
-    LIMIT_MS,
+    OPERATION_TIMEOUT_MS,
     PARTITIONS,
     ClaimPeer,
     ClaimRoutes,
@@ -29,7 +29,7 @@
 from hemlockswitch.request.claims import Claim, Outcome, StoredAnswer, digest_key
 
 REPEAT_PAUSES_MS = (100, 200, 400, 800)
-COME_BACK_MS = 1_000
+CONFLICT_RETRY_MS = 1_000
 FULL_RETRY_MS = 30_000
 DISPATCH_TERM_MS = 120_000
 FRESH_MS = 10_000
@@ -37,32 +37,32 @@
 
 @dataclass
 class _Running:
-    """A call with a key that this daemon is dealing with now."""
+    """A call with a key that is running in this daemon."""
 
     fingerprint: str
     result: AsyncResult = field(default_factory=AsyncResult)
 
 
 class ClaimStore:
-    """Runs each key's call at most once in the whole system.
+    """Runs the call of each key at most once across all daemons.
 
     Explanation
     ===========
 
-    The claim is in the platform before the call is dispatched, and only the daemon whose claim
-    it is dispatches, once. The outcome is written back after the caller has its answer. What
-    cannot be claimed is refused with ``ran: no``; a claim without an outcome is never dispatched
-    again. docs/explanation/claims.md weighs this against other ways.
+    The claim is stored in the platform before the call is dispatched, and only the daemon that
+    placed the claim dispatches, once. The outcome is written after the caller has its answer. A
+    call that cannot be claimed is refused with ``ran: no``; a claim without an outcome is never
+    dispatched again. docs/explanation/claims.md compares this design with the alternatives.
 
     Parameters
     ==========
 
-    holder : names this process in its claims.
-    routes : brings operations to the platform.
-    clock : the time.
-    retention_ms : returns how long claims are kept.
-    is_gone : tells whether the holder of a claim is known to have left.
-    count : called with what became of a call's claim.
+    holder : identifies this process in its claims.
+    routes : routes operations to the platform.
+    clock : provides the time.
+    retention_ms : returns how long claims are retained.
+    has_ended : returns whether the holder of a claim has certainly ended.
+    count : called with the outcome of each call's claim.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         routes: ClaimRoutes,
         clock: Clock,
         retention_ms: Callable[[], int],
-        is_gone: Callable[[str], bool] = lambda holder: False,
+        has_ended: Callable[[str], bool] = lambda holder: False,
         count: Callable[[str], None] = lambda outcome: None,
     ) -> None:
         self.counts: Counter[str] = Counter()
@@ -80,7 +80,7 @@
         self._routes = routes
         self._clock = clock
         self._retention_ms = retention_ms
-        self._is_gone = is_gone
+        self._has_ended = has_ended
         self._running: dict[str, _Running] = {}
         self._outbox = ClaimOutbox(routes, clock, retention_ms)
 
@@ -95,13 +95,13 @@
         *,
         peers: Peers | None = None,
         list_peers: Callable[[], list[ClaimPeer]] = list_no_peers,
-        is_gone: Callable[[str], bool] = lambda holder: False,
+        has_ended: Callable[[str], bool] = lambda holder: False,
         count: Callable[[str], None] = lambda outcome: None,
         bounds: Bounds | None = None,
         pace: Pace | None = None,
         writer_counts: WriterCounts | None = None,
     ) -> Self:
-        """Return the claims of a daemon, with a writer for each partition."""
+        """Return the claim store of a daemon, with a writer for each partition."""
         counts = writer_counts or WriterCounts()
         writers = [
             PartitionWriter(
@@ -115,7 +115,7 @@
         ]
         routes = ClaimRoutes(name, zone, writers, peers or NoPeers(), list_peers, clock)
         holder = make_identifier(name)
-        return cls(holder, routes, clock, retention_ms, is_gone, count)
+        return cls(holder, routes, clock, retention_ms, has_ended, count)
 
     def run_once(
         self,
@@ -123,24 +123,25 @@
         key: str,
         fingerprint: str,
         dispatch: Callable[[], StoredAnswer],
-        limit_ms: float = LIMIT_MS,
+        limit_ms: float = OPERATION_TIMEOUT_MS,
     ) -> StoredAnswer:
         """Return the key's answer, from `dispatch` or from an earlier call.
 
         Parameters
         ==========
 
-        account, key : the key is the account's own.
-        fingerprint : hash of what the call asks for.
+        account, key : keys are scoped to a client account.
+        fingerprint : hash of the call's content.
         dispatch : sends the call; called at most once.
-        limit_ms : how long to try to place the claim.
+        limit_ms : time limit for placing the claim.
 
         Raises
         ======
 
         RequestError : `CLAIM_UNAVAILABLE`, nothing was run; `CLAIM_CONFLICT`, another dispatch
-            of this key is under way; `OUTCOME_UNKNOWN`, there was one and its end is not known;
-            `BAD_REQUEST`, the key was used for another call; or what `dispatch` raises.
+            of this key is in progress; `OUTCOME_UNKNOWN`, a dispatch was begun and its outcome
+            is unknown; `BAD_REQUEST`, the key was used for a different call; or the error that
+            `dispatch` raises.
         """
         digest = digest_key(account, key)
         running = self._running.get(digest)
@@ -161,7 +162,7 @@
             del self._running[digest]
 
     def describe(self) -> dict[str, int]:
-        """Return what happened to keys so far, for the status page."""
+        """Return the counters of claims, for the status page."""
         return {
             **self.counts,
             "unwritten_outcomes": len(self._outbox),
@@ -169,11 +170,11 @@
         }
 
     def flush(self, timeout_ms: float) -> bool:
-        """Wait until the outcomes are written; return whether all are."""
+        """Wait until the outcomes are written; return whether all were within the timeout."""
         return self._outbox.flush(timeout_ms)
 
     def stop(self) -> None:
-        """End the tasks; outcomes that are not written yet stay unknown."""
+        """Stop the tasks; outcomes that are not yet written remain unknown."""
         self._outbox.stop()
         self._routes.stop()
 
@@ -182,7 +183,7 @@
         self._count_outside(outcome)
 
     def _join(self, running: _Running, fingerprint: str) -> StoredAnswer:
-        """Wait shortly for the same key's call that this daemon is dealing with."""
+        """Wait briefly for a running call with the same key in this daemon."""
         self._check_fingerprint(running.fingerprint, fingerprint)
         self._count("joined")
         try:
@@ -200,7 +201,9 @@
         began_ms = self._clock.now_ms()
         term_ms = min(DISPATCH_TERM_MS, self._retention_ms())
         claim = Claim.make(fingerprint, self._holder, self._clock.wall_ms(), term_ms)
-        result = self._place(digest, claim, fingerprint, began_ms + min(limit_ms, LIMIT_MS))
+        result = self._place(
+            digest, claim, fingerprint, began_ms + min(limit_ms, OPERATION_TIMEOUT_MS)
+        )
         if result.verdict is Verdict.PLACED:
             self._check_fresh(digest, claim, began_ms)
             return self._run(digest, claim, dispatch)
@@ -209,7 +212,7 @@
         raise self._refuse(digest, claim, result)
 
     def _place(self, digest: str, claim: Claim, fingerprint: str, until_ms: float) -> Result:
-        """Place a claim, waiting shortly while another's dispatch is under way."""
+        """Place a claim, waiting briefly while another dispatch of the key is in progress."""
         for pause_ms in (*REPEAT_PAUSES_MS, 0):
             result = self._routes.perform(Place(digest, claim), until_ms - self._clock.now_ms())
             if result.verdict is not Verdict.STANDING or result.claim is None:
@@ -223,23 +226,25 @@
         return result
 
     def _is_over(self, digest: str, claim: Claim) -> bool:
-        """Return whether a claim without an outcome will hardly get one."""
+        """Return whether a claim without an outcome is unlikely to get one."""
         if claim.holder == self._holder:
-            # Nobody here works on it but, perhaps, the outbox.
+            # In this process only the outbox can still be working on the claim.
             return not self._outbox.is_delivering(digest)
-        return self._clock.wall_ms() > claim.ends_wall_ms or self._is_gone(claim.holder)
+        return self._clock.wall_ms() > claim.ends_wall_ms or self._has_ended(claim.holder)
 
     def _check_fresh(self, digest: str, claim: Claim, began_ms: float) -> None:
-        """Refuse to dispatch on a claim that this process slept on.
+        """Refuse to dispatch if placing the claim took too long.
 
-        A process that was paused may wake after its claim's retention, when a repeat has a claim
-        of its own.
+        A process that was paused may resume after its claim has expired, when a repeated call
+        may have placed another claim.
         """
         if self._clock.now_ms() - began_ms <= min(FRESH_MS, self._retention_ms() / 2):
             return
         self._outbox.deliver(GiveBack(digest, claim))
         self._count("unavailable")
-        raise RequestError(ErrorKind.CLAIM_UNAVAILABLE, "the claim took too long")
+        raise RequestError(
+            ErrorKind.CLAIM_UNAVAILABLE, "placing the claim of the idempotency key took too long"
+        )
 
     def _run(self, digest: str, claim: Claim, dispatch: Callable[[], StoredAnswer]) -> StoredAnswer:
         self._count("placed")
@@ -257,8 +262,8 @@
     def _record(self, digest: str, claim: Claim, outcome: Outcome) -> None:
         self._outbox.deliver(Record(digest, claim.claim_id, outcome), claim.fingerprint)
 
-    def _replay(self, kept_for: str, outcome: Outcome, fingerprint: str) -> StoredAnswer:
-        self._check_fingerprint(kept_for, fingerprint)
+    def _replay(self, stored_fingerprint: str, outcome: Outcome, fingerprint: str) -> StoredAnswer:
+        self._check_fingerprint(stored_fingerprint, fingerprint)
         self._count("replayed")
         return outcome.replay()
 
@@ -269,24 +274,24 @@
                 return self._make_conflict()
             self._count("unknown")
             log_event(Event.CLAIM_OUTCOME_UNKNOWN, "warning", claim=result.claim.claim_id)
-            detail = "a call with this key was begun and its end is not known"
+            detail = "a call with this idempotency key was begun and its outcome is unknown"
             return RequestError(ErrorKind.OUTCOME_UNKNOWN, detail)
         self._count("unavailable")
         if result.verdict is Verdict.FULL:
             log_event(Event.CLAIM_PARTITION_FULL, "warning")
-            detail = "the room for claims is used up"
+            detail = "no room for another claim of an idempotency key"
             return RequestError(ErrorKind.CLAIM_UNAVAILABLE, detail, retry_after_ms=FULL_RETRY_MS)
         if result.verdict is Verdict.UNCERTAIN:
             self._outbox.deliver(GiveBack(digest, claim))
-        return RequestError(ErrorKind.CLAIM_UNAVAILABLE, "the key could not be claimed")
+        return RequestError(ErrorKind.CLAIM_UNAVAILABLE, "the idempotency key could not be claimed")
 
     def _make_conflict(self) -> RequestError:
         self._count("conflict")
-        detail = "a call with this key is under way"
-        return RequestError(ErrorKind.CLAIM_CONFLICT, detail, retry_after_ms=COME_BACK_MS)
+        detail = "another call with this idempotency key is in progress"
+        return RequestError(ErrorKind.CLAIM_CONFLICT, detail, retry_after_ms=CONFLICT_RETRY_MS)
 
     @staticmethod
-    def _check_fingerprint(kept_for: str, fingerprint: str) -> None:
-        if kept_for != fingerprint:
-            detail = "the idempotency key was used for another call"
+    def _check_fingerprint(stored_fingerprint: str, fingerprint: str) -> None:
+        if stored_fingerprint != fingerprint:
+            detail = "the idempotency key was already used for a different call"
             raise RequestError(ErrorKind.BAD_REQUEST, detail)
