--- a/hemlockswitch/request/admission.py
+++ b/hemlockswitch/request/admission.py
@@ -11,10 +11,10 @@
 from hemlockswitch.request.ledger import MIN_WAIT_MS, AccountLedger, LimitRefusal
 
 JITTER_RATIO = 0.5
-LONGEST_RETRY_MS = 30_000.0
+MAX_RETRY_DELAY_MS = 30_000.0
 SEEK_WAIT_MS = 150.0
-MOST_SEEKS = 6
-MOST_WAITING = 16
+MAX_SEEKS = 6
+MAX_WAITING = 16
 WAIT_MARGIN_MS = 1.0
 
 
@@ -180,7 +180,7 @@
 
     def _charge(self, account: str, tokens: int, deadline_ms: float | None) -> AccountLedger:
         ledger = self._find_ledger(account)
-        ledger.note_demand(tokens)
+        ledger.record_demand(tokens)
         end_ms = self._clock.now_ms() + self._seek_wait_ms
         if deadline_ms is not None:
             end_ms = min(end_ms, deadline_ms)
@@ -189,7 +189,7 @@
         seeks = 0
         while (refusal := ledger.charge(tokens, deadline_ms)) is not None:
             seeks += 1
-            sought = seeks <= MOST_SEEKS and self._seek(account, refusal.shortage, end_ms)
+            sought = seeks <= MAX_SEEKS and self._seek(account, refusal.shortage, end_ms)
             if not sought and not self._wait(ledger, refusal, end_ms):
                 break
             ledger = self._find_ledger(account)
@@ -201,7 +201,7 @@
         """Wait until the buckets suffice, if that is before `end_ms`; return whether it waited."""
         now_ms = self._clock.now_ms()
         by_slots = refusal.kind is ErrorKind.CONCURRENCY_LIMIT
-        if by_slots or now_ms + refusal.wait_ms > end_ms or ledger.waiting >= MOST_WAITING:
+        if by_slots or now_ms + refusal.wait_ms > end_ms or ledger.waiting >= MAX_WAITING:
             return False
         ledger.waiting += 1
         try:
@@ -227,4 +227,4 @@
 
     def _jitter(self, wait_ms: float) -> int:
         spread_ms = max(wait_ms * JITTER_RATIO, MIN_WAIT_MS)
-        return int(min(wait_ms, LONGEST_RETRY_MS) + self._random.uniform(1, spread_ms))
+        return int(min(wait_ms, MAX_RETRY_DELAY_MS) + self._random.uniform(1, spread_ms))
--- a/hemlockswitch/request/capacity.py
+++ b/hemlockswitch/request/capacity.py
@@ -12,7 +12,7 @@
 DEFAULT_PLACES = 1_024
 DEFAULT_QUEUE_LENGTH = 256
 LONGEST_WAIT_MS = 2_000.0
-FIRST_DURATION_MS = 500.0
+INITIAL_DURATION_MS = 500.0
 DURATION_WEIGHT = 0.05
 
 
@@ -33,7 +33,7 @@
     ===========
 
     A request is refused immediately if the queue is full of requests ahead of it, or if its expected
-    wait exceeds its deadline or `longest_wait_ms`. In a full queue, a request with a higher priority
+    wait exceeds its deadline or `max_wait_ms`. In a full queue, a request with a higher priority
     than the last one evicts it.
 
     Parameters
@@ -42,7 +42,7 @@
     clock : the process's clock.
     places : maximum number of requests in progress.
     queue_length : maximum number of waiting requests.
-    longest_wait_ms : maximum time that a request waits.
+    max_wait_ms : maximum time that a request waits.
     """
 
     def __init__(
@@ -50,17 +50,17 @@
         clock: Clock,
         places: int = DEFAULT_PLACES,
         queue_length: int = DEFAULT_QUEUE_LENGTH,
-        longest_wait_ms: float = LONGEST_WAIT_MS,
+        max_wait_ms: float = LONGEST_WAIT_MS,
     ) -> None:
         self._clock = clock
         self._places = places
         self._queue_length = queue_length
-        self._longest_wait_ms = longest_wait_ms
+        self._max_wait_ms = max_wait_ms
         self._running = 0
         self._waiting: list[_Waiter] = []
         self._numbers = itertools.count()
         self._left_ms: float | None = None
-        self._gap_ms = FIRST_DURATION_MS / places
+        self._gap_ms = INITIAL_DURATION_MS / places
 
     @property
     def running(self) -> int:
@@ -86,7 +86,7 @@
             self._running += 1
             return
         waiter = _Waiter(priority, next(self._numbers))
-        wait_ms = self._find_longest_wait_ms(deadline_ms)
+        wait_ms = self._find_max_wait_ms(deadline_ms)
         self._check_wait(waiter, wait_ms)
         self._make_room(waiter)
         bisect.insort(self._waiting, waiter)
@@ -94,7 +94,7 @@
 
     def leave(self) -> None:
         """Release a place and pass it to the first request in the queue."""
-        self._note_gap()
+        self._record_gap()
         if self._waiting:
             self._waiting.pop(0).ready.set()
             return
@@ -106,10 +106,10 @@
                 ErrorKind.DEADLINE_BEFORE_DISPATCH, "the caller's deadline has passed"
             )
 
-    def _find_longest_wait_ms(self, deadline_ms: float | None) -> float:
+    def _find_max_wait_ms(self, deadline_ms: float | None) -> float:
         if deadline_ms is None:
-            return self._longest_wait_ms
-        return min(self._longest_wait_ms, deadline_ms - self._clock.now_ms())
+            return self._max_wait_ms
+        return min(self._max_wait_ms, deadline_ms - self._clock.now_ms())
 
     def _check_wait(self, waiter: _Waiter, wait_ms: float) -> None:
         ahead = bisect.bisect(self._waiting, waiter) + 1
@@ -148,7 +148,7 @@
         retry_after_ms = int(max(self._gap_ms * (len(self._waiting) + 1), 50))
         return RequestError(ErrorKind.OVERLOADED, detail, retry_after_ms=retry_after_ms)
 
-    def _note_gap(self) -> None:
+    def _record_gap(self) -> None:
         now_ms = self._clock.now_ms()
         if self._left_ms is not None and self._running >= self._places:
             self._gap_ms += DURATION_WEIGHT * (now_ms - self._left_ms - self._gap_ms)
--- a/hemlockswitch/request/choices.py
+++ b/hemlockswitch/request/choices.py
@@ -67,9 +67,9 @@
     affinity_blocks : number of leading prompt blocks that determine the preferred server.
     recompute_weight : fraction of the time to process an uncached token that is added to its cost,
         since it delays other requests.
-    home_trust : probability that the preferred server caches a prefix that this daemon has sent before,
-        if only to another server: all daemons prefer the same server.
-    most_over_mean : a server with more than this multiple of the mean number of requests (plus one) is
+    preferred_hit_probability : probability that the preferred server caches a prefix that this daemon
+        has sent before, if only to another server: all daemons prefer the same server.
+    max_over_mean : a server with more than this multiple of the mean number of requests (plus one) is
         not picked, which prevents a popular prefix from overloading its preferred server.
     """
 
@@ -77,8 +77,8 @@
     margin_ms: float = 5.0
     affinity_blocks: int = 8
     recompute_weight: float = 0.5
-    home_trust: float = 0.8
-    most_over_mean: float = 1.5
+    preferred_hit_probability: float = 0.8
+    max_over_mean: float = 1.5
 
 
 @singledispatch
@@ -100,7 +100,7 @@
 def _pick_predicted(
     choice: PredictedTime, scored: Sequence[Scored], wanted: Wanted, chance: random.Random
 ) -> Scored:
-    bounded = drop_swamped(scored, choice.most_over_mean)
+    bounded = drop_overloaded(scored, choice.max_over_mean)
     home = find_home(scored, wanted, choice.affinity_blocks) if wanted.prefix_blocks else None
     costs = {one.server.name: weigh(choice, one, one is home) for one in bounded}
     best_ms = min(costs.values())
@@ -123,20 +123,20 @@
 
     >>> server = BackendServer("llm-1", "marka-hall", "127.0.0.1:1", "assistant-llm")
     >>> one = Scored(server, 50, 0, 100, prompt_tokens=100, seen_tokens=100, ms_per_token=0.5)
-    >>> choice = PredictedTime(recompute_weight=0, home_trust=0.8)
+    >>> choice = PredictedTime(recompute_weight=0, preferred_hit_probability=0.8)
     >>> weigh(choice, one, is_home=False), weigh(choice, one, is_home=True)
     (50.0, 10.0)
     """
     uncached = float(one.uncached_tokens)
     if is_home:
-        likely_cached = choice.home_trust * one.seen_tokens
+        likely_cached = choice.preferred_hit_probability * one.seen_tokens
         uncached = min(uncached, one.prompt_tokens - likely_cached)
     spared_ms = (one.uncached_tokens - uncached) * one.ms_per_token
     extra_ms = choice.recompute_weight * uncached * one.ms_per_token
     return one.first_token_ms - spared_ms + extra_ms
 
 
-def drop_swamped(scored: Sequence[Scored], most_over_mean: float) -> list[Scored]:
+def drop_overloaded(scored: Sequence[Scored], max_over_mean: float) -> list[Scored]:
     """Return the candidates whose request count is not far above the mean; always at least one.
 
     Examples
@@ -144,12 +144,12 @@
 
     >>> server = BackendServer("llm-1", "marka-hall", "127.0.0.1:1", "assistant-llm")
     >>> counts = [9, 1, 1]
-    >>> kept = drop_swamped([Scored(server, 0, count, 0) for count in counts], 1.5)
+    >>> kept = drop_overloaded([Scored(server, 0, count, 0) for count in counts], 1.5)
     >>> [one.requests for one in kept]
     [1, 1]
     """
     mean = sum(one.requests for one in scored) / len(scored)
-    most = most_over_mean * mean + 1
+    most = max_over_mean * mean + 1
     return [one for one in scored if one.requests <= most]
 
 
--- a/hemlockswitch/request/chunks.py
+++ b/hemlockswitch/request/chunks.py
@@ -63,7 +63,7 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     def split(self, data: bytes) -> list[bytes]:
         """Return the events completed by `data`.
@@ -73,11 +73,11 @@
 
         ValueError : an event exceeds `MAX_EVENT_BYTES`.
         """
-        if self._rest:
-            data = self._rest + data
+        if self._remainder:
+            data = self._remainder + data
         events = data.split(SEPARATOR)
-        self._rest = events.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._remainder = events.pop()
+        if len(self._remainder) > MAX_EVENT_BYTES:
             raise ValueError("an event exceeds the size limit without an end")
         return events
 
@@ -97,17 +97,17 @@
 
     stream_id : the id under which this attempt was sent to the engine.
     request_id : the id that replaces it in the events for the caller.
-    own_ids : stream ids of earlier attempts; their late chunks are ignored rather than invalid.
+    earlier_ids : stream ids of earlier attempts; their late chunks are ignored rather than invalid.
 
     `before_out` and `after_out` enclose the content of a matched event in the caller's event.
     """
 
     def __init__(
-        self, stream_id: str, request_id: str, own_ids: frozenset[str] = frozenset()
+        self, stream_id: str, request_id: str, earlier_ids: frozenset[str] = frozenset()
     ) -> None:
         self._stream_id = stream_id
         self._request_id = request_id
-        self._own_ids = own_ids
+        self._earlier_ids = earlier_ids
         self._id_line = f"id: {stream_id}:".encode()
         self._before = b""
         self.before_out = b""
@@ -127,17 +127,17 @@
         """Return the result of checking `event`, where `position` is the next expected position."""
         content = self.match_token(event, position)
         if content is None:
-            return self._check_slowly(event, position)
+            return self._check_unmatched(event, position)
         return Checked(Verdict.TOKEN, content, self.before_out + content + self.after_out)
 
-    def _check_slowly(self, event: bytes, position: int) -> Checked:
+    def _check_unmatched(self, event: bytes, position: int) -> Checked:
         if event == DONE:
             return ENDED
         id_line, _, data_line = event.partition(b"\n")
         if not id_line or id_line.startswith(b":"):
             return IGNORED
         named_id, _, named_position = id_line.removeprefix(b"id: ").rpartition(b":")
-        if named_id.decode("utf-8", "replace") in self._own_ids:
+        if named_id.decode("utf-8", "replace") in self._earlier_ids:
             return IGNORED
         if named_id.decode("utf-8", "replace") != self._stream_id or not named_position.isdigit():
             return INVALID
@@ -164,10 +164,10 @@
         text = content.encode("utf-8", "surrogatepass")
         if finish is not None:
             return Checked(Verdict.FINISH, text, _encode(chunk), chunk.get("usage"))
-        self._learn(event, text)
+        self._store_template(event, text)
         return Checked(Verdict.TOKEN, text, _encode(chunk))
 
-    def _learn(self, event: bytes, content: bytes) -> None:
+    def _store_template(self, event: bytes, content: bytes) -> None:
         """Store the template if the content occurs exactly once and contains no escapes."""
         quoted = b'"content": "' + content + b'"'
         if self._before or not content or any(mark in content for mark in _ESCAPES):
--- a/hemlockswitch/request/clearance.py
+++ b/hemlockswitch/request/clearance.py
@@ -78,7 +78,7 @@
         return last  # The granted trial has not reached a server yet.
     try:
         return guard.clear(content, may_try=is_first)
-    except RequestError as held:
+    except RequestError as quarantined:
         if ran is Ran.NO:
             raise
-        raise RequestError(ErrorKind.OUTCOME_UNKNOWN, held.detail, ran=ran) from held
+        raise RequestError(ErrorKind.OUTCOME_UNKNOWN, quarantined.detail, ran=ran) from quarantined
--- a/hemlockswitch/request/engine_model.py
+++ b/hemlockswitch/request/engine_model.py
@@ -20,23 +20,23 @@
 
 TOKENS_PER_UNIT = 1_000.0
 PAIRS_PER_UNIT = 1_000_000.0
-MOST_OBSERVATIONS = 240
+MAX_OBSERVATIONS = 240
 """Equals half a minute of a busy service at a gateway of a small site."""
-OLDEST_MS = 40_000.0
+MAX_OBSERVATION_AGE_MS = 40_000.0
 """An older attempt may have been answered by a different release of the engine."""
-LEAST_MS = 4.0
+MIN_DEVIATION_MS = 4.0
 """Smaller deviations are weighted equally: network latency alone varies by this much."""
-PASSES = 4
+FIT_ITERATIONS = 4
 """Iterations of reweighted least squares per fit; each starts from the previous result."""
 PRIOR_WEIGHT = 12.0
 """Number of attempts that the current model is weighted as in a fit: the first attempts of a process
 may be uniform and provide no information on some coefficients."""
 FEWEST_TOLD = 30
 """Number of attempts that a model must be fitted to before other gateways use it."""
-HIGHEST_BASE_MS = 2_000.0
+MAX_BASE_MS = 2_000.0
 TOKENS_PER_MS_BOUNDS = (1.0, 5_000.0)
-HIGHEST_RUNNING_MS = 20.0
-HIGHEST_PAIRS_MS = 20.0
+MAX_MS_PER_RUNNING = 20.0
+MAX_MS_PER_1M_PAIRS = 20.0
 """Upper bound for any engine; a reported model outside the bounds is invalid."""
 
 
@@ -102,7 +102,7 @@
         slowest_ms, fastest_ms = (TOKENS_PER_UNIT / bound for bound in TOKENS_PER_MS_BOUNDS)
         if not fastest_ms <= self.ms_per_1k_tokens <= slowest_ms:
             raise ValueError("the prompt processing rate of the engine model is out of bounds")
-        highest = (HIGHEST_BASE_MS, slowest_ms, HIGHEST_RUNNING_MS, HIGHEST_PAIRS_MS)
+        highest = (MAX_BASE_MS, slowest_ms, MAX_MS_PER_RUNNING, MAX_MS_PER_1M_PAIRS)
         if not all(
             0 <= value <= most for value, most in zip(self.coefficients, highest, strict=True)
         ):
@@ -113,7 +113,7 @@
         """Return the model with these coefficients clamped to the bounds."""
         slowest_ms, fastest_ms = (TOKENS_PER_UNIT / bound for bound in TOKENS_PER_MS_BOUNDS)
         lowest = (0.0, fastest_ms, 0.0, 0.0)
-        highest = (HIGHEST_BASE_MS, slowest_ms, HIGHEST_RUNNING_MS, HIGHEST_PAIRS_MS)
+        highest = (MAX_BASE_MS, slowest_ms, MAX_MS_PER_RUNNING, MAX_MS_PER_1M_PAIRS)
         bounded = (
             min(max(value, least), most)
             for value, least, most in zip(coefficients, lowest, highest, strict=True)
@@ -160,17 +160,17 @@
     """
 
     def __init__(self) -> None:
-        self._observed: deque[tuple[float, EngineWork, float]] = deque(maxlen=MOST_OBSERVATIONS)
+        self._observations: deque[tuple[float, EngineWork, float]] = deque(maxlen=MAX_OBSERVATIONS)
         self.model = PRIOR
 
     @property
     def count(self) -> int:
         """Number of attempts that the model is fitted to."""
-        return len(self._observed)
+        return len(self._observations)
 
     def note(self, now_ms: float, work: EngineWork, took_ms: float) -> None:
         """Record the time from an attempt to its first event."""
-        self._observed.append((now_ms, work, took_ms))
+        self._observations.append((now_ms, work, took_ms))
 
     def fit(self, now_ms: float, before: EngineModel | None = None) -> EngineModel:
         """Fit the model to the recorded attempts.
@@ -180,26 +180,26 @@
 
         before : the current model, used as the prior; few attempts change it only slightly.
         """
-        while self._observed and self._observed[0][0] < now_ms - OLDEST_MS:
-            self._observed.popleft()
+        while self._observations and self._observations[0][0] < now_ms - MAX_OBSERVATION_AGE_MS:
+            self._observations.popleft()
         prior = before or self.model
-        if not self._observed:
+        if not self._observations:
             return prior
         coefficients: tuple[float, ...] = prior.coefficients
-        for _ in range(PASSES):
-            coefficients = self._improve(coefficients, prior)
+        for _ in range(FIT_ITERATIONS):
+            coefficients = self._reweight(coefficients, prior)
         self.model = EngineModel.from_coefficients(coefficients)
         return self.model
 
-    def _improve(self, coefficients: Sequence[float], prior: EngineModel) -> tuple[float, ...]:
+    def _reweight(self, coefficients: Sequence[float], prior: EngineModel) -> tuple[float, ...]:
         """Return the weighted least squares fit, with weights from the deviations of `coefficients`."""
         size = len(coefficients)
         matrix = [[0.0] * size for _ in range(size)]
         right = [0.0] * size
-        for _, work, took_ms in self._observed:
+        for _, work, took_ms in self._observations:
             features = work.features
             deviation_ms = abs(took_ms - _multiply(coefficients, features))
-            weight = 1.0 / max(deviation_ms, LEAST_MS)
+            weight = 1.0 / max(deviation_ms, MIN_DEVIATION_MS)
             for row in range(size):
                 scaled = weight * features[row]
                 right[row] += scaled * took_ms
@@ -207,14 +207,14 @@
                     matrix[row][column] += scaled * features[column]
         for row, expected in enumerate(prior.coefficients):
             # The prior of a coefficient is weighted as `PRIOR_WEIGHT` attempts of typical size.
-            pull = PRIOR_WEIGHT / LEAST_MS * _USUAL[row] ** 2
+            pull = PRIOR_WEIGHT / MIN_DEVIATION_MS * _TYPICAL_FEATURES[row] ** 2
             pull *= PRIOR_WEIGHT / (PRIOR_WEIGHT + self.count)
             matrix[row][row] += pull
             right[row] += pull * expected
-        return _keep_positive(matrix, right)
+        return _solve_non_negative(matrix, right)
 
 
-_USUAL = (0.3, 1.0, 3.0, 3.0)
+_TYPICAL_FEATURES = (0.3, 1.0, 3.0, 3.0)
 """Features of a typical attempt. The base has a small value because few attempts determine it."""
 
 
@@ -222,7 +222,7 @@
     return sum(one * other for one, other in zip(left, right, strict=True))
 
 
-def _keep_positive(matrix: list[list[float]], right: list[float]) -> tuple[float, ...]:
+def _solve_non_negative(matrix: list[list[float]], right: list[float]) -> tuple[float, ...]:
     """Solve for non-negative coefficients: those that would be negative are set to 0."""
     kept = list(range(len(right)))
     while True:
--- a/hemlockswitch/request/event_stream.py
+++ b/hemlockswitch/request/event_stream.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class WholeEvents:
+class CompleteEvents:
     """Complete events, and the identifier of the last event that has one."""
 
     data: bytes
@@ -21,26 +21,30 @@
 
     >>> splitter = EventSplitter()
     >>> splitter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")
-    WholeEvents(data=b'id: 1\\ndata: a\\n\\n', last_id='1')
+    CompleteEvents(data=b'id: 1\\ndata: a\\n\\n', last_id='1')
     >>> splitter.feed(b"ta: b\\n\\n").last_id
     '2'
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._remainder = b""
 
     @property
     def rest(self) -> bytes:
         """The bytes of an incomplete event."""
-        return self._rest
+        return self._remainder
 
-    def feed(self, data: bytes) -> WholeEvents:
+    def feed(self, data: bytes) -> CompleteEvents:
         """Add `data` and return the events that it completes."""
-        self._rest += data
-        ends = (self._rest.rfind(mark) + len(mark) for mark in EVENT_ENDS if mark in self._rest)
+        self._remainder += data
+        ends = (
+            self._remainder.rfind(mark) + len(mark)
+            for mark in EVENT_ENDS
+            if mark in self._remainder
+        )
         end = max(ends, default=0)
-        whole, self._rest = self._rest[:end], self._rest[end:]
-        return WholeEvents(whole, find_last_id(whole))
+        complete, self._remainder = self._remainder[:end], self._remainder[end:]
+        return CompleteEvents(complete, find_last_id(complete))
 
 
 def find_last_id(events: bytes) -> str:
--- a/hemlockswitch/request/forwarding.py
+++ b/hemlockswitch/request/forwarding.py
@@ -20,7 +20,7 @@
     AdmittedRequest,
     admit_request,
 )
-from hemlockswitch.request.overload import find_return_ms
+from hemlockswitch.request.overload import find_retry_delay_ms
 from hemlockswitch.request.placement import Placement
 from hemlockswitch.request.progress import ForwardObserver, Progress
 from hemlockswitch.request.repeat_budget import RepeatBudget
@@ -136,7 +136,7 @@
             return
         finally:
             timer.close()
-        self._note_answered(progress, admitted, answered)
+        self._report_answered(progress, admitted, answered)
 
     def _send_until_answered(
         self, progress: Progress, admitted: AdmittedRequest, reply: Reply
@@ -152,7 +152,7 @@
                 self._sender.send(Send(progress, admitted, placement, reply))
                 return _Answered(placement.candidate.server, sent_ms)
             except SendFailedError as failed:
-                self._prepare_again(progress, admitted, placement, failed, reply)
+                self._prepare_next_attempt(progress, admitted, placement, failed, reply)
 
     def _clear(self, progress: Progress, admitted: AdmittedRequest, reply: Reply) -> None:
         """Raise if the request is quarantined; the error depends on whether it may have run."""
@@ -161,12 +161,12 @@
             progress.clearance = clear_request(
                 self._guard, admitted, progress.clearance, is_first=not progress.sends, ran=ran
             )
-        except RequestError as held:
+        except RequestError as quarantined:
             if reply.begun:
-                raise CallerLeftError(held.detail) from held
+                raise CallerLeftError(quarantined.detail) from quarantined
             raise
 
-    def _note_answered(
+    def _report_answered(
         self, progress: Progress, admitted: AdmittedRequest, answered: _Answered
     ) -> None:
         """Report an answer to the guard.
@@ -208,12 +208,12 @@
         """Refuse a new model request that would wait too long; one that was already sent continues."""
         if admitted.facts.prompt is None or progress.sends or progress.last_event_id:
             return
-        return_ms = find_return_ms(placement, admitted.queue_bound)
-        if return_ms is not None:
+        retry_delay_ms = find_retry_delay_ms(placement, admitted.queue_bound)
+        if retry_delay_ms is not None:
             detail = f"overloaded: the first event is expected after {placement.expected_ms:.0f} ms"
-            raise RequestError(ErrorKind.OVERLOADED, detail, retry_after_ms=round(return_ms))
+            raise RequestError(ErrorKind.OVERLOADED, detail, retry_after_ms=round(retry_delay_ms))
 
-    def _prepare_again(
+    def _prepare_next_attempt(
         self,
         progress: Progress,
         admitted: AdmittedRequest,
@@ -236,11 +236,11 @@
             # The guard tries to connect to the server, and the deadline may pass meanwhile: the
             # state of the request must be updated before.
             self._guard.note_broken(admitted, placement.candidate.server)
-        if verdict.may_send_again and self._may_spend(progress, admitted, failed):
+        if verdict.may_send_again and self._may_retry(progress, admitted, failed):
             return
         self._give_up(progress, verdict, failed.detail)
 
-    def _may_spend(
+    def _may_retry(
         self, progress: Progress, admitted: AdmittedRequest, failed: SendFailedError
     ) -> bool:
         """Return whether the limits on attempts and the budget allow another attempt."""
--- a/hemlockswitch/request/homes.py
+++ b/hemlockswitch/request/homes.py
@@ -10,16 +10,16 @@
 
 import xxhash
 
-HOMES = 3
+PREFERRED_COUNT = 3
 """Number of preferred servers of a shared part; all lower-ranked servers are equivalent."""
-NO_HOME = HOMES
+NO_HOME = PREFERRED_COUNT
 """Rank of a server that is not preferred."""
-KEPT_HOMES = 12
+CACHED_RANKS = 12
 """Number of servers cached for a part, which allows for some that are temporarily absent."""
-MOST_PARTS = 4_096
+MAX_PARTS = 4_096
 
 
-def rank_homes(key: str, names: Iterable[str], most: int = HOMES) -> list[str]:
+def rank_homes(key: str, names: Iterable[str], most: int = PREFERRED_COUNT) -> list[str]:
     """Return the `most` preferred servers of `key`, in descending order of preference.
 
     Examples
@@ -47,28 +47,28 @@
     """
 
     def __init__(self) -> None:
-        self._known: set[str] = set()
+        self._ranked_names: set[str] = set()
         self._parts: OrderedDict[str, list[str]] = OrderedDict()
 
     def rank(self, key: str, names: Sequence[str]) -> dict[str, int]:
         """Return the ranks of the preferred servers of `key` among `names`; 0 is the most preferred."""
         present = set(names)
-        if not self._known.issuperset(present):
-            self._known |= present
+        if not self._ranked_names.issuperset(present):
+            self._ranked_names |= present
             self._parts.clear()
-        homes = self._pick(key, present)
-        if len(homes) < min(HOMES, len(present)):
+        homes = self._select(key, present)
+        if len(homes) < min(PREFERRED_COUNT, len(present)):
             # Too few of the cached servers are present: rank the present ones only.
-            self._known = present
+            self._ranked_names = present
             self._parts.clear()
-            homes = self._pick(key, present)
+            homes = self._select(key, present)
         return {name: rank for rank, name in enumerate(homes)}
 
-    def _pick(self, key: str, present: set[str]) -> list[str]:
+    def _select(self, key: str, present: set[str]) -> list[str]:
         ranked = self._parts.get(key)
         if ranked is None:
-            ranked = self._parts[key] = rank_homes(key, self._known, KEPT_HOMES)
-            if len(self._parts) > MOST_PARTS:
+            ranked = self._parts[key] = rank_homes(key, self._ranked_names, CACHED_RANKS)
+            if len(self._parts) > MAX_PARTS:
                 self._parts.popitem(last=False)
         self._parts.move_to_end(key)
-        return [name for name in ranked if name in present][:HOMES]
+        return [name for name in ranked if name in present][:PREFERRED_COUNT]
--- a/hemlockswitch/request/ledger.py
+++ b/hemlockswitch/request/ledger.py
@@ -86,7 +86,7 @@
         self._requests.give_back(now_ms, credit.requests)
         self._tokens.give_back(now_ms, credit.tokens)
 
-    def note_demand(self, tokens: int) -> None:
+    def record_demand(self, tokens: int) -> None:
         """Count one request in the demand, whether it is admitted or refused."""
         now_ms = self._clock.now_ms()
         self._request_demand.add(now_ms, 1)
--- a/hemlockswitch/request/moving.py
+++ b/hemlockswitch/request/moving.py
@@ -16,15 +16,15 @@
 from hemlockswitch.request.running import Chooser, Directory, MoveReady, Running
 from hemlockswitch.version.backend import BackendServer
 
-MOVES_AT_ONCE = 16
+MAX_CONCURRENT_TRANSFERS = 16
 UNKNOWN_NOTICE_MS = 5_000.0
 RESERVE_MS = 700.0
 LOOK_AGAIN_MS = 200.0
-CHOOSE_AGAIN_MS = 100.0
+CHOICE_POLL_INTERVAL_MS = 100.0
 STEP_TIMEOUT_MS = 2_000.0
 MIN_STEP_MS = 50.0
 SLACK = 1.25
-START_GAP_MS = 50.0
+DEFAULT_TOKEN_GAP_MS = 50.0
 
 
 @dataclass(frozen=True)
@@ -74,7 +74,7 @@
         self._directory = directory
         self._client = client
         self._clock = clock
-        self._caches = BoundedSemaphore(MOVES_AT_ONCE)
+        self._transfers = BoundedSemaphore(MAX_CONCURRENT_TRANSFERS)
 
     def leave(self, name: str, deadline_wall_ms: float) -> None:
         """Start to move all generations off a server, without waiting for the moves.
@@ -98,31 +98,31 @@
 
     def _move(self, running: Running, departure: _Departure) -> None:
         """Move one generation, unless it ends or its attempt is lost first."""
-        while self._is_there(running, departure):
-            if self._fits(running.generation, departure):
+        while self._is_current(running, departure):
+            if self._finishes_in_time(running.generation, departure):
                 self._clock.sleep_ms(LOOK_AGAIN_MS)
             elif self._prepare(running, departure):
                 return
             else:
-                self._clock.sleep_ms(CHOOSE_AGAIN_MS)
+                self._clock.sleep_ms(CHOICE_POLL_INTERVAL_MS)
 
     @staticmethod
-    def _is_there(running: Running, departure: _Departure) -> bool:
+    def _is_current(running: Running, departure: _Departure) -> bool:
         generation = running.generation
         same = generation.stream_id == departure.stream_id
         return same and not generation.finish_event and running.stopped is None
 
-    def _fits(self, generation: Generation, departure: _Departure) -> bool:
+    def _finishes_in_time(self, generation: Generation, departure: _Departure) -> bool:
         """Return whether the remaining tokens are expected before the server is stopped."""
         if generation.first_token_ms is None:
             return False
         done = len(generation.tokens)
         now_ms = self._clock.now_ms()
-        gap_ms = START_GAP_MS
+        gap_ms = DEFAULT_TOKEN_GAP_MS
         if done > 1:
             gap_ms = (now_ms - generation.first_token_ms) / (done - 1)
-        rest_ms = (generation.max_tokens - done + 1) * gap_ms * SLACK
-        return now_ms + rest_ms + RESERVE_MS < departure.deadline_ms
+        remaining_ms = (generation.max_tokens - done + 1) * gap_ms * SLACK
+        return now_ms + remaining_ms + RESERVE_MS < departure.deadline_ms
 
     def _prepare(self, running: Running, departure: _Departure) -> bool:
         """Prepare another server and interrupt the relay to switch; return False to try again."""
@@ -130,13 +130,13 @@
         if target is None:
             return self._left_ms(departure) <= 0
         kv_handle = None
-        if running.own_token and self._left_ms(departure) > RESERVE_MS:
-            with self._caches:
-                if self._left_ms(departure) > RESERVE_MS and self._is_there(running, departure):
-                    kv_handle = self._carry_cache(departure, target)
+        if running.connection_has_token and self._left_ms(departure) > RESERVE_MS:
+            with self._transfers:
+                if self._left_ms(departure) > RESERVE_MS and self._is_current(running, departure):
+                    kv_handle = self._transfer_cache(departure, target)
         if self._directory.is_leaving(target.name):
             return False
-        if self._is_there(running, departure):
+        if self._is_current(running, departure):
             running.generation.move = Move(target, kv_handle)
             running.interrupt(MoveReady())
         return True
@@ -150,7 +150,7 @@
         except RequestError:
             return None
 
-    def _carry_cache(self, departure: _Departure, target: BackendServer) -> str | None:
+    def _transfer_cache(self, departure: _Departure, target: BackendServer) -> str | None:
         """Transfer the KV cache to `target`; return its handle there, or None if that failed."""
         timeout_ms = min(STEP_TIMEOUT_MS, max(self._left_ms(departure) - RESERVE_MS, MIN_STEP_MS))
         source = departure.server.address
--- a/hemlockswitch/request/overdue.py
+++ b/hemlockswitch/request/overdue.py
@@ -6,8 +6,8 @@
 from hemlockswitch.request.running import Running
 
 SWEEP_MS = 100.0
-FIRST_TOKEN_LIMIT_MS = 20_000.0
-TOKEN_GAP_LIMIT_MS = 3_000.0
+FIRST_TOKEN_TIMEOUT_MS = 20_000.0
+TOKEN_GAP_TIMEOUT_MS = 3_000.0
 
 
 class OverdueSweep:
@@ -36,11 +36,11 @@
         for running in list(self._relay.running.values()):
             if now_ms >= running.generation.deadline_ms:
                 running.stop(running.build_overdue())
-            elif self._is_silent(running, now_ms):
+            elif self._is_unresponsive(running, now_ms):
                 running.interrupt(AttemptLostError("the backend server became unresponsive"))
 
     @staticmethod
-    def _is_silent(running: Running, now_ms: float) -> bool:
+    def _is_unresponsive(running: Running, now_ms: float) -> bool:
         """Return whether the server has sent nothing for too long.
 
         Time in which the relay does not read, because the caller blocks, is not counted.
@@ -51,7 +51,7 @@
             return False
         if exchange.reads != running.reads_seen:
             running.reads_seen = exchange.reads
-            running.quiet_since_ms = now_ms
+            running.no_reads_since_ms = now_ms
             return False
-        limit_ms = TOKEN_GAP_LIMIT_MS if running.own_token else FIRST_TOKEN_LIMIT_MS
-        return now_ms - running.quiet_since_ms > limit_ms
+        limit_ms = TOKEN_GAP_TIMEOUT_MS if running.connection_has_token else FIRST_TOKEN_TIMEOUT_MS
+        return now_ms - running.no_reads_since_ms > limit_ms
--- a/hemlockswitch/request/overload.py
+++ b/hemlockswitch/request/overload.py
@@ -14,17 +14,17 @@
 QUEUE_SHARE = 0.9
 """Fraction of the objective that the predicted time may use. The remaining fraction allows for
 predictions that are too low; a larger margin would refuse requests that may still be in time."""
-URGENCY_STEP = 0.1
+QUEUE_SHARE_STEP = 0.1
 """Amount by which each lower rank reduces that fraction, so that less urgent requests are refused
 first."""
-LOWEST_RANK = 4
-LEAST_QUEUE_SHARE = 0.25
+MAX_RANK = 4
+MIN_QUEUE_SHARE = 0.25
 """Fraction of the objective that a request may always queue, however long its own prompt: large
 requests must not be starved."""
-SHORTEST_RETURN_MS = 150.0
-LONGEST_RETURN_MS = 2_000.0
+MIN_RETRY_DELAY_MS = 150.0
+MAX_RETRY_DELAY_MS = 2_000.0
 """Copies that replace lost ones serve after about four seconds, and callers retry once or twice."""
-RETURN_SPREAD = (0.8, 1.4)
+RETRY_DELAY_SPREAD = (0.8, 1.4)
 """Range of the random factor on the retry delay, which prevents simultaneous retries."""
 
 
@@ -43,22 +43,22 @@
     objective_ms: float
     rank: int
 
-    def find_longest_queue_ms(self, reading_ms: float) -> float:
+    def find_max_queue_ms(self, reading_ms: float) -> float:
         """Return the bound for a request whose own prompt takes `reading_ms` to process.
 
         Examples
         ========
 
-        >>> QueueBound(1_000, rank=0).find_longest_queue_ms(reading_ms=100)
+        >>> QueueBound(1_000, rank=0).find_max_queue_ms(reading_ms=100)
         800.0
-        >>> QueueBound(1_000, rank=0).find_longest_queue_ms(reading_ms=5_000)
+        >>> QueueBound(1_000, rank=0).find_max_queue_ms(reading_ms=5_000)
         250.0
         """
-        share = QUEUE_SHARE - URGENCY_STEP * min(self.rank, LOWEST_RANK)
-        return max(self.objective_ms * share - reading_ms, self.objective_ms * LEAST_QUEUE_SHARE)
+        share = QUEUE_SHARE - QUEUE_SHARE_STEP * min(self.rank, MAX_RANK)
+        return max(self.objective_ms * share - reading_ms, self.objective_ms * MIN_QUEUE_SHARE)
 
 
-def find_return_ms(placement: Placement, bound: QueueBound) -> float | None:
+def find_retry_delay_ms(placement: Placement, bound: QueueBound) -> float | None:
     """Return the delay after which a refused caller should retry, or None to admit its request.
 
     Parameters
@@ -71,8 +71,8 @@
         return None
     reading_ms = placement.expected_ms - placement.queue_ms
     queue_ms = placement.queue_ms
-    longest_ms = bound.find_longest_queue_ms(reading_ms)
-    if queue_ms <= longest_ms:
+    max_queue_ms = bound.find_max_queue_ms(reading_ms)
+    if queue_ms <= max_queue_ms:
         return None
-    until_room_ms = (queue_ms - longest_ms / 2) * random.uniform(*RETURN_SPREAD)
-    return min(max(until_room_ms, SHORTEST_RETURN_MS), LONGEST_RETURN_MS)
+    until_room_ms = (queue_ms - max_queue_ms / 2) * random.uniform(*RETRY_DELAY_SPREAD)
+    return min(max(until_room_ms, MIN_RETRY_DELAY_MS), MAX_RETRY_DELAY_MS)
--- a/hemlockswitch/request/placement.py
+++ b/hemlockswitch/request/placement.py
@@ -13,20 +13,20 @@
 
 from hemlockswitch.request.dialect import Prompt
 from hemlockswitch.request.engine_model import PRIOR, EngineModel, EngineWork
-from hemlockswitch.request.homes import HOMES
+from hemlockswitch.request.homes import PREFERRED_COUNT
 from hemlockswitch.version.backend import BackendServer
 
-HOME_HIT_SHARES = (0.95, 0.5, 0.1)
+PREFERRED_HIT_SHARES = (0.95, 0.5, 0.1)
 """Expected cached fraction of a shared part on its first, second and third preferred server, as long
 as this daemon has not received what its peers sent there."""
-HOME_PREFERENCE = 0.3
-"""Fraction of `HOME_HIT_SHARES` credited to a preferred server while no server has cached the shared
+UNCACHED_PREFERRED_SHARE = 0.3
+"""Fraction of `PREFERRED_HIT_SHARES` credited to a preferred server while no server has cached the shared
 part: daemons that receive the part simultaneously then choose one server before they exchange reports."""
 READ_COST_FACTOR = 3.0
 """Weight of an uncached prompt token relative to a queued one: processing it delays all later requests
 on that engine and takes memory. With 0, busy engines would recompute every prompt."""
 HOMES_CONSIDERED = 2
-OTHERS_CONSIDERED = 4
+SAMPLED_SERVERS = 4
 """Number of randomly sampled servers to compare that are neither preferred for the prompt nor recorded
 as caching it. If every gateway compared all servers, each would choose the one that appears idle before
 it had received the load that its peers sent there."""
@@ -101,14 +101,14 @@
     """Return the expected number of prompt tokens that the server must process."""
     if candidate.cached_tokens is not None:
         return max(prompt.input_tokens - candidate.cached_tokens, 0.0)
-    return max(prompt.input_tokens - _count_home_tokens(prompt, candidate), 0.0)
+    return max(prompt.input_tokens - _count_preferred_tokens(prompt, candidate), 0.0)
 
 
-def _count_home_tokens(prompt: Prompt, candidate: Candidate) -> float:
+def _count_preferred_tokens(prompt: Prompt, candidate: Candidate) -> float:
     """Return the number of shared tokens expected in the cache of a preferred server."""
     shared = sum(part.tokens for part in prompt.shared_parts)
     rank = candidate.home_rank
-    return shared * HOME_HIT_SHARES[rank] if rank < HOMES else 0.0
+    return shared * PREFERRED_HIT_SHARES[rank] if rank < PREFERRED_COUNT else 0.0
 
 
 def describe_work(prompt: Prompt, candidate: Candidate) -> EngineWork:
@@ -165,7 +165,7 @@
     others: list[BackendServer] = []
     for server in servers:
         (likely if is_likely(server) else others).append(server)
-    return likely + chance.sample(others, min(OTHERS_CONSIDERED, len(others)))
+    return likely + chance.sample(others, min(SAMPLED_SERVERS, len(others)))
 
 
 def choose_server(
@@ -190,7 +190,7 @@
     'a'
     """
     placements = [_evaluate(prompt, candidate, speed) for candidate in candidates]
-    return min(placements, key=lambda one: _weigh(prompt, one, speed.engine), default=None)
+    return min(placements, key=lambda one: _cost_key(prompt, one, speed.engine), default=None)
 
 
 def _evaluate(prompt: Prompt | None, candidate: Candidate, speed: ServiceSpeed) -> Placement:
@@ -205,13 +205,13 @@
     )
 
 
-def _weigh(
+def _cost_key(
     prompt: Prompt | None, placement: Placement, engine: EngineModel
 ) -> tuple[float, int, str]:
     candidate = placement.candidate
     cost_ms = placement.expected_ms + candidate.failure_rate * FAILURE_PENALTY_MS
     cost_ms += READ_COST_FACTOR * engine.estimate_reading_ms(placement.uncached_tokens)
     if prompt is not None and candidate.cached_tokens == 0:
-        preferred_tokens = HOME_PREFERENCE * _count_home_tokens(prompt, candidate)
+        preferred_tokens = UNCACHED_PREFERRED_SHARE * _count_preferred_tokens(prompt, candidate)
         cost_ms -= READ_COST_FACTOR * engine.estimate_reading_ms(preferred_tokens)
     return cost_ms + candidate.distance_ms, candidate.running, candidate.server.name
--- a/hemlockswitch/request/prefixes.py
+++ b/hemlockswitch/request/prefixes.py
@@ -7,7 +7,7 @@
 
 BLOCK_TOKENS = 16
 MAX_BLOCKS = 512
-REMEMBERED_BLOCKS = 4_096
+MAX_BLOCKS_PER_SERVER = 4_096
 
 
 def count_tokens(text: str) -> int:
@@ -42,17 +42,17 @@
     True
     """
     words = text.split()
-    whole = min(len(words) // BLOCK_TOKENS, MAX_BLOCKS)
+    complete = min(len(words) // BLOCK_TOKENS, MAX_BLOCKS)
     hashes = []
     previous = 0
-    for number in range(whole):
+    for number in range(complete):
         block = " ".join(words[number * BLOCK_TOKENS : (number + 1) * BLOCK_TOKENS])
         previous = hash_stable(f"{previous:016x} {block}")
         hashes.append(previous)
     return tuple(hashes)
 
 
-class PrefixMemory:
+class PrefixRecord:
     """Bounded record of the leading blocks recently sent to each backend server.
 
     Explanation
@@ -69,7 +69,7 @@
     Examples
     ========
 
-    >>> memory = PrefixMemory()
+    >>> memory = PrefixRecord()
     >>> memory.remember("llm-1", (1, 2, 3))
     >>> memory.count_cached("llm-1", (1, 2, 9))
     32
@@ -77,25 +77,25 @@
     0
     """
 
-    def __init__(self, capacity: int = REMEMBERED_BLOCKS) -> None:
+    def __init__(self, capacity: int = MAX_BLOCKS_PER_SERVER) -> None:
         self._capacity = capacity
         self._blocks: dict[str, OrderedDict[int, None]] = {}
 
     def remember(self, server_name: str, blocks: Sequence[int]) -> None:
         """Record that a prompt with these leading blocks was sent to the server."""
-        kept = self._blocks.setdefault(server_name, OrderedDict())
+        recorded = self._blocks.setdefault(server_name, OrderedDict())
         for block in reversed(blocks):
-            kept[block] = None
-            kept.move_to_end(block)
-        while len(kept) > self._capacity:
-            kept.popitem(last=False)
+            recorded[block] = None
+            recorded.move_to_end(block)
+        while len(recorded) > self._capacity:
+            recorded.popitem(last=False)
 
     def count_cached(self, server_name: str, blocks: Sequence[int]) -> int:
         """Return the number of leading tokens that the server probably has in its cache."""
-        kept = self._blocks.get(server_name) or ()
+        recorded = self._blocks.get(server_name) or ()
         matched = 0
         for block in blocks:
-            if block not in kept:
+            if block not in recorded:
                 break
             matched += 1
         return matched * BLOCK_TOKENS
--- a/hemlockswitch/request/quarantine.py
+++ b/hemlockswitch/request/quarantine.py
@@ -27,7 +27,7 @@
 """Number of crashes at which a content is quarantined. A single crash is weak evidence, as it counts
 against everything in progress on the server; few harmless contents are in progress on three crashed
 servers."""
-CAREFUL_ENDS = MOST_ENDS - 1
+CAREFUL_CRASHES = MOST_ENDS - 1
 """Number of crashes from which a content is sent to the server with the fewest requests in progress: the
 next crash may be the one that quarantines it."""
 TRIAL_PAUSES_MS = (2_000.0, 20_000.0, 200_000.0)
@@ -37,12 +37,12 @@
 LIFE_MS = 3_600_000.0
 """Retention time of a content after its last crash or trial: the cause of the crashes may have been
 fixed since."""
-CLEARED_LIFE_MS = 60_000.0
+CLEARED_RETENTION_MS = 60_000.0
 """Retention time of a cleared content, so that delayed reports of its crashes are not counted again."""
-MOST_SUSPECTS = 4_096
+MAX_SUSPECTS = 4_096
 """Limits memory: a content takes about a kilobyte. Those with the fewest and oldest crashes are evicted
 first."""
-MOST_NAMES = 16
+MAX_SERVERS_PER_SUSPECT = 16
 """Servers recorded for one content; excused crashes are evicted first."""
 
 SuspectFields = tuple[str, list[str], list[str], int]
@@ -95,9 +95,9 @@
         return len(self.ends - self.excused)
 
     @property
-    def forgotten_ms(self) -> float:
+    def expires_ms(self) -> float:
         """Time at which the record expires."""
-        return self.changed_ms + (LIFE_MS if self.counted else CLEARED_LIFE_MS)
+        return self.changed_ms + (LIFE_MS if self.counted else CLEARED_RETENTION_MS)
 
 
 @dataclass(frozen=True)
@@ -121,10 +121,10 @@
     @property
     def is_careful(self) -> bool:
         """Whether to send it to the server with the fewest requests in progress."""
-        return self.ends >= CAREFUL_ENDS
+        return self.ends >= CAREFUL_CRASHES
 
 
-UNSUSPECTED = Standing()
+NOT_SUSPECTED = Standing()
 
 
 class Quarantine:
@@ -152,10 +152,10 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._suspects: dict[str, _Suspect] = {}
-        self._held: set[str] = set()
+        self._quarantined: set[str] = set()
         self._by_server: dict[str, set[str]] = defaultdict(set)
-        self._ended_ms: dict[str, float] = {}  # when the crash of a server was recorded
-        self._untold: set[str] = set()
+        self._crashed_ms: dict[str, float] = {}  # when the crash of a server was recorded
+        self._unsent: set[str] = set()
 
     @property
     def is_empty(self) -> bool:
@@ -165,25 +165,25 @@
     @property
     def has_untold(self) -> bool:
         """Whether there are local changes that have not been sent to the peers."""
-        return bool(self._untold)
+        return bool(self._unsent)
 
     def find_standing(self, fingerprint: str) -> Standing:
         """Return the current quarantine status of a content."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
-            return UNSUSPECTED
+            return NOT_SUSPECTED
         now_ms = self._clock.now_ms()
         ends = suspect.counted
         trial_in_ms = None
         if suspect.trials < len(TRIAL_PAUSES_MS):
             trial_in_ms = max(suspect.changed_ms + TRIAL_PAUSES_MS[suspect.trials] - now_ms, 0.0)
-        forgotten_in_ms = max(suspect.forgotten_ms - now_ms, 0.0)
+        forgotten_in_ms = max(suspect.expires_ms - now_ms, 0.0)
         return Standing(ends, ends >= MOST_ENDS, trial_in_ms, forgotten_in_ms)
 
     def note_end(self, fingerprint: str, server: str) -> None:
         """Record that this daemon saw a server crash while the content was in progress there."""
         if self._add(fingerprint, (server,)):
-            self._untold.add(fingerprint)
+            self._unsent.add(fingerprint)
         self._suspects[fingerprint].was_seen_here = True
 
     def was_seen_here(self, fingerprint: str) -> bool:
@@ -198,23 +198,23 @@
             return
         suspect.excused |= suspect.ends
         suspect.trials = 0
-        self._untold.add(fingerprint)
-        self._note_counted(fingerprint)
+        self._unsent.add(fingerprint)
+        self._update_quarantined(fingerprint)
 
     def note_alive(self, server: str, sent_ms: float) -> None:
         """Record an answer of a server to a request sent at `sent_ms`.
 
         If a crash of the server was reported before that time, the report was wrong and is excused.
         """
-        ended_ms = self._ended_ms.get(server)
+        ended_ms = self._crashed_ms.get(server)
         if ended_ms is None or sent_ms <= ended_ms:
             return
         for fingerprint in self._by_server[server]:
             suspect = self._suspects[fingerprint]
             if server not in suspect.excused:
                 suspect.excused.add(server)
-                self._untold.add(fingerprint)
-                self._note_counted(fingerprint)
+                self._unsent.add(fingerprint)
+                self._update_quarantined(fingerprint)
 
     def note_trial(self, fingerprint: str, trials: int) -> None:
         """Record that a content is tried, here or at a peer, for the `trials`-th time."""
@@ -223,7 +223,7 @@
             return
         suspect.trials = trials
         suspect.changed_ms = self._clock.now_ms()
-        self._untold.add(fingerprint)
+        self._unsent.add(fingerprint)
 
     def take(self, record: SuspectRecord) -> None:
         """Merge a record from a peer or from the object service."""
@@ -232,13 +232,13 @@
         if suspect is None:
             return
         # Peers still count crashes that are excused here until they receive the excuse.
-        suspect.excused.update(record.excused[:MOST_NAMES])
+        suspect.excused.update(record.excused[:MAX_SERVERS_PER_SUSPECT])
         if record.trials > suspect.trials and suspect.counted:
             suspect.trials = record.trials
             suspect.changed_ms = self._clock.now_ms()
         if not suspect.counted:
             suspect.trials = 0
-        self._note_counted(record.fingerprint)
+        self._update_quarantined(record.fingerprint)
 
     def get_record(self, fingerprint: str) -> SuspectRecord:
         """Return the record of a content."""
@@ -248,7 +248,7 @@
 
     def pop_untold(self) -> list[SuspectRecord]:
         """Return the records changed since the last call, to be sent to the peers."""
-        untold, self._untold = self._untold, set()
+        untold, self._unsent = self._unsent, set()
         return [self.get_record(one) for one in sorted(untold) if one in self._suspects]
 
     def list_records(self) -> list[SuspectRecord]:
@@ -257,20 +257,20 @@
 
     def list_held(self) -> list[str]:
         """Return the quarantined contents."""
-        return sorted(self._held)
+        return sorted(self._quarantined)
 
     def hash_held(self) -> int:
         """Return a digest of the quarantined contents; 0 if there are none."""
         digest = 0
-        for fingerprint in self._held:
+        for fingerprint in self._quarantined:
             digest ^= xxhash.xxh32_intdigest(fingerprint.encode())
         return digest
 
     def forget_old(self) -> list[str]:
         """Delete expired records, and return the contents that were quarantined until now."""
         now_ms = self._clock.now_ms()
-        old = [name for name, one in self._suspects.items() if now_ms >= one.forgotten_ms]
-        held = [name for name in old if name in self._held]
+        old = [name for name, one in self._suspects.items() if now_ms >= one.expires_ms]
+        held = [name for name in old if name in self._quarantined]
         for fingerprint in old:
             self._drop(fingerprint)
         return held
@@ -297,9 +297,9 @@
         new = [server for server in servers if server not in suspect.ends]
         if not new:
             return False
-        if len(suspect.ends) + len(new) > MOST_NAMES:
+        if len(suspect.ends) + len(new) > MAX_SERVERS_PER_SUSPECT:
             self._drop_excused(fingerprint, suspect)
-            new = new[: MOST_NAMES - len(suspect.ends)]
+            new = new[: MAX_SERVERS_PER_SUSPECT - len(suspect.ends)]
         if fingerprint not in self._suspects:
             self._make_room()
             self._suspects[fingerprint] = suspect
@@ -308,19 +308,19 @@
         for server in new:
             suspect.ends.add(server)
             self._by_server[server].add(fingerprint)
-            self._ended_ms.setdefault(server, now_ms)
-        self._note_counted(fingerprint)
+            self._crashed_ms.setdefault(server, now_ms)
+        self._update_quarantined(fingerprint)
         return True
 
-    def _note_counted(self, fingerprint: str) -> None:
+    def _update_quarantined(self, fingerprint: str) -> None:
         """Quarantine or release a content, according to its number of crashes."""
         if self._suspects[fingerprint].counted >= MOST_ENDS:
-            self._held.add(fingerprint)
+            self._quarantined.add(fingerprint)
         else:
-            self._held.discard(fingerprint)
+            self._quarantined.discard(fingerprint)
 
     def _make_room(self) -> None:
-        while len(self._suspects) >= MOST_SUSPECTS:
+        while len(self._suspects) >= MAX_SUSPECTS:
             self._drop(min(self._suspects, key=self._rank))
 
     def _list_ranked(self) -> list[str]:
@@ -337,8 +337,8 @@
 
     def _drop(self, fingerprint: str) -> None:
         suspect = self._suspects.pop(fingerprint)
-        self._held.discard(fingerprint)
-        self._untold.discard(fingerprint)
+        self._quarantined.discard(fingerprint)
+        self._unsent.discard(fingerprint)
         self._unlink(fingerprint, suspect.ends)
 
     def _unlink(self, fingerprint: str, servers: Iterable[str]) -> None:
@@ -346,4 +346,4 @@
             self._by_server[server].discard(fingerprint)
             if not self._by_server[server]:
                 del self._by_server[server]
-                del self._ended_ms[server]
+                del self._crashed_ms[server]
--- a/hemlockswitch/request/relay.py
+++ b/hemlockswitch/request/relay.py
@@ -24,9 +24,9 @@
 from hemlockswitch.version.backend import BackendServer
 
 MAX_ATTEMPTS = 16
-MAX_FRUITLESS = 4
-CONTINUE_PATIENCE_MS = 5_000.0
-CHOOSE_AGAIN_MS = 50.0
+MAX_FRUITLESS_ATTEMPTS = 4
+CONTINUE_WAIT_MS = 5_000.0
+CHOICE_POLL_INTERVAL_MS = 50.0
 RECLAIM_STARTS_PER_S = 200.0
 
 
@@ -95,11 +95,11 @@
         cause = generation.cause
         resume = bool(generation.stream_id)
         while not generation.finish_event:
-            self._check_wanted(running)
-            running.hand_over_if_asked()
+            self._check_stopped(running)
+            running.hand_over_if_requested()
             try:
                 if not resume:
-                    ran = running.state_ran()
+                    ran = running.find_ran()
                     running.clearance = clear_request(
                         self._guard,
                         generation,
@@ -117,9 +117,9 @@
             except AttemptLostError as lost:
                 resume = self._may_resume(running, lost)
                 if not resume:
-                    cause = self._prepare_again(running, lost)
+                    cause = self._prepare_next_attempt(running, lost)
 
-    def _check_wanted(self, running: Running) -> None:
+    def _check_stopped(self, running: Running) -> None:
         """Raise if the relay was stopped or the deadline has passed."""
         if running.stopped is not None:
             raise running.stopped
@@ -129,22 +129,26 @@
     @staticmethod
     def _may_resume(running: Running, lost: AttemptLostError) -> bool:
         """Return whether to resume the stream; only if the lost connection delivered a token."""
-        if not lost.resumable or not running.own_token or running.generation.move is not None:
+        if (
+            not lost.resumable
+            or not running.connection_has_token
+            or running.generation.move is not None
+        ):
             return False
-        running.own_token = False
+        running.connection_has_token = False
         return True
 
-    def _prepare_again(self, running: Running, lost: AttemptLostError) -> Cause:
+    def _prepare_next_attempt(self, running: Running, lost: AttemptLostError) -> Cause:
         """Clean up after a lost attempt, and spend a retry on the next one if it needs one."""
         generation = running.generation
         server = generation.server
         assert server is not None
         running.excluded.add(server.name)
         self._observer.attempt_ended(generation, running.estimate_recomputed(), lost.reason)
-        if lost.ran is not Ran.NO or running.brought_token:
+        if lost.ran is not Ran.NO or running.attempt_has_token:
             self._guard.note_broken(generation, server)
         if lost.ran is not Ran.NO:
-            running.fruitless += not running.brought_token
+            running.fruitless_attempts += not running.attempt_has_token
             self._opener.cancel(server.address, generation.stream_id)
         if self._directory.is_leaving(server.name):
             self._pace.wait()
@@ -152,19 +156,21 @@
         if running.attempts == 0:
             self._pace.wait()
             return generation.cause
-        spent = running.attempts >= MAX_ATTEMPTS or running.fruitless >= MAX_FRUITLESS
+        spent = (
+            running.attempts >= MAX_ATTEMPTS or running.fruitless_attempts >= MAX_FRUITLESS_ATTEMPTS
+        )
         if spent or not self._spend(running):
             raise self._give_up(running, lost.reason)
         return Cause.FAILURE if generation.tokens else Cause.RETRY
 
     def _spend(self, running: Running) -> bool:
-        patience_ms = CONTINUE_PATIENCE_MS if running.generation.tokens else 0.0
+        wait_ms = CONTINUE_WAIT_MS if running.generation.tokens else 0.0
         left_ms = running.generation.deadline_ms - self._clock.now_ms()
-        return self._budget.wait(min(patience_ms, left_ms))
+        return self._budget.wait(min(wait_ms, left_ms))
 
     @staticmethod
     def _give_up(running: Running, reason: str) -> RequestError:
-        ran = running.state_ran()
+        ran = running.find_ran()
         if ran is Ran.NO:
             return RequestError(ErrorKind.NO_BACKEND, reason)
         return RequestError(
@@ -186,8 +192,8 @@
         generation.begin_attempt(server, cause)
         running.attempts += 1
         running.sent_ms = self._clock.now_ms()
-        running.own_token = False
-        running.brought_token = False
+        running.connection_has_token = False
+        running.attempt_has_token = False
         running.base_tokens = len(generation.tokens)
         generation.attempt_parent = self._observer.attempt_began(generation)
 
@@ -212,7 +218,7 @@
             running.sent = sent_before or failed
             raise
         except MoveReady:
-            self._leave(running)
+            self._end_stream(running)
         except HandoverRequested:
             raise
         except BaseException:
@@ -227,35 +233,35 @@
     def _choose(self, running: Running) -> BackendServer:
         """Return the prepared target of a move, or choose a server.
 
-        If the request may have run, waits up to `CONTINUE_PATIENCE_MS` for a server to become available.
+        If the request may have run, waits up to `CONTINUE_WAIT_MS` for a server to become available.
         """
         move = running.generation.move
         if move is not None and not self._directory.is_leaving(move.target.name):
             return move.target
-        patience_ms = 0.0 if running.state_ran() is Ran.NO else CONTINUE_PATIENCE_MS
-        until_ms = min(self._clock.now_ms() + patience_ms, running.generation.deadline_ms)
+        wait_ms = 0.0 if running.find_ran() is Ran.NO else CONTINUE_WAIT_MS
+        until_ms = min(self._clock.now_ms() + wait_ms, running.generation.deadline_ms)
         while True:
             try:
                 return self._chooser.choose(running.build_need())
             except RequestError as refusal:
-                if self._clock.now_ms() + CHOOSE_AGAIN_MS > until_ms:
-                    raise refusal.restate(running.state_ran()) from refusal
+                if self._clock.now_ms() + CHOICE_POLL_INTERVAL_MS > until_ms:
+                    raise refusal.restate(running.find_ran()) from refusal
             running.excluded.clear()
-            self._clock.sleep_ms(CHOOSE_AGAIN_MS)
-            self._check_wanted(running)
+            self._clock.sleep_ms(CHOICE_POLL_INTERVAL_MS)
+            self._check_stopped(running)
 
     def _follow(self, running: Running, attempt: Attempt, ticket: Any) -> Iterator[bytes]:
         """Yield the checked events of one attempt, joined for each read."""
         generation = running.generation
         head = f"id: {generation.request_id}:".encode()
         while True:
-            pieces, wrong = self._check_events(running, attempt, head)
+            pieces, invalid = self._check_events(running, attempt, head)
             if pieces:
-                if not running.own_token:
-                    self._note_token(running, ticket)
+                if not running.connection_has_token:
+                    self._record_token(running, ticket)
                 yield pieces[0] if len(pieces) == 1 else b"".join(pieces)
-            if wrong:
-                raise AttemptLostError(f"the backend server sent an unexpected event: {wrong}")
+            if invalid:
+                raise AttemptLostError(f"the backend server sent an unexpected event: {invalid}")
             if generation.finish_event:
                 return
             if generation.move is not None:
@@ -280,7 +286,7 @@
             if checked.verdict is Verdict.IGNORED:
                 self._observer.events_dropped(1)
             elif checked.verdict in (Verdict.TOKEN, Verdict.FINISH):
-                event_out = self._take_parsed(running, checked)
+                event_out = self._record_parsed(running, checked)
                 pieces.append(b"%b%d%b%b" % (head, position, event_out, SEPARATOR))
             else:
                 return pieces, checked.verdict.value
@@ -288,14 +294,14 @@
                 return pieces, ""
         return pieces, ""
 
-    def _take_parsed(self, running: Running, checked: Checked) -> bytes:
+    def _record_parsed(self, running: Running, checked: Checked) -> bytes:
         """Record a parsed event and return its form for the caller."""
         if checked.verdict is Verdict.FINISH:
             return self._finish(running, checked)
         running.generation.tokens.append(checked.content)
         return checked.event
 
-    def _leave(self, running: Running) -> None:
+    def _end_stream(self, running: Running) -> None:
         """End the stream on the old server before another one continues from the next position."""
         generation = running.generation
         assert generation.server is not None
@@ -303,9 +309,9 @@
         self._opener.cancel(generation.server.address, generation.stream_id)
         self._observer.attempt_ended(generation, running.estimate_recomputed(), "moved")
 
-    def _note_token(self, running: Running, ticket: Any) -> None:
+    def _record_token(self, running: Running, ticket: Any) -> None:
         """Record the first token of a connection, and that of the complete answer."""
-        running.own_token = running.brought_token = True
+        running.connection_has_token = running.attempt_has_token = True
         self._directory.note_first_token(ticket)
         generation = running.generation
         if generation.first_token_ms is None:
--- a/hemlockswitch/request/repeat_budget.py
+++ b/hemlockswitch/request/repeat_budget.py
@@ -8,7 +8,7 @@
 """Maximum fraction of the budget that is used: the daemons' windows are not aligned with one another,
 nor with the window in which the limit is checked."""
 
-FIRST_SHARE = 1 - SAFETY_SHARE
+FIRST_WINDOW_SHARE = 1 - SAFETY_SHARE
 """Maximum fraction of the fixed part that is used in a process's first window, since a previous process
 may have used its share in the same window."""
 
@@ -84,7 +84,7 @@
     def _find_fixed_share(self) -> float:
         """Return the fraction of its share of the fixed part that this process may use."""
         is_first_window = self._clock.now_ms() - self._started_ms < self._window_ms
-        return FIRST_SHARE if is_first_window else SAFETY_SHARE
+        return FIRST_WINDOW_SHARE if is_first_window else SAFETY_SHARE
 
     def _trim(self, moments: deque[float]) -> deque[float]:
         oldest_ms = self._clock.now_ms() - self._window_ms
--- a/hemlockswitch/request/retries.py
+++ b/hemlockswitch/request/retries.py
@@ -4,7 +4,7 @@
 
 BURST = 64.0
 FLOOR_PER_SECOND = 2.0
-WAIT_STEP_MS = 20.0
+WAIT_POLL_INTERVAL_MS = 20.0
 
 
 class RetryBudget:
@@ -65,9 +65,9 @@
         """Spend one retry, waiting up to `patience_ms` for the constant rate to provide it."""
         until_ms = self._clock.now_ms() + patience_ms
         while not self.take():
-            if self._clock.now_ms() + WAIT_STEP_MS > until_ms:
+            if self._clock.now_ms() + WAIT_POLL_INTERVAL_MS > until_ms:
                 return False
-            self._clock.sleep_ms(WAIT_STEP_MS)
+            self._clock.sleep_ms(WAIT_POLL_INTERVAL_MS)
         return True
 
     def _pace(self) -> None:
--- a/hemlockswitch/request/rollout_credit.py
+++ b/hemlockswitch/request/rollout_credit.py
@@ -60,13 +60,13 @@
         part = bound.slack / daemons if daemons else 0.0
         self._unassigned = part * TRIAL_SLACK
         self._by_route: dict[str, float] = {}
-        self._move = part * MOVE_SLACK + self._round()
+        self._move = part * MOVE_SLACK + self._draw_fraction()
         self._earned = part
 
     def earn(self, route: str) -> None:
         """Count one request for the service."""
         if route not in self._by_route:
-            self._by_route[route] = self._unassigned + self._round()
+            self._by_route[route] = self._unassigned + self._draw_fraction()
             self._unassigned = 0.0
         share = self._bound.share
         for name in self._by_route:
@@ -93,6 +93,6 @@
         else:
             self._move -= 1
 
-    def _round(self) -> float:
+    def _draw_fraction(self) -> float:
         """Return a random fraction, which rounds a credit that is only spent in units of 1."""
         return self._chance.random()
--- a/hemlockswitch/request/rollout_verdict.py
+++ b/hemlockswitch/request/rollout_verdict.py
@@ -101,11 +101,11 @@
 """Natural logarithm of a likelihood ratio: one good version in a thousand reaches it in a test."""
 GOOD_WEIGHT = 0.0
 """At or below it, the answers of all routes together are evidence for the new version."""
-FEWEST_ANSWERS = 20
-FEWEST_ON_ROUTE = 3
-MOST_ROUTE_WEIGHT = 2.0
+MIN_ANSWERS = 20
+MIN_ANSWERS_PER_ROUTE = 3
+MAX_ROUTE_WEIGHT = 2.0
 """A route with more evidence than this against the new version prevents the verdict `GOOD`."""
-MOST_BAD = 40
+MAX_BAD_ANSWERS = 40
 """From this number of bad answers on, a positive log-likelihood ratio suffices for the verdict `BAD`."""
 
 
@@ -122,14 +122,14 @@
     >>> judge({}).value
     'undecided'
     """
-    whole = sum(routes.values(), RouteTallies())
+    total = sum(routes.values(), RouteTallies())
     weights = [max(weigh_route(one)) for one in routes.values()]
-    overall = weigh_route(whole)
+    overall = weigh_route(total)
     highest = max(*weights, *overall) if weights else 0.0
-    if highest >= BAD_WEIGHT or (whole.target.bad >= MOST_BAD and highest > 0):
+    if highest >= BAD_WEIGHT or (total.target.bad >= MAX_BAD_ANSWERS and highest > 0):
         return Verdict.BAD
-    if _has_evidence(routes.values(), whole) and max(overall) <= GOOD_WEIGHT:
-        return Verdict.GOOD if max(weights) <= MOST_ROUTE_WEIGHT else Verdict.UNDECIDED
+    if _has_evidence(routes.values(), total) and max(overall) <= GOOD_WEIGHT:
+        return Verdict.GOOD if max(weights) <= MAX_ROUTE_WEIGHT else Verdict.UNDECIDED
     return Verdict.UNDECIDED
 
 
@@ -142,11 +142,11 @@
     )
 
 
-def _has_evidence(routes: Iterable[RouteTallies], whole: RouteTallies) -> bool:
+def _has_evidence(routes: Iterable[RouteTallies], total: RouteTallies) -> bool:
     """Return whether the new version has enough answers in total and on every route in use."""
-    if whole.target.answers < FEWEST_ANSWERS:
+    if total.target.answers < MIN_ANSWERS:
         return False
     return all(
-        one.target.answers >= FEWEST_ON_ROUTE or one.others.answers < FEWEST_ANSWERS
+        one.target.answers >= MIN_ANSWERS_PER_ROUTE or one.others.answers < MIN_ANSWERS
         for one in routes
     )
--- a/hemlockswitch/request/routing.py
+++ b/hemlockswitch/request/routing.py
@@ -8,12 +8,12 @@
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock, SystemClock
 from hemlockswitch.core.errors import ErrorKind, RequestError
 from hemlockswitch.request.choices import Choice, PredictedTime, Scored, pick
-from hemlockswitch.request.prefixes import PrefixMemory
-from hemlockswitch.request.returns import ReturnTimes
+from hemlockswitch.request.prefixes import PrefixRecord
+from hemlockswitch.request.returns import RetryTimes
 from hemlockswitch.version.backend import BackendServer
 
 DEFAULT_CHOICE: Choice = PredictedTime()
-PATIENCE_BY_PRIORITY = (6.0, 4.0, 2.0)
+MAX_DELAY_FACTORS = (6.0, 4.0, 2.0)
 OVERFLOW_SHARE = 0.5
 RETRY_SPREAD = 0.1
 
@@ -133,8 +133,8 @@
         self._choice = choice or DEFAULT_CHOICE
         self._await_facts = await_facts
         self._chance = chance or random.Random()
-        self._returns = ReturnTimes(clock or SystemClock())
-        self.memory = PrefixMemory()
+        self._retry_times = RetryTimes(clock or SystemClock())
+        self.memory = PrefixRecord()
 
     def choose(self, need: Need) -> BackendServer:
         """Return the server for `need`.
@@ -197,8 +197,8 @@
     def _refuse_late(self, need: Need, scored: Sequence[Scored], traits: TargetTraits) -> None:
         """Refuse a request that would start too late, with the time until the queue has shrunk."""
         best_ms = min(one.first_token_ms for one in scored)
-        step = min(max(need.priority, 0), len(PATIENCE_BY_PRIORITY) - 1)
-        allowed_ms = traits.first_token_ms * PATIENCE_BY_PRIORITY[step]
+        step = min(max(need.priority, 0), len(MAX_DELAY_FACTORS) - 1)
+        allowed_ms = traits.first_token_ms * MAX_DELAY_FACTORS[step]
         if need.deadline_ms is not None:
             allowed_ms = min(allowed_ms, need.deadline_ms)
         full = self._source.count_waiting() >= self.queue_length
@@ -206,12 +206,12 @@
             return
         wait_ms = max(best_ms - allowed_ms, best_ms / 2 if full else 0, 1)
         slot_ms = 1 / sum(1 / one.slot_ms for one in scored)
-        promised_ms = self._returns.promise(need.target, wait_ms, slot_ms)
+        assigned_ms = self._retry_times.promise(need.target, wait_ms, slot_ms)
         spread = 1 + RETRY_SPREAD * self._chance.random()
         raise RequestError(
             ErrorKind.OVERLOADED,
             f"every backend server for {need.target} would start the request too late",
-            retry_after_ms=int(promised_ms * spread) + 1,
+            retry_after_ms=int(assigned_ms * spread) + 1,
         )
 
 
--- a/hemlockswitch/request/running.py
+++ b/hemlockswitch/request/running.py
@@ -95,12 +95,12 @@
     sent_ms : start time of the current attempt.
     sent : whether any backend server may have begun the generation.
     clearance : the clearance for the last attempt.
-    fruitless : number of attempts that may have run but delivered no token.
-    own_token : whether the current connection has delivered a token.
-    brought_token : whether the current attempt has delivered a token over any of its connections.
+    fruitless_attempts : number of attempts that may have run but delivered no token.
+    connection_has_token : whether the current connection has delivered a token.
+    attempt_has_token : whether the current attempt has delivered a token over any of its connections.
     base_tokens : tokens that the current attempt had to recompute, excluding the prompt.
     kv_handle : the KV cache that the current attempt started with.
-    reads_seen, quiet_since_ms : state of the sweep that detects stalled streams.
+    reads_seen, no_reads_since_ms : state of the sweep that detects stalled streams.
     hand_over : set by `request_handover`; returns whether another daemon has taken the generation.
     """
 
@@ -114,13 +114,13 @@
     sent_ms: float = 0.0
     sent: bool = False
     clearance: Clearance = Clearance.FREE
-    fruitless: int = 0
-    own_token: bool = False
-    brought_token: bool = False
+    fruitless_attempts: int = 0
+    connection_has_token: bool = False
+    attempt_has_token: bool = False
     base_tokens: int = 0
     kv_handle: str | None = None
     reads_seen: int = -1
-    quiet_since_ms: float = 0.0
+    no_reads_since_ms: float = 0.0
     hand_over: Callable[[Generation], bool] | None = None
 
     def request_handover(self, hand_over: Callable[[Generation], bool]) -> None:
@@ -128,7 +128,7 @@
         self.hand_over = hand_over
         self.interrupt(HandoverRequested())
 
-    def hand_over_if_asked(self) -> None:
+    def hand_over_if_requested(self) -> None:
         """Carry out a requested handover; raise `MovedError` if another daemon takes the generation."""
         hand_over, self.hand_over = self.hand_over, None
         if hand_over is not None and hand_over(self.generation):
@@ -155,7 +155,7 @@
         elif self.hand_over is not None:
             self.interrupt(HandoverRequested())
 
-    def state_ran(self) -> Ran:
+    def find_ran(self) -> Ran:
         """Return whether the generation ran, as stated in an answer to the caller."""
         if self.generation.tokens:
             return Ran.YES
@@ -174,7 +174,7 @@
 
     def build_overdue(self) -> RequestError:
         """Return the error for a request whose deadline has passed."""
-        return build_deadline_error(self.state_ran())
+        return build_deadline_error(self.find_ran())
 
     def estimate_recomputed(self) -> int:
         """Return the estimated number of tokens that the current attempt recomputed.
@@ -182,7 +182,7 @@
         Used if the engine has not reported the attempt's usage.
         """
         first = self.generation.cause is Cause.FIRST
-        if first or not self.brought_token or self.kv_handle is not None:
+        if first or not self.attempt_has_token or self.kv_handle is not None:
             return 0
         return self.need.prompt_tokens + self.base_tokens
 
--- a/hemlockswitch/request/sending.py
+++ b/hemlockswitch/request/sending.py
@@ -22,7 +22,7 @@
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.serving_table import RequestKind, ServingTable
 
-MOST_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
 REUSE_IDLE_MS = 60_000.0
 """Repeatable requests use any pooled connection; the pool limits the age."""
 REUSE_IDLE_AT_MOST_ONCE_MS = 1_000.0
@@ -258,26 +258,26 @@
         if send.admitted.route.kind is RequestKind.STREAM and is_success:
             self._relay_stream(send, exchange)
         else:
-            self._relay_whole(send, exchange)
+            self._relay_complete(send, exchange)
         send.progress.outcome = "answered"
         send.progress.ended_with_connection = exchange.answer.ends_with_connection
 
-    def _relay_whole(self, send: Send, exchange: PooledExchange) -> None:
+    def _relay_complete(self, send: Send, exchange: PooledExchange) -> None:
         """Read the complete answer before relaying it to the caller."""
         answer, reply = exchange.answer, send.reply
-        body = exchange.read_body(MOST_ANSWER_BYTES)
+        body = exchange.read_body(MAX_ANSWER_BYTES)
         is_failure = answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
-        if is_failure and send.admitted.route.is_repeatable and self._has_another_try(send):
+        if is_failure and send.admitted.route.is_repeatable and self._may_retry_in_time(send):
             raise SendFailedError(SendFailure.BROKEN, f"the server failed: {answer.status}", True)
         if reply.begun:
             raise SendFailedError(
                 SendFailure.BROKEN, f"expected a stream but got status {answer.status}", True
             )
-        self._note_begun(send)
+        self._record_begun(send)
         headers = self._dialect.select_answer_headers(answer)
         reply.send(answer.status, answer.reason, headers, body)
 
-    def _has_another_try(self, send: Send) -> bool:
+    def _may_retry_in_time(self, send: Send) -> bool:
         """Return whether another server is expected to answer before the caller's deadline.
 
         If not, the caller is better served by the failure now than by a timeout later.
@@ -296,9 +296,9 @@
         while piece := exchange.read_piece():
             self._view.note_answer(send.placement.candidate.server)
             if splitter is not None:
-                whole = splitter.feed(piece)
-                piece = whole.data
-                progress.last_event_id = whole.last_id or progress.last_event_id
+                complete = splitter.feed(piece)
+                piece = complete.data
+                progress.last_event_id = complete.last_id or progress.last_event_id
             if piece:
                 self._begin_reply(send, exchange.answer)
                 reply.write(piece)
@@ -311,11 +311,11 @@
         """Relay the head of the first server's answer, unless the reply has begun."""
         if send.reply.begun:
             return
-        self._note_begun(send)
+        self._record_begun(send)
         headers = self._dialect.select_answer_headers(answer)
         send.reply.begin(answer.status, answer.reason, headers)
 
-    def _note_begun(self, send: Send) -> None:
+    def _record_begun(self, send: Send) -> None:
         send.progress.began_ms = self._clock.now_ms()
         send.progress.begun_version = send.placement.candidate.server.version
         self._observer.request_began(send.progress)
--- a/hemlockswitch/request/service_call.py
+++ b/hemlockswitch/request/service_call.py
@@ -31,10 +31,10 @@
 from hemlockswitch.version.models import Operation, Service
 
 MAX_DISPATCHES = 4
-PATIENT_SHARE = 0.5
-PASSED_TO_SERVICE = ("content-type", "accept", "accept-language", "idempotency-key")
-PASSED_TO_CALLER = ("content-type", "content-language", "etag", "location")
-OWN_ID = "x-request-id"
+MIN_TIMEOUT_SHARE = 0.5
+REQUEST_HEADERS = ("content-type", "accept", "accept-language", "idempotency-key")
+ANSWER_HEADERS = ("content-type", "content-language", "etag", "location")
+REQUEST_ID_HEADER = "x-request-id"
 JSON_TYPE = "application/json"
 
 
@@ -196,14 +196,14 @@
                 answer = self._send(request, content.service, server, content.path, deadline_ms)
                 self._guard.note_answered(content, server, sent_ms)
                 if not (operation.idempotent and answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR):
-                    return _keep(answer)
+                    return _to_stored_answer(answer)
                 progress.last, progress.ran = answer, Ran.YES
             except ExchangeError as failure:
                 was_sent = failure.stage is not Stage.BEFORE_SEND
                 if was_sent:
                     progress.ran = Ran.UNKNOWN
                     self._guard.note_broken(content, server)
-                self._note_failure(progress, failure, operation)
+                self._check_repeatable(progress, failure, operation)
             progress.excluded.add(server.name)
             if not self._may_try_another(progress, was_sent=was_sent):
                 return self._give_up(progress)
@@ -246,7 +246,7 @@
     ) -> BackendAnswer:
         left_ms = max(deadline_ms - self._clock.now_ms(), 1.0)
         headers = {
-            name: request.headers[name] for name in PASSED_TO_SERVICE if name in request.headers
+            name: request.headers[name] for name in REQUEST_HEADERS if name in request.headers
         }
         headers["X-Request-Id"] = request.request_id
         headers["X-Deadline-Ms"] = str(int(left_ms))
@@ -258,23 +258,23 @@
         outcome = "failed"
         try:
             answer = self._client.call(server.address, call, left_ms)
-            self._check_own(answer, request.request_id)
+            self._check_request_id(answer, request.request_id)
             outcome = "answered"
             return answer
         except ExchangeError as error:
-            failed = _is_servers_fault(error, left_ms, service)
+            failed = _counts_against_server(error, left_ms, service)
             raise
         finally:
             self._directory.end(ticket, failed)
             self._observer.dispatch_ended(request, outcome)
 
     @staticmethod
-    def _check_own(answer: BackendAnswer, request_id: str) -> None:
+    def _check_request_id(answer: BackendAnswer, request_id: str) -> None:
         """Raise if the answer does not have the identifier of the request."""
-        if answer.headers.get(OWN_ID) != request_id:
+        if answer.headers.get(REQUEST_ID_HEADER) != request_id:
             raise AnswerMixedError("the answer does not have the identifier of this request")
 
-    def _note_failure(
+    def _check_repeatable(
         self, progress: _Progress, failure: ExchangeError, operation: Operation
     ) -> None:
         """Raise if the call must not be sent again after the failure."""
@@ -289,7 +289,7 @@
     def _give_up(progress: _Progress) -> StoredAnswer:
         """Return the last answer of a server, or raise if there is none."""
         if progress.last is not None:
-            return _keep(progress.last)
+            return _to_stored_answer(progress.last)
         if progress.ran is Ran.NO:
             raise RequestError(ErrorKind.NO_BACKEND, "no backend server could be reached")
         raise RequestError(
@@ -306,12 +306,12 @@
         super().__init__(Stage.DURING_ANSWER, detail)
 
 
-def _is_servers_fault(error: ExchangeError, given_ms: float, service: Service) -> bool:
+def _counts_against_server(error: ExchangeError, given_ms: float, service: Service) -> bool:
     """Return whether the failure counts against the server, unless the caller allowed too little time."""
-    patient = given_ms >= service.timeout_ms * PATIENT_SHARE
-    return patient or not isinstance(error, ExchangeTimeoutError)
+    had_enough_time = given_ms >= service.timeout_ms * MIN_TIMEOUT_SHARE
+    return had_enough_time or not isinstance(error, ExchangeTimeoutError)
 
 
-def _keep(answer: BackendAnswer) -> StoredAnswer:
-    headers = {name: answer.headers[name] for name in PASSED_TO_CALLER if name in answer.headers}
+def _to_stored_answer(answer: BackendAnswer) -> StoredAnswer:
+    headers = {name: answer.headers[name] for name in ANSWER_HEADERS if name in answer.headers}
     return StoredAnswer(answer.status, headers, answer.body)
--- a/hemlockswitch/request/unreached.py
+++ b/hemlockswitch/request/unreached.py
@@ -2,8 +2,8 @@
 
 from hemlockswitch.core.clock import Clock
 
-MOST_UNREACHED = 12
-MOST_UNREACHED_MS = 1_500.0
+MAX_UNREACHED = 12
+MAX_UNREACHED_MS = 1_500.0
 """Number of failed connections after which a request is given up, and the time limit from the first one.
 When a large share of the servers is lost at once, several attempts in a row may choose lost ones."""
 
@@ -23,7 +23,7 @@
 
     >>> from hemlockswitch.core.clock import ManualClock
     >>> unreached = UnreachedServers(ManualClock())
-    >>> sum(unreached.may_try_another() for _ in range(20)) == MOST_UNREACHED - 1
+    >>> sum(unreached.may_try_another() for _ in range(20)) == MAX_UNREACHED - 1
     True
     """
 
@@ -38,4 +38,4 @@
         if self._since_ms is None:
             self._since_ms = now_ms
         self._count += 1
-        return self._count < MOST_UNREACHED and now_ms - self._since_ms < MOST_UNREACHED_MS
+        return self._count < MAX_UNREACHED and now_ms - self._since_ms < MAX_UNREACHED_MS
--- a/tests/herd_replay.py
+++ b/tests/herd_replay.py
@@ -17,7 +17,7 @@
 from hemlockswitch.process.gateway.loads import ServerLoads
 from hemlockswitch.process.gateway.report_period import ReportPeriod
 from hemlockswitch.request.dialect import Prompt, PromptPart
-from hemlockswitch.request.overload import QueueBound, find_return_ms
+from hemlockswitch.request.overload import QueueBound, find_retry_delay_ms
 from hemlockswitch.request.placement import choose_server
 from tests.placement_replay import CAPACITY_TOKENS, make_server
 
@@ -159,7 +159,7 @@
         candidates = loads.build_candidates(self.servers, prompt, chance=chance)
         placement = choose_server(prompt, candidates)
         now_ms = self.clock.now_ms()
-        if find_return_ms(placement, QueueBound(kind.objective_ms, kind.rank)) is not None:
+        if find_retry_delay_ms(placement, QueueBound(kind.objective_ms, kind.rank)) is not None:
             self.results.append(Result(now_ms, kind, None))
             return
         server = placement.candidate.server
--- a/tests/placement_replay.py
+++ b/tests/placement_replay.py
@@ -9,7 +9,7 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.process.gateway.loads import ServerLoads
 from hemlockswitch.request.dialect import Prompt, PromptPart
-from hemlockswitch.request.overload import find_return_ms
+from hemlockswitch.request.overload import find_retry_delay_ms
 from hemlockswitch.request.placement import choose_server
 from hemlockswitch.version.backend import BackendServer
 
@@ -78,7 +78,7 @@
         chance = self.random if self.choose is choose_ours else None
         candidates = loads.build_candidates(self.servers, prompt, chance=chance)
         placement = self.choose(self.random, candidates, prompt)
-        if self.bound is not None and find_return_ms(placement, self.bound) is not None:
+        if self.bound is not None and find_retry_delay_ms(placement, self.bound) is not None:
             self.refused += 1
             return
         server = placement.candidate.server
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -19,7 +19,7 @@
 )
 from hemlockswitch.request.engine_model import (
     FEWEST_TOLD,
-    OLDEST_MS,
+    MAX_OBSERVATION_AGE_MS,
     PRIOR,
     EngineModel,
     EngineWork,
@@ -96,7 +96,7 @@
     for now_ms, work, took_ms in draw_sends(ENGINES[0], random.Random(3), 200):
         fitter.note(now_ms, work, took_ms)
     fitter.fit(20_000.0)
-    later_ms = 20_000.0 + OLDEST_MS
+    later_ms = 20_000.0 + MAX_OBSERVATION_AGE_MS
     for now_ms, work, took_ms in draw_sends(ENGINES[1], random.Random(4), 100):
         fitter.note(later_ms + now_ms, work, took_ms)
     for _ in range(3):
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hemlockswitch.request.homes import HOMES, KEPT_HOMES, Homes, rank_homes
+from hemlockswitch.request.homes import CACHED_RANKS, PREFERRED_COUNT, Homes, rank_homes
 
 NAMES = [f"server-{number}" for number in range(40)]
 
@@ -24,12 +24,12 @@
     homes = Homes()
     homes.rank("part", NAMES)
     monkeypatch.setattr("hemlockswitch.request.homes.rank_homes", None)
-    assert len(homes.rank("part", NAMES[3:])) == HOMES
+    assert len(homes.rank("part", NAMES[3:])) == PREFERRED_COUNT
 
 
 def test_servers_that_are_gone_are_not_remembered_for_good():
     homes = Homes()
     for generation in range(200):
-        names = [f"{generation}-{number}" for number in range(KEPT_HOMES)]
+        names = [f"{generation}-{number}" for number in range(CACHED_RANKS)]
         homes.rank("part", names)
-    assert len(homes._known) <= 6 * KEPT_HOMES
+    assert len(homes._ranked_names) <= 6 * CACHED_RANKS
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hemlockswitch.request.overload import LONGEST_RETURN_MS, QueueBound, find_return_ms
+from hemlockswitch.request.overload import MAX_RETRY_DELAY_MS, QueueBound, find_retry_delay_ms
 from hemlockswitch.request.placement import Candidate, Placement
 from hemlockswitch.version.serving_table import (
     CallerBounds,
@@ -46,24 +46,24 @@
 
 def test_the_less_urgent_are_refused_first():
     placement = place(queue_ms=750)
-    assert find_return_ms(placement, QueueBound(1_000, rank=0)) is None
-    assert find_return_ms(placement, QueueBound(1_000, rank=1)) is not None
-    assert find_return_ms(placement, QueueBound(1_000, rank=2)) is not None
+    assert find_retry_delay_ms(placement, QueueBound(1_000, rank=0)) is None
+    assert find_retry_delay_ms(placement, QueueBound(1_000, rank=1)) is not None
+    assert find_retry_delay_ms(placement, QueueBound(1_000, rank=2)) is not None
 
 
 def test_a_very_large_prompt_is_admitted_where_little_waits():
-    assert find_return_ms(place(queue_ms=100, reading_ms=4_000), BOUND) is None
+    assert find_retry_delay_ms(place(queue_ms=100, reading_ms=4_000), BOUND) is None
 
 
 def test_without_an_objective_nothing_is_refused():
-    assert find_return_ms(place(queue_ms=60_000), QueueBound(0, rank=3)) is None
+    assert find_retry_delay_ms(place(queue_ms=60_000), QueueBound(0, rank=3)) is None
 
 
 def test_callers_are_told_when_there_will_be_room_and_not_all_the_same():
-    returns = [find_return_ms(place(queue_ms=1_500), BOUND) for _ in range(50)]
+    returns = [find_retry_delay_ms(place(queue_ms=1_500), BOUND) for _ in range(50)]
     assert len(set(returns)) > 40
     assert all(800 < one < 1_700 for one in returns)
-    assert find_return_ms(place(queue_ms=60_000), BOUND) == LONGEST_RETURN_MS
+    assert find_retry_delay_ms(place(queue_ms=60_000), BOUND) == MAX_RETRY_DELAY_MS
 
 
 def make_route(name, priority, objective_ms):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -14,7 +14,7 @@
 from hemlockswitch.request.homes import rank_homes
 from hemlockswitch.request.placement import (
     HOMES_CONSIDERED,
-    OTHERS_CONSIDERED,
+    SAMPLED_SERVERS,
     Candidate,
     choose_server,
     predict_first_event_ms,
@@ -200,7 +200,7 @@
         candidates = loads.build_candidates(servers, prompt, chance=random.Random(seed))
         compared = {one.server.name: one for one in candidates}
         assert {*ranked[:HOMES_CONSIDERED], holder.name} <= set(compared)
-        assert len(compared) <= HOMES_CONSIDERED + 1 + OTHERS_CONSIDERED
+        assert len(compared) <= HOMES_CONSIDERED + 1 + SAMPLED_SERVERS
         assert compared[holder.name].running == 1
         assert compared[holder.name].cached_tokens == SHARED_TOKENS
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -8,11 +8,11 @@
 
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.request.quarantine import (
-    CLEARED_LIFE_MS,
+    CLEARED_RETENTION_MS,
     LIFE_MS,
+    MAX_SERVERS_PER_SUSPECT,
+    MAX_SUSPECTS,
     MOST_ENDS,
-    MOST_NAMES,
-    MOST_SUSPECTS,
     TRIAL_PAUSES_MS,
     Quarantine,
     SuspectRecord,
@@ -124,7 +124,7 @@
     end_servers(quarantine)
     end_servers(quarantine, content="cleared")
     quarantine.note_answer("cleared")
-    clock.advance(CLEARED_LIFE_MS)
+    clock.advance(CLEARED_RETENTION_MS)
     assert quarantine.forget_old() == []
     assert quarantine.get_record("cleared").ends == ()
     clock.advance(LIFE_MS)
@@ -134,14 +134,14 @@
 
 def test_many_contents_push_out_those_with_the_fewest_ends(quarantine):
     end_servers(quarantine)
-    for number in range(MOST_SUSPECTS + 10):
+    for number in range(MAX_SUSPECTS + 10):
         quarantine.note_end(f"other-{number}", "s1")
     assert quarantine.list_held() == [CONTENT]
-    assert len(quarantine.describe()) == MOST_SUSPECTS
+    assert len(quarantine.describe()) == MAX_SUSPECTS
 
 
 def test_a_content_that_was_cleared_many_times_can_still_be_held_back(quarantine):
-    for number in range(MOST_NAMES + 4):
+    for number in range(MAX_SERVERS_PER_SUSPECT + 4):
         quarantine.note_end(CONTENT, f"reclaimed-{number}")
         quarantine.note_answer(CONTENT)
     end_servers(quarantine)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -279,7 +279,7 @@
     def wait_for_head(generation, kv_handle, watch):
         watch(FakeExchange())
         running.extend(bench.relay.running.values())
-        raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "", ran=running[0].state_ran())
+        raise RequestError(ErrorKind.DEADLINE_EXCEEDED, "", ran=running[0].find_ran())
 
     bench.opener.open = wait_for_head
     with pytest.raises(RequestError) as raised:
--- a/tests/test_rollout_verdict.py
+++ b/tests/test_rollout_verdict.py
@@ -9,7 +9,7 @@
 import pytest
 
 from hemlockswitch.request.rollout_verdict import (
-    MOST_BAD,
+    MAX_BAD_ANSWERS,
     RouteTallies,
     Tally,
     Verdict,
@@ -84,7 +84,7 @@
 def test_few_bad_answers_are_needed(failing):
     bad = [play(random.Random(day), failing=failing)[1] for day in range(DAYS)]
     assert sorted(bad)[int(0.95 * DAYS)] <= 15
-    assert max(bad) < MOST_BAD + 1
+    assert max(bad) < MAX_BAD_ANSWERS + 1
 
 
 def test_the_version_in_force_that_fails_as_often_speaks_for_the_new_one():
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -9,7 +9,7 @@
 from hemlockswitch.core.errors import ErrorKind, Ran, RequestError
 from hemlockswitch.request.retries import RetryBudget
 from hemlockswitch.request.service_call import ServiceCaller, find_operation
-from hemlockswitch.request.unreached import MOST_UNREACHED
+from hemlockswitch.request.unreached import MAX_UNREACHED
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.models import Operation, Service
 from tests.guards import make_guard
@@ -139,7 +139,7 @@
     with pytest.raises(RequestError) as raised:
         bench.send("/slots")
     assert raised.value.answer.ran is Ran.NO
-    assert len(bench.asked) == MOST_UNREACHED
+    assert len(bench.asked) == MAX_UNREACHED
 
 
 def test_an_answer_of_the_service_is_passed_on_whatever_its_status():
