--- a/hemlockswitch/request/capacity.py
+++ b/hemlockswitch/request/capacity.py
@@ -11,7 +11,7 @@
 
 DEFAULT_PLACES = 1_024
 DEFAULT_QUEUE_LENGTH = 256
-LONGEST_WAIT_MS = 2_000.0
+MAX_WAIT_MS = 2_000.0
 INITIAL_DURATION_MS = 500.0
 DURATION_WEIGHT = 0.05
 
@@ -50,7 +50,7 @@
         clock: Clock,
         places: int = DEFAULT_PLACES,
         queue_length: int = DEFAULT_QUEUE_LENGTH,
-        max_wait_ms: float = LONGEST_WAIT_MS,
+        max_wait_ms: float = MAX_WAIT_MS,
     ) -> None:
         self._clock = clock
         self._places = places
--- a/hemlockswitch/request/choices.py
+++ b/hemlockswitch/request/choices.py
@@ -102,7 +102,7 @@
 ) -> Scored:
     bounded = drop_overloaded(scored, choice.max_over_mean)
     home = find_home(scored, wanted, choice.affinity_blocks) if wanted.prefix_blocks else None
-    costs = {one.server.name: weigh(choice, one, one is home) for one in bounded}
+    costs = {one.server.name: compute_cost(choice, one, one is home) for one in bounded}
     best_ms = min(costs.values())
     latest_ms = best_ms * (1 + choice.margin_share) + choice.margin_ms
     near = [one for one in bounded if costs[one.server.name] <= latest_ms]
@@ -115,7 +115,7 @@
     return find_home(cheap, wanted, choice.affinity_blocks)
 
 
-def weigh(choice: PredictedTime, one: Scored, is_home: bool) -> float:
+def compute_cost(choice: PredictedTime, one: Scored, is_home: bool) -> float:
     """Return the cost of picking a candidate, in milliseconds.
 
     Examples
@@ -124,7 +124,7 @@
     >>> server = BackendServer("llm-1", "marka-hall", "127.0.0.1:1", "assistant-llm")
     >>> one = Scored(server, 50, 0, 100, prompt_tokens=100, seen_tokens=100, ms_per_token=0.5)
     >>> choice = PredictedTime(recompute_weight=0, preferred_hit_probability=0.8)
-    >>> weigh(choice, one, is_home=False), weigh(choice, one, is_home=True)
+    >>> compute_cost(choice, one, is_home=False), compute_cost(choice, one, is_home=True)
     (50.0, 10.0)
     """
     uncached = float(one.uncached_tokens)
--- a/hemlockswitch/request/event_stream.py
+++ b/hemlockswitch/request/event_stream.py
@@ -30,7 +30,7 @@
         self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """The bytes of an incomplete event."""
         return self._remainder
 
--- a/hemlockswitch/request/forwarding.py
+++ b/hemlockswitch/request/forwarding.py
@@ -33,7 +33,7 @@
 from hemlockswitch.request.sending import (
     ForwardingView,
     OverdueError,
-    Send,
+    SendAttempt,
     Sender,
     SendFailedError,
 )
@@ -149,7 +149,7 @@
             placement = self._choose(progress, admitted, reply)
             sent_ms = self._clock.now_ms()
             try:
-                self._sender.send(Send(progress, admitted, placement, reply))
+                self._sender.send(SendAttempt(progress, admitted, placement, reply))
                 return _Answered(placement.candidate.server, sent_ms)
             except SendFailedError as failed:
                 self._prepare_next_attempt(progress, admitted, placement, failed, reply)
--- a/hemlockswitch/request/moving.py
+++ b/hemlockswitch/request/moving.py
@@ -17,13 +17,13 @@
 from hemlockswitch.version.backend import BackendServer
 
 MAX_CONCURRENT_TRANSFERS = 16
-UNKNOWN_NOTICE_MS = 5_000.0
+DEFAULT_NOTICE_MS = 5_000.0
 RESERVE_MS = 700.0
-LOOK_AGAIN_MS = 200.0
+FINISH_POLL_INTERVAL_MS = 200.0
 CHOICE_POLL_INTERVAL_MS = 100.0
 STEP_TIMEOUT_MS = 2_000.0
 MIN_STEP_MS = 50.0
-SLACK = 1.25
+REMAINING_TIME_FACTOR = 1.25
 DEFAULT_TOKEN_GAP_MS = 50.0
 
 
@@ -87,7 +87,7 @@
         """
         left_ms = deadline_wall_ms - self._clock.wall_ms()
         if not deadline_wall_ms:
-            left_ms = UNKNOWN_NOTICE_MS
+            left_ms = DEFAULT_NOTICE_MS
         deadline_ms = self._clock.now_ms() + left_ms
         for running in self._running():
             generation = running.generation
@@ -100,7 +100,7 @@
         """Move one generation, unless it ends or its attempt is lost first."""
         while self._is_current(running, departure):
             if self._finishes_in_time(running.generation, departure):
-                self._clock.sleep_ms(LOOK_AGAIN_MS)
+                self._clock.sleep_ms(FINISH_POLL_INTERVAL_MS)
             elif self._prepare(running, departure):
                 return
             else:
@@ -121,7 +121,7 @@
         gap_ms = DEFAULT_TOKEN_GAP_MS
         if done > 1:
             gap_ms = (now_ms - generation.first_token_ms) / (done - 1)
-        remaining_ms = (generation.max_tokens - done + 1) * gap_ms * SLACK
+        remaining_ms = (generation.max_tokens - done + 1) * gap_ms * REMAINING_TIME_FACTOR
         return now_ms + remaining_ms + RESERVE_MS < departure.deadline_ms
 
     def _prepare(self, running: Running, departure: _Departure) -> bool:
--- a/hemlockswitch/request/overdue.py
+++ b/hemlockswitch/request/overdue.py
@@ -5,7 +5,7 @@
 from hemlockswitch.request.relay import Relay
 from hemlockswitch.request.running import Running
 
-SWEEP_MS = 100.0
+SWEEP_INTERVAL_MS = 100.0
 FIRST_TOKEN_TIMEOUT_MS = 20_000.0
 TOKEN_GAP_TIMEOUT_MS = 3_000.0
 
@@ -27,7 +27,7 @@
     def run(self) -> None:
         """Sweep periodically; never returns."""
         while True:
-            self._clock.sleep_ms(SWEEP_MS)
+            self._clock.sleep_ms(SWEEP_INTERVAL_MS)
             self.sweep()
 
     def sweep(self) -> None:
--- a/hemlockswitch/request/prefixes.py
+++ b/hemlockswitch/request/prefixes.py
@@ -70,7 +70,7 @@
     ========
 
     >>> memory = PrefixRecord()
-    >>> memory.remember("llm-1", (1, 2, 3))
+    >>> memory.record("llm-1", (1, 2, 3))
     >>> memory.count_cached("llm-1", (1, 2, 9))
     32
     >>> memory.count_cached("llm-2", (1, 2, 9))
@@ -81,7 +81,7 @@
         self._capacity = capacity
         self._blocks: dict[str, OrderedDict[int, None]] = {}
 
-    def remember(self, server_name: str, blocks: Sequence[int]) -> None:
+    def record(self, server_name: str, blocks: Sequence[int]) -> None:
         """Record that a prompt with these leading blocks was sent to the server."""
         recorded = self._blocks.setdefault(server_name, OrderedDict())
         for block in reversed(blocks):
--- a/hemlockswitch/request/retries.py
+++ b/hemlockswitch/request/retries.py
@@ -61,9 +61,9 @@
         self._left -= 1
         return True
 
-    def wait(self, patience_ms: float) -> bool:
-        """Spend one retry, waiting up to `patience_ms` for the constant rate to provide it."""
-        until_ms = self._clock.now_ms() + patience_ms
+    def wait(self, timeout_ms: float) -> bool:
+        """Spend one retry, waiting up to `timeout_ms` for the constant rate to provide it."""
+        until_ms = self._clock.now_ms() + timeout_ms
         while not self.take():
             if self._clock.now_ms() + WAIT_POLL_INTERVAL_MS > until_ms:
                 return False
--- a/hemlockswitch/request/returns.py
+++ b/hemlockswitch/request/returns.py
@@ -20,7 +20,7 @@
 
     >>> from hemlockswitch.core.clock import ManualClock
     >>> times = RetryTimes(ManualClock())
-    >>> [times.promise("m", wait_ms=200, slot_ms=50) for _ in range(3)]
+    >>> [times.assign("m", wait_ms=200, slot_ms=50) for _ in range(3)]
     [200.0, 250.0, 300.0]
     """
 
@@ -28,7 +28,7 @@
         self._clock = clock
         self._assigned_ms: dict[str, float] = {}
 
-    def promise(self, target: str, wait_ms: float, slot_ms: float) -> float:
+    def assign(self, target: str, wait_ms: float, slot_ms: float) -> float:
         """Return the delay after which the next refused caller of `target` should retry.
 
         Parameters
--- a/hemlockswitch/request/routing.py
+++ b/hemlockswitch/request/routing.py
@@ -162,7 +162,7 @@
     def note_dispatch(self, server_name: str, need: Need) -> int:
         """Record that the request is sent to the server; return its estimated uncached tokens."""
         uncached = self.count_uncached(server_name, need)
-        self.memory.remember(server_name, need.prefix_blocks)
+        self.memory.record(server_name, need.prefix_blocks)
         return uncached
 
     def _score_all(self, need: Need, traits: TargetTraits) -> list[Scored]:
@@ -206,7 +206,7 @@
             return
         wait_ms = max(best_ms - allowed_ms, best_ms / 2 if full else 0, 1)
         slot_ms = 1 / sum(1 / one.slot_ms for one in scored)
-        assigned_ms = self._retry_times.promise(need.target, wait_ms, slot_ms)
+        assigned_ms = self._retry_times.assign(need.target, wait_ms, slot_ms)
         spread = 1 + RETRY_SPREAD * self._chance.random()
         raise RequestError(
             ErrorKind.OVERLOADED,
--- a/hemlockswitch/request/sending.py
+++ b/hemlockswitch/request/sending.py
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True)
-class Send:
+class SendAttempt:
     """An attempt to send a request to one server, with the reply that its answer is written to."""
 
     progress: Progress
@@ -156,7 +156,7 @@
         self._pool = pool
         self._observer = observer
         self._clock = clock
-        self._in_flight: dict[PooledExchange, Send] = {}
+        self._in_flight: dict[PooledExchange, SendAttempt] = {}
 
     def abandon_zone(self, zone: str) -> None:
         """Close the attempts in an unreachable zone whose requests may be sent again.
@@ -168,7 +168,7 @@
             if is_there and send.may_follow:
                 exchange.close()
 
-    def send(self, send: Send) -> None:
+    def send(self, send: SendAttempt) -> None:
         """Send the request to the chosen server and relay its answer.
 
         Raises
@@ -205,7 +205,7 @@
             ticket.end(failed)
             self._pool.finish(exchange)
 
-    def _open(self, send: Send) -> PooledExchange:
+    def _open(self, send: SendAttempt) -> PooledExchange:
         admitted = send.admitted
         server = send.placement.candidate.server
         request_id = admitted.facts.request_id
@@ -231,7 +231,7 @@
             self._view.note_connected(server, self._clock.now_ms() - began_ms)
         return exchange
 
-    def _encode(self, send: Send) -> bytes:
+    def _encode(self, send: SendAttempt) -> bytes:
         admitted = send.admitted
         fields = SendFields(
             server_name=send.placement.candidate.server.name,
@@ -253,7 +253,7 @@
             detail = f"the answer with status {answer.status} may not come from the server itself"
             raise SendFailedError(SendFailure.BROKEN, detail, True)
 
-    def _relay(self, send: Send, exchange: PooledExchange) -> None:
+    def _relay(self, send: SendAttempt, exchange: PooledExchange) -> None:
         is_success = exchange.answer.status < HTTPStatus.BAD_REQUEST
         if send.admitted.route.kind is RequestKind.STREAM and is_success:
             self._relay_stream(send, exchange)
@@ -262,7 +262,7 @@
         send.progress.outcome = "answered"
         send.progress.ended_with_connection = exchange.answer.ends_with_connection
 
-    def _relay_complete(self, send: Send, exchange: PooledExchange) -> None:
+    def _relay_complete(self, send: SendAttempt, exchange: PooledExchange) -> None:
         """Read the complete answer before relaying it to the caller."""
         answer, reply = exchange.answer, send.reply
         body = exchange.read_body(MAX_ANSWER_BYTES)
@@ -277,7 +277,7 @@
         headers = self._dialect.select_answer_headers(answer)
         reply.send(answer.status, answer.reason, headers, body)
 
-    def _may_retry_in_time(self, send: Send) -> bool:
+    def _may_retry_in_time(self, send: SendAttempt) -> bool:
         """Return whether another server is expected to answer before the caller's deadline.
 
         If not, the caller is better served by the failure now than by a timeout later.
@@ -289,7 +289,7 @@
         left_ms = admitted.deadline_ms - self._clock.now_ms()
         return placement is not None and placement.expected_ms <= left_ms
 
-    def _relay_stream(self, send: Send, exchange: PooledExchange) -> None:
+    def _relay_stream(self, send: SendAttempt, exchange: PooledExchange) -> None:
         """Relay events as they arrive; of a resumable stream, only complete events."""
         progress, reply = send.progress, send.reply
         splitter = EventSplitter() if send.admitted.route.is_resumable else None
@@ -304,10 +304,10 @@
                 reply.write(piece)
         self._begin_reply(send, exchange.answer)
         if splitter is not None:
-            reply.write(splitter.rest)
+            reply.write(splitter.remainder)
         reply.end()
 
-    def _begin_reply(self, send: Send, answer: ParsedAnswer) -> None:
+    def _begin_reply(self, send: SendAttempt, answer: ParsedAnswer) -> None:
         """Relay the head of the first server's answer, unless the reply has begun."""
         if send.reply.begun:
             return
@@ -315,7 +315,7 @@
         headers = self._dialect.select_answer_headers(answer)
         send.reply.begin(answer.status, answer.reason, headers)
 
-    def _record_begun(self, send: Send) -> None:
+    def _record_begun(self, send: SendAttempt) -> None:
         send.progress.began_ms = self._clock.now_ms()
         send.progress.begun_version = send.placement.candidate.server.version
         self._observer.request_began(send.progress)
