--- a/tests/herd_replay.py
+++ b/tests/herd_replay.py
@@ -1,8 +1,8 @@
-"""A seeded load of a grown site: many gateways that know of one another's sends half a second late.
+"""A seeded load of a large site: many gateways that receive their peers' attempts half a second late.
 
-The pattern: 61 gateways, reports every 600 ms at moments of their own, 147 model requests a second of
-three kinds with the shares, sizes and objectives of a booking assistant; half of them do not
-say what their prompts share. Engines read 50 tokens in a millisecond, one prompt after another.
+61 gateways report every 600 ms at unsynchronized times. There are 147 model requests per second of three
+kinds, with the shares, sizes and objectives of a booking assistant; half of them do not declare the
+shared parts of their prompts. Engines process 50 tokens per millisecond, one prompt at a time.
 """
 
 import heapq
@@ -28,7 +28,7 @@
 
 
 class Kind(NamedTuple):
-    """One kind of request on the sheet."""
+    """One kind of request of the site."""
 
     name: str
     per_s: float
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What became of one request; `wait_ms` is None if it was refused."""
+    """Result of one request; `wait_ms` is None if it was refused."""
 
     at_ms: float
     kind: Kind
@@ -61,22 +61,22 @@
 
 
 def draw_tokens(rng, mean):
-    """Return a size around `mean` with the wide spread of the sheet."""
+    """Return a size around `mean` with the wide distribution observed at the site."""
     return int(min(mean * math.exp(rng.gauss(0, 0.85) - 0.36), 16 * mean))
 
 
 class HerdReplay:
-    """Places the load; `lost` engines are taken away after `lost_at_ms`.
+    """Places the load on engines; `lost` of them are removed after `lost_at_ms`.
 
     Parameters
     ==========
 
-    draws : whether few servers are compared for each request, or all.
-    gateways, report_ms : how many there are, and how often they report.
-    load : part of the requests that come.
-    large_ms : a prompt that is read for so long is reported at once.
-    gap_ms : if it is not None, each change of a gateway's load is reported, at most so often.
-    relay_ms : how long a report is under way.
+    draws : whether a sample of the servers, rather than all, is compared for each request.
+    gateways, report_ms : number of gateways, and their report period.
+    load : fraction of the site's requests to simulate.
+    large_ms : a prompt that takes at least this time to process is reported immediately.
+    gap_ms : minimum interval between reports of changes of a gateway's load; None reports no changes.
+    relay_ms : time that a report is in transit.
     """
 
     def __init__(
@@ -132,7 +132,7 @@
         return self
 
     def find_worth(self, from_ms=0.0):
-        """Return the share of the requests' worth whose first event came in time."""
+        """Return the fraction of the requests' total worth whose first event was in time."""
         results = [one for one in self.results if one.at_ms >= from_ms]
         served = sum(one.kind.worth for one in results if one.in_time)
         return served / sum(one.kind.worth for one in results)
@@ -171,7 +171,7 @@
         self.results.append(Result(now_ms, kind, ready_ms - now_ms + FIRST_STEP_MS))
 
     def _read(self, name, prefix, tokens):
-        """Return when an engine has read a prompt, of which it keeps the shared part."""
+        """Return when an engine has processed a prompt; it caches the shared part."""
         if (name, prefix) in self.cached:
             tokens -= self.shared_tokens[prefix]
         self.cached.add((name, prefix))
