--- a/tests/placement_replay.py
+++ b/tests/placement_replay.py
@@ -1,7 +1,7 @@
-"""A seeded load of the sites' shape for tests of placement and overload.
+"""A seeded load with the traffic pattern of the sites, for tests of placement and overload.
 
-A prompt shares 13,300 of its 17,000 tokens with others of its kind (the dearest request of both
-sheets); an engine reads about 50 tokens in a millisecond, so a miss costs 270 ms of its time.
+A prompt shares 13,300 of its 17,000 tokens with other prompts of its kind (the most valuable request of
+both sites). An engine processes about 50 tokens per millisecond, so a cache miss costs 270 ms.
 """
 
 import random
@@ -31,11 +31,11 @@
 
 
 class Replay:
-    """Gateways that place a seeded stream of prompts on engines which read one after another.
+    """Gateways that place a seeded stream of prompts on engines that process one prompt at a time.
 
-    It is a test of decisions: engines read 50 tokens in a millisecond and keep what they read;
-    gateways learn of one another's load 200 ms late. With a `bound` on the queue, what would wait
-    longer is refused and does not come back.
+    Simulates the decisions only: engines process 50 tokens per millisecond and cache all of them;
+    gateways receive the load of their peers 200 ms late. With a `bound` on the queue, requests that
+    would wait longer are refused and not retried.
     """
 
     def __init__(self, choose, seed, servers=SERVERS, bound=None):
@@ -65,7 +65,7 @@
         return self
 
     def count_within(self, objective_ms):
-        """Return how many requests had their first event in time."""
+        """Return the number of requests whose first event was in time."""
         return sum(wait_ms <= objective_ms for wait_ms in self.waits_ms)
 
     @property
