--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission refuses at once, charges by estimate, settles at the end and keeps its queue."""
+"""Admission: immediate refusals, charges by estimate, settlement at the end, and the capacity queue."""
 
 import gevent
 import pytest
@@ -10,8 +10,8 @@
 from hemlockswitch.request.capacity import CapacityQueue
 
 
-class Granted:
-    """Allowances set by the test; `more` is what seeking brings."""
+class FakeAllowances:
+    """Allowances set by the test; `more` is the allowance after `seek_more`."""
 
     def __init__(self, allowance, more=None):
         self.allowance = allowance
@@ -29,11 +29,11 @@
 
 def make_admission(requests=2.0, tokens=1_000.0, concurrent=10, more=None):
     clock = ManualClock()
-    granted = Granted(Allowance(requests, tokens, concurrent), more)
-    return clock, granted, Admission(granted, clock, CapacityQueue(clock))
+    fake_allowances = FakeAllowances(Allowance(requests, tokens, concurrent), more)
+    return clock, fake_allowances, Admission(fake_allowances, clock, CapacityQueue(clock))
 
 
-def refuse(admission, kind, tokens=10):
+def expect_refusal(admission, kind, tokens=10):
     with pytest.raises(RequestError) as caught:
         admission.admit("abdoun", tokens)
     assert caught.value.kind is kind
@@ -41,35 +41,35 @@
     return caught.value.answer.retry_after_ms
 
 
-def test_requests_are_limited_and_the_time_to_come_back_is_honest():
+def test_request_limit_retry_time_suffices():
     clock, _, admission = make_admission()
     admission.admit("abdoun", 1).close()
     admission.admit("abdoun", 1).close()
-    wait_ms = refuse(admission, ErrorKind.REQUEST_LIMIT)
+    wait_ms = expect_refusal(admission, ErrorKind.REQUEST_LIMIT)
     assert 500 < wait_ms <= 751
     clock.advance(wait_ms)
     admission.admit("abdoun", 1)
 
 
-def test_tokens_are_charged_by_estimate_and_settled():
+def test_unused_tokens_are_refunded():
     _, _, admission = make_admission(requests=100)
     with admission.admit("abdoun", 1_000) as permit:
-        assert refuse(admission, ErrorKind.TOKEN_LIMIT, tokens=500) > 500
+        assert expect_refusal(admission, ErrorKind.TOKEN_LIMIT, tokens=500) > 500
         permit.record_tokens(400)
     admission.admit("abdoun", 600).close()
 
 
-def test_a_request_larger_than_the_bucket_is_paid_back_before_the_next():
+def test_excess_of_a_large_request_delays_the_next():
     clock, _, admission = make_admission(requests=100)
     with admission.admit("abdoun", 5_000) as permit:
         permit.record_tokens(5_000)
     clock.advance(3_900)
-    assert refuse(admission, ErrorKind.TOKEN_LIMIT, tokens=100) > 200
+    assert expect_refusal(admission, ErrorKind.TOKEN_LIMIT, tokens=100) > 200
     clock.advance(200)
     admission.admit("abdoun", 100)
 
 
-def test_a_request_waits_when_the_bucket_has_enough_very_soon():
+def test_request_waits_for_a_bucket_that_fills_soon():
     clock, _, admission = make_admission(requests=10)
     for _ in range(10):
         admission.admit("abdoun", 1).close()
@@ -77,10 +77,10 @@
     assert 100 <= clock.now_ms() <= 110
 
 
-def test_concurrent_requests_are_limited_and_a_cancelled_one_gives_all_back():
+def test_cancelled_request_is_refunded_completely():
     _, _, admission = make_admission(requests=2, concurrent=1)
     permit = admission.admit("abdoun", 900)
-    refuse(admission, ErrorKind.CONCURRENCY_LIMIT)
+    expect_refusal(admission, ErrorKind.CONCURRENCY_LIMIT)
     permit.cancel()
     permit.close()
     assert admission.count_running("abdoun") == 0
@@ -88,30 +88,30 @@
     admission.admit("abdoun", 1).close()
 
 
-def test_an_unknown_account_is_refused():
+def test_unknown_account_is_refused():
     _, _, admission = make_admission()
     with pytest.raises(RequestError) as caught:
         admission.admit("nobody", 1)
     assert caught.value.kind is ErrorKind.UNAUTHORIZED
 
 
-def test_more_is_sought_before_refusing():
+def test_more_allowance_is_sought_before_a_refusal():
     _, _, admission = make_admission(concurrent=0, more=Allowance(1, 1_000, 1))
     admission.admit("abdoun", 1)
 
 
-def test_a_lower_rate_never_credits_the_past_at_the_higher():
-    clock, granted, admission = make_admission(requests=10)
+def test_lower_rate_is_credited_for_the_time_before_the_change():
+    clock, fake_allowances, admission = make_admission(requests=10)
     for _ in range(10):
         admission.admit("abdoun", 1).close()
     clock.advance(1_000)
-    granted.allowance = Allowance(1, 1_000, 10)
+    fake_allowances.allowance = Allowance(1, 1_000, 10)
     admission.refresh("abdoun")
     admission.admit("abdoun", 1).close()
-    refuse(admission, ErrorKind.REQUEST_LIMIT)
+    expect_refusal(admission, ErrorKind.REQUEST_LIMIT)
 
 
-def test_the_queue_goes_by_priority_and_refuses_early():
+def test_queue_is_ordered_by_priority_and_refuses_early():
     queue = CapacityQueue(SystemClock(), places=1, queue_length=2)
     order = []
 
@@ -136,7 +136,7 @@
     assert (queue.running, queue.waiting) == (0, 0)
 
 
-def test_a_caller_whose_time_is_over_is_told_that_nothing_ran():
+def test_passed_deadline_is_refused_before_dispatch():
     queue = CapacityQueue(SystemClock(), places=1)
     with pytest.raises(RequestError) as caught:
         queue.enter(0, deadline_ms=0)
