--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -1,4 +1,4 @@
-"""Engine events are checked against their stream and position before a caller sees them."""
+"""Engine events are checked against their stream and position before they are relayed."""
 
 import json
 
@@ -27,7 +27,7 @@
     "content", ["plain ", 'quote " ', "back\\slash ", "é ", "\n", "\u2028", ""]
 )
 @pytest.mark.parametrize("dump", [{}, {"separators": (",", ":")}, {"ensure_ascii": False}])
-def test_every_content_comes_through_whole(checker, content, dump):
+def test_content_is_relayed_unchanged(checker, content, dump):
     checked = checker.check(make_event(1, content, **dump), 1)
     assert checked.verdict is Verdict.TOKEN
     assert checked.content.decode() == content
@@ -53,11 +53,11 @@
         (b"data: [DONE]", Verdict.DONE),
     ],
 )
-def test_events_that_are_not_the_next_token(checker, event, verdict):
+def test_unexpected_events_are_classified(checker, event, verdict):
     assert checker.check(event, 1).verdict is verdict
 
 
-def test_the_last_event_counts_the_whole_answer(checker):
+def test_last_event_is_recognised(checker):
     event = make_event(1, "", finish="stop")
     checked = checker.check(event, 1)
     assert checked.verdict is Verdict.FINISH
@@ -65,7 +65,7 @@
     assert chunk["choices"][0]["finish_reason"] == "stop"
 
 
-def test_engine_usage_is_given_in_whole_and_without_the_engines_own_field():
+def test_usage_counts_the_complete_answer_without_internal_fields():
     chunk = {"id": REQUEST, "usage": {"prompt_tokens": 3, "recomputed_tokens": 9}}
     event = b"\ndata: " + json.dumps(chunk).encode()
     usage = json.loads(rewrite_usage(event, 7).removeprefix(b"\ndata: "))["usage"]
