--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -1,8 +1,8 @@
-"""The model of an engine, learned from sends: any speed, few sends, sends that mislead, other writers.
+"""Fitting of the engine model: to engines of any speed, few attempts, outliers, and reports of peers.
 
-The pattern: a service's engines read 20 to 240 prompt tokens in a millisecond and take 30 to 300 ms
-before the first event of the smallest prompt, as engines of different sizes do. A part of the sends
-meets a queue that nobody told, or prompts that were cached after all.
+The engines process 20 to 240 prompt tokens per millisecond and take 30 to 300 ms to the first event of
+the smallest prompt, as engines of different sizes do. Some attempts are outliers, because they meet an
+unreported queue or a prompt that turned out to be cached.
 """
 
 import math
@@ -39,7 +39,7 @@
     return EngineWork(waiting, tokens, tokens * rng.uniform(1, 2), rng.randrange(20))
 
 
-def draw_sends(engine, rng, count, misled=0.0):
+def draw_attempts(engine, rng, count, misled=0.0):
     for number in range(count):
         work = draw_work(rng)
         took_ms = engine.predict_ms(work) * rng.uniform(0.97, 1.05)
@@ -51,7 +51,7 @@
 
 
 def measure_error(model, engine, seed=99):
-    """Return the median part by which predictions are off."""
+    """Return the median relative error of the predictions."""
     rng = random.Random(seed)
     errors = []
     for _ in range(300):
@@ -62,9 +62,9 @@
 
 @pytest.mark.parametrize("engine", ENGINES)
 @pytest.mark.parametrize(("count", "misled", "most"), [(200, 0.0, 0.04), (200, 0.25, 0.1)])
-def test_any_engine_is_learned_also_from_sends_that_mislead(engine, count, misled, most):
+def test_model_is_fitted_despite_outliers(engine, count, misled, most):
     fitter = ModelFitter()
-    for now_ms, work, took_ms in draw_sends(engine, random.Random(1), count, misled):
+    for now_ms, work, took_ms in draw_attempts(engine, random.Random(1), count, misled):
         fitter.note(now_ms, work, took_ms)
         if fitter.count % 20 == 0:
             fitter.fit(now_ms)
@@ -73,16 +73,16 @@
 
 
 @pytest.mark.parametrize("engine", ENGINES)
-def test_thirty_sends_are_better_than_the_prior(engine):
+def test_thirty_attempts_improve_on_the_prior(engine):
     fitter = ModelFitter()
-    for now_ms, work, took_ms in draw_sends(engine, random.Random(2), FEWEST_TOLD):
+    for now_ms, work, took_ms in draw_attempts(engine, random.Random(2), FEWEST_TOLD):
         fitter.note(now_ms, work, took_ms)
     for _ in range(3):
         fitter.fit(3_000.0)
     assert measure_error(fitter.model, engine) < measure_error(PRIOR, engine)
 
 
-def test_sends_of_one_kind_do_not_spoil_what_they_say_nothing_of():
+def test_uniform_attempts_keep_undetermined_coefficients():
     fitter = ModelFitter()
     for number in range(40):
         fitter.note(number, EngineWork(0, 0, 500, 3), 40.0)
@@ -91,20 +91,20 @@
     assert model.predict_ms(EngineWork(0, 0, 500, 3)) == pytest.approx(40.0, rel=0.1)
 
 
-def test_a_release_of_another_speed_takes_the_place_of_the_old_one():
+def test_model_follows_a_release_with_a_different_speed():
     fitter = ModelFitter()
-    for now_ms, work, took_ms in draw_sends(ENGINES[0], random.Random(3), 200):
+    for now_ms, work, took_ms in draw_attempts(ENGINES[0], random.Random(3), 200):
         fitter.note(now_ms, work, took_ms)
     fitter.fit(20_000.0)
     later_ms = 20_000.0 + MAX_OBSERVATION_AGE_MS
-    for now_ms, work, took_ms in draw_sends(ENGINES[1], random.Random(4), 100):
+    for now_ms, work, took_ms in draw_attempts(ENGINES[1], random.Random(4), 100):
         fitter.note(later_ms + now_ms, work, took_ms)
     for _ in range(3):
         fitter.fit(later_ms + 10_000.0)
     assert measure_error(fitter.model, ENGINES[1]) < 0.1
 
 
-def test_without_sends_the_prior_stays():
+def test_prior_is_used_without_attempts():
     assert ModelFitter().fit(0.0) == PRIOR
 
 
@@ -128,21 +128,21 @@
 def make_models(engine=None, count=FEWEST_TOLD):
     models = ServiceModels(ManualClock())
     if engine is not None:
-        for _, work, took_ms in draw_sends(engine, random.Random(5), count):
+        for _, work, took_ms in draw_attempts(engine, random.Random(5), count):
             models.note_first_event("llm", work, took_ms)
         models.fit()
     return models
 
 
-def test_a_new_process_knows_the_model_with_the_first_report():
-    told = make_models(ENGINES[1], 200).describe_own()
+def test_new_process_uses_the_model_of_the_first_report():
+    reported = make_models(ENGINES[1], 200).describe_own()
     new = make_models()
     assert new.get("llm") == PRIOR
-    new.take_report("g2", told)
+    new.take_report("g2", reported)
     assert measure_error(new.get("llm"), ENGINES[1]) < 0.1
 
 
-def test_few_sends_are_not_told():
+def test_model_with_few_observations_is_not_reported():
     assert make_models(ENGINES[0], FEWEST_TOLD - 1).describe_own() == {}
 
 
@@ -158,14 +158,14 @@
         None,
     ],
 )
-def test_a_model_that_no_engine_can_have_is_left_out(poison):
+def test_invalid_reported_model_is_ignored(poison):
     models = make_models()
     models.take_report("g2", {"llm": poison, "other": ENGINES[0].coefficients})
     assert models.get("llm") == PRIOR
     assert models.get("other") == ENGINES[0]
 
 
-def test_one_gateway_that_is_wrong_changes_little():
+def test_single_deviating_gateway_has_little_influence():
     models = make_models(ENGINES[0], 200)
     models.take_report("g2", make_models(ENGINES[0], 200).describe_own())
     models.take_report("g3", {"llm": ENGINES[1].coefficients})
@@ -173,7 +173,7 @@
     assert measure_error(models.get("llm"), ENGINES[0]) < 0.1
 
 
-def test_what_was_told_long_ago_does_not_count():
+def test_expired_reports_are_ignored():
     models = make_models(ENGINES[0], 200)
     models.take_report("g2", {"llm": ENGINES[1].coefficients})
     models.take_report("g3", {"llm": ENGINES[1].coefficients})
@@ -184,7 +184,7 @@
     assert measure_error(models.get("llm"), ENGINES[0]) < 0.1
 
 
-def test_the_usual_time_of_a_call_settles_at_the_median():
+def test_call_duration_converges_to_the_median():
     models = make_models()
     assert models.get_call_ms("app") == PRIOR_CALL_MS
     rng = random.Random(6)
