--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -1,4 +1,4 @@
-"""Requests through a gateway, over real sockets: what runs, how often, and what callers are told."""
+"""Requests through a gateway over real sockets: which of them run, how often, and what is answered."""
 
 import time
 
@@ -39,22 +39,22 @@
     return [site.add_runner("llm"), site.add_runner("llm")]
 
 
-def find_seen(runners):
+def get_received(runners):
     (seen,) = [one for runner in runners for one in runner.state.seen]
     return seen
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back(site, app):
+def test_request_and_answer_are_relayed_unchanged(site, app):
     reply = site.ask("/hold/x%2Fy?a=1&b", "id-1", body=b'{"slot": 3}', X_Own="kept")
     assert (reply.status, reply.body, reply.is_whole) == (200, b"answer of id-1", True)
     assert is_genuine(reply, "id-1")
-    seen = find_seen(app)
+    seen = get_received(app)
     assert (seen["method"], seen["target"]) == ("POST", "/hold/x%2Fy?a=1&b")
     assert seen["body"] == '{"slot": 3}'
     assert seen["headers"]["x-own"] == "kept"
 
 
-def test_the_system_sets_its_headers_whatever_the_caller_sent(site, app):
+def test_forged_internal_headers_are_replaced(site, app):
     forged = {
         "Hemlockswitch_Tenant": "other",
         "Hemlockswitch_Hold": "h",
@@ -64,7 +64,7 @@
         "Hemlockswitch_Expect_Instance": "forged",
     }
     assert site.ask("/hold/x", **forged).status == 200
-    headers = find_seen(app)["headers"]
+    headers = get_received(app)["headers"]
     assert headers["hemlockswitch-tenant"] == "hall"
     assert headers["hemlockswitch-expect-instance"].startswith("runner-")
     assert 0 < int(headers["hemlockswitch-deadline-ms"]) <= 4_000
@@ -73,7 +73,7 @@
     assert "hemlockswitch-kv-backup" not in headers
 
 
-def test_chunked_bodies_go_on_whole(site, app):
+def test_chunked_body_is_forwarded_complete(site, app):
     with site.connect() as connection:
         head = make_request("/hold/x", "id-1", body=b"").replace(
             b"Content-Length: 0", b"Transfer-Encoding: chunked"
@@ -82,10 +82,10 @@
         gevent.sleep(0.05)
         connection.sendall(b"2\r\nde\r\n0\r\n\r\n")
         assert read_reply(connection).status == 200
-    assert find_seen(app)["body"] == "abcde"
+    assert get_received(app)["body"] == "abcde"
 
 
-def test_a_connection_serves_one_request_after_the_other(site, app):
+def test_connection_serves_consecutive_requests(site, app):
     with site.connect() as connection:
         for number in range(5):
             connection.sendall(make_request("/check/x", f"id-{number}"))
@@ -111,11 +111,11 @@
         ("/open/x", None, 200),
     ],
 )
-def test_routes_and_keys(site, app, path, key, status):
+def test_status_by_route_and_key(site, app, path, key, status):
     assert site.ask(path, key=key).status == status
 
 
-def test_a_gateway_without_a_configuration_says_not_yet():
+def test_gateway_without_configuration_is_not_ready():
     site = Site(is_configured=False)
     reply = site.ask("/nowhere/x", key="wrong")
     assert reply.status == 503
@@ -123,7 +123,7 @@
     site.close()
 
 
-def test_no_server_is_said_at_once(site):
+def test_missing_server_is_reported_immediately(site):
     began = time.monotonic()
     reply = site.ask("/hold/x")
     assert (reply.status, "retry-after" in reply.headers) == (503, True)
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("path", ["/hold/x", "/check/x"])
-def test_a_declined_request_goes_to_another_server(site, app, path):
+def test_declined_request_is_sent_to_another_server(site, app, path):
     for runner in app:
         runner.fail(decline=True, count=1)
     app[1].fail()
@@ -140,7 +140,7 @@
     assert count_runs(app, "id-1") == 1
 
 
-def test_a_request_that_all_decline_was_not_run(site, app):
+def test_request_declined_by_all_servers_was_not_run(site, app):
     for runner in app:
         runner.fail(decline=True)
     reply = site.ask("/hold/x", "id-1")
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("faults", [{"lose_answer": True}, {"without_seal": True}])
-def test_a_request_that_may_have_run_is_not_sent_again(site, app, faults):
+def test_request_that_may_have_run_is_not_repeated(site, app, faults):
     for runner in app:
         runner.fail(**faults)
     reply = site.ask("/hold/x", "id-1")
@@ -157,7 +157,7 @@
     assert count_runs(app, "id-1") == 1
 
 
-def test_an_answer_of_another_request_is_never_passed_on(site, app):
+def test_answer_of_another_request_is_never_relayed(site, app):
     for runner in app:
         runner.fail(foreign_answer=True)
     reply = site.ask("/hold/x", "id-1", Hemlockswitch_Deadline_Ms="600")
@@ -166,14 +166,14 @@
 
 
 @pytest.mark.parametrize("faults", [{"lose_answer": True}, {"without_seal": True}, {"fail": True}])
-def test_a_repeatable_request_is_sent_again(site, app, faults):
+def test_repeatable_request_is_repeated(site, app, faults):
     for runner in app:
         runner.fail(count=1, **faults)
     app[1].fail()
     assert site.ask("/check/x", "id-1").status == 200
 
 
-def test_a_servers_own_failure_goes_on_as_it_is(site, app):
+def test_failure_of_the_server_is_relayed_unchanged(site, app):
     for runner in app:
         runner.fail(fail=True)
     reply = site.ask("/hold/x", "id-1")
@@ -181,8 +181,8 @@
     assert is_genuine(reply, "id-1")
 
 
-def test_a_servers_failure_goes_on_when_no_time_is_left_for_another_send(site, app):
-    """Calls that take 500 ms and longer, of a caller that waits 300: a second send would end in 504."""
+def test_failure_is_relayed_if_no_time_is_left_to_repeat(site, app):
+    """Calls take 500 ms or longer and the caller waits 300 ms: a second attempt would end in status 504."""
     for _ in range(60):
         site.gateways[0].models.note_call("app", 900.0)
     for runner in app:
@@ -192,8 +192,8 @@
     assert count_runs(app, "id-1") == 1
 
 
-def test_a_request_is_served_though_many_servers_have_crashed(site):
-    """Eleven of thirty servers crashed, and their entries stayed."""
+def test_request_is_served_despite_many_crashed_servers(site):
+    """Reproduces a crash of eleven of thirty servers whose entries remained in the list."""
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{unused.getsockname()[1]}"
@@ -206,8 +206,8 @@
     assert sum(runner.state.runs.values()) == 5
 
 
-def test_a_server_without_a_connection_is_named_in_the_log(site):
-    """Incident inc-ac0b: 64 of 66 such lines did not say which server it was."""
+def test_unreachable_server_is_named_in_the_log(site):
+    """Incident inc-ac0b: 64 of 66 such log lines did not name the server."""
     runner = site.add_runner("app")
     runner.server.stop(timeout=0)
     with structlog.testing.capture_logs() as lines:
@@ -217,7 +217,7 @@
     assert {line["server"] for line in failed} == {runner.name}
 
 
-def test_a_moved_address_is_not_used_for_another_server(site, app):
+def test_reassigned_address_is_not_used(site, app):
     stale, sound = app
     stale.state.settings = stale.state.settings.model_copy(update={"name": "somebody-else"})
     for number in range(6):
@@ -226,7 +226,7 @@
     assert sum(sound.state.runs.values()) == 6
 
 
-def test_a_leaving_server_gets_nothing_new(site, app):
+def test_leaving_server_gets_no_new_requests(site, app):
     app[0].write("draining")
     site.wait(lambda: len(site.gateways[0].registry.list_ready("app")) == 1)
     for number in range(6):
@@ -234,7 +234,7 @@
     assert sum(app[0].state.runs.values()) == 0
 
 
-def test_the_routes_timeout_ends_the_wait(site):
+def test_route_timeout_ends_the_wait(site):
     site.store.put("config", "main", make_manifest(2, timeout_ms=300))
     runner = site.add_runner("app", work_ms=3_000)
     site.wait(lambda: site.gateways[0].tables.current.revision == 2)
@@ -244,7 +244,7 @@
     assert runner.count_runs("id-1") == 1
 
 
-def test_a_time_that_is_up_before_the_send_is_not_run(site, app):
+def test_deadline_before_the_send_is_not_run(site, app):
     reply = site.ask("/hold/x", "id-1", Hemlockswitch_Deadline_Ms="0")
     assert reply.status == 503
     assert count_runs(app, "id-1") == 0
@@ -263,16 +263,16 @@
         (b"POST /hold/x HTTP/1.1\r\nHost: " + HOST.encode() + b"\r\nX-A", 408),
     ],
 )
-def test_bad_input_is_answered_and_reaches_no_server(site, app, data, status):
+def test_invalid_input_is_refused_without_reaching_a_server(site, app, data, status):
     with site.connect() as connection:
         connection.sendall(data)
         assert read_reply(connection).status == status
-    assert site.ask("/check/x").status == 200, "the gateway stands"
+    assert site.ask("/check/x").status == 200, "the gateway still serves requests"
     assert sum(sum(runner.state.runs.values()) for runner in app) == 1
 
 
-def test_a_head_that_comes_a_byte_at_a_time_has_the_heads_time_as_a_whole(site, app):
-    """The head's timeout is 1 s in this configuration; a byte comes each 0.4 s."""
+def test_head_timeout_covers_the_complete_head(site, app):
+    """The timeout of the head is 1 s in this configuration; one byte is sent every 0.4 s."""
     head = make_request("/check/x", "drip", body=b"")
     with site.connect() as connection:
         sent = 0
@@ -283,12 +283,12 @@
                 break
             sent += 1
             gevent.sleep(0.4)
-        assert sent < 20, "the connection was not ended"
+        assert sent < 20, "the connection was not closed"
         assert read_reply(connection).status == 408
     assert count_runs(app, "drip") == 0
 
 
-def test_a_smuggled_request_is_never_run(site, app):
+def test_smuggled_request_is_never_run(site, app):
     inner = make_request("/hold/x", "smuggled", body=b"")
     outer = make_request("/check/x", "id-1", body=b"").replace(
         b"Content-Length: 0", b"Content-Length: 4\r\nTransfer-Encoding: chunked"
@@ -299,7 +299,7 @@
     assert count_runs(app, "smuggled") == 0
 
 
-def test_an_account_over_its_limit_is_told_when_to_come_back():
+def test_account_over_its_limit_gets_a_retry_time():
     limited = [{"name": "hall", "api_keys": [KEY], "rate_per_s": 5, "burst": 5}]
     site = Site(manifest=make_manifest(tenants=limited))
     runner = site.add_runner("app")
@@ -311,14 +311,14 @@
     site.close()
 
 
-def test_every_route_of_the_tests_is_served(site, app, engines):
+def test_every_route_is_served(site, app, engines):
     for name in ROUTES:
         extra = tokens(3) if ROUTES[name]["kind"] == "stream" else {}
         assert site.ask(f"/{name}/x", **extra).status == 200
 
 
-def test_a_request_that_may_be_repeated_leaves_a_zone_that_is_cut_off(site):
-    """A partition: the server of the other zone has the request and nothing more is heard."""
+def test_repeatable_request_leaves_an_unreachable_zone(site):
+    """A network partition: the server in the other zone has received the request but cannot answer."""
     far = site.add_runner("llm", work_ms=1_500)
     far.write("ready", zone="z2")
     site.wait(lambda: site.gateways[0].registry.list_ready("llm")[0].zone == "z2")
@@ -333,4 +333,4 @@
     replies = [task.get(timeout=10) for task in asked]
     assert [reply.status for reply in replies] == [200, 200]
     assert near.count_runs("id-1") == 1
-    assert (far.count_runs("id-2"), near.count_runs("id-2")) == (1, 0), "it may run once only"
+    assert (far.count_runs("id-2"), near.count_runs("id-2")) == (1, 0), "it may run only once"
