--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams through a gateway, over real sockets: whole or visibly cut, resumed, and left by callers."""
+"""Streams through a gateway over real sockets: complete or visibly truncated, resumed, or abandoned."""
 
 import gevent
 import pytest
@@ -18,13 +18,13 @@
     return [site.add_runner("llm"), site.add_runner("llm")]
 
 
-def test_a_stream_comes_whole(site, engines):
+def test_stream_is_relayed_complete(site, engines):
     reply = site.ask("/draft/x", "id-1", **tokens(12))
     assert (reply.status, reply.is_whole) == (200, True)
     assert reply.body == make_events("id-1", 12)
 
 
-def test_a_stream_that_cannot_go_on_does_not_look_whole(site, engines):
+def test_truncated_stream_does_not_appear_complete(site, engines):
     for engine in engines:
         engine.fail(cut_after_events=5)
     reply = site.ask("/draft/x", "id-1", **tokens(12))
@@ -32,7 +32,7 @@
     assert count_runs(engines, "id-1") == 1
 
 
-def test_a_resumable_stream_goes_on_elsewhere_in_one_answer(site, engines):
+def test_resumable_stream_continues_on_another_server(site, engines):
     for engine in engines:
         engine.fail(cut_after_events=5, count=1)
     engines[1].fail()
@@ -42,12 +42,12 @@
     assert reply.body == make_events("id-1", 12)
 
 
-def test_a_caller_may_resume(site, engines):
+def test_caller_resumes_a_stream(site, engines):
     reply = site.ask("/reply/x", "id-1", Last_Event_Id="7", **tokens(12))
     assert reply.body == make_events("id-1", 12, first=8)
 
 
-def test_a_caller_that_leaves_stops_its_runner(site):
+def test_disconnected_caller_cancels_the_request(site):
     engine = site.add_runner("llm", event_ms=30)
     with site.connect() as connection:
         connection.sendall(make_request("/draft/x", "id-1", **tokens(200)))
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("path", ["/check/x", "/reply/x", "/hold/x"])
-def test_a_caller_that_leaves_before_its_answer_is_not_served_elsewhere(site, path):
+def test_request_of_a_disconnected_caller_is_not_repeated(site, path):
     runners = [site.add_runner(service, work_ms=300) for service in ("app", "app", "llm", "llm")]
     with site.connect() as connection:
         connection.sendall(make_request(path, "id-1", **tokens(20)))
@@ -70,4 +70,4 @@
             site.gateways[0].registry.list_ready(service), None
         )
     ]
-    assert rates == [0.0] * 4, "the servers are not to blame"
+    assert rates == [0.0] * 4, "the disconnect does not count as a failure of the servers"
