--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""The homes of shared prompt parts stay what rendezvous hashing says, whatever is remembered."""
+"""The cached preferred servers of shared prompt parts always equal those of rendezvous hashing."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,10 +9,10 @@
 
 
 @given(st.lists(st.sets(st.sampled_from(NAMES), min_size=1), min_size=1, max_size=8))
-def test_remembered_homes_are_those_of_the_servers_that_are_there(turns):
-    """Servers come, go and come back; some are left out of a request."""
+def test_cached_ranks_match_the_present_servers(server_sets):
+    """Servers are added, removed and added again; some are excluded from a request."""
     homes = Homes()
-    for present in turns:
+    for present in server_sets:
         for key in ("part-1", "part-2"):
             expected = rank_homes(key, present)
             assert homes.rank(key, sorted(present)) == {
@@ -20,14 +20,14 @@
             }
 
 
-def test_a_part_is_ranked_once_while_the_servers_stay(monkeypatch):
+def test_part_is_ranked_once_while_servers_are_unchanged(monkeypatch):
     homes = Homes()
     homes.rank("part", NAMES)
     monkeypatch.setattr("hemlockswitch.request.homes.rank_homes", None)
     assert len(homes.rank("part", NAMES[3:])) == PREFERRED_COUNT
 
 
-def test_servers_that_are_gone_are_not_remembered_for_good():
+def test_removed_servers_are_evicted():
     homes = Homes()
     for generation in range(200):
         names = [f"{generation}-{number}" for number in range(CACHED_RANKS)]
