--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where forwarded requests go under the load patterns of the sites; see `tests.placement_replay`."""
+"""Placement of forwarded requests under the load patterns of the sites; see `tests.placement_replay`."""
 
 import math
 import random
@@ -31,7 +31,7 @@
 )
 
 
-def test_the_home_of_a_prefix_moves_only_when_its_server_goes():
+def test_preferred_server_changes_only_when_it_is_removed():
     names = [server.name for server in SERVERS]
     for number in range(200):
         before = rank_homes(f"p{number}", names)
@@ -41,14 +41,14 @@
             assert after[0] == before[0]
 
 
-def test_homes_are_spread_evenly():
+def test_preferred_servers_are_distributed_evenly():
     names = [server.name for server in SERVERS]
     ranks = [rank_homes(f"p{number}", names) for number in range(1_200)]
     homes = Counter(rank[0] for rank in ranks)
     assert max(homes.values()) < 1.3 * min(homes.values())
 
 
-def test_a_failing_server_is_avoided_and_tried_again_later():
+def test_failing_server_is_avoided_temporarily():
     clock = ManualClock()
     loads = ServerLoads(clock)
     prompt = make_prompt(1)
@@ -62,7 +62,7 @@
     assert again == home
 
 
-def test_a_busy_home_gives_way():
+def test_busy_preferred_server_is_replaced_by_the_next():
     prompt = make_prompt(1)
     names = [server.name for server in SERVERS]
     ranks = {name: rank for rank, name in enumerate(rank_homes("p1", names, len(names)))}
@@ -78,7 +78,7 @@
     assert ranks[chosen.candidate.server.name] == 1
 
 
-def test_a_plain_service_stays_in_the_zone_until_it_is_full():
+def test_plain_service_stays_in_its_zone_until_full():
     near, far = make_server("near", "z1", slots=6), make_server("far", "z2", slots=6)
     chosen = choose_server(None, [Candidate(far, distance_ms=3), Candidate(near, running=3)])
     assert chosen.candidate.server is near
@@ -86,7 +86,7 @@
     assert chosen.candidate.server is far
 
 
-def test_reports_of_other_gateways_count_until_they_are_old():
+def test_stale_peer_reports_are_ignored():
     clock = ManualClock()
     loads = ServerLoads(clock)
     loads.take_report("g2", {"e1": ServerLoad(5, 20_000)})
@@ -106,26 +106,26 @@
     return choose_server(prompt, [least])
 
 
-def choose_home(_, candidates, prompt):
+def choose_preferred(_, candidates, prompt):
     return choose_server(prompt, [min(candidates, key=lambda one: one.home_rank)])
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("baseline", [choose_random, choose_least, choose_home])
-def test_first_events_come_sooner_than_with_simpler_rules(seed, baseline):
+@pytest.mark.parametrize("baseline", [choose_random, choose_least, choose_preferred])
+def test_first_events_are_earlier_than_with_baselines(seed, baseline):
     ours = Replay(choose_ours, seed).run(1_500, per_s=35)
     other = Replay(baseline, seed).run(1_500, per_s=35)
     assert ours.p95_ms < other.p95_ms
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_few_shared_parts_are_read_twice(seed):
+def test_shared_parts_are_rarely_recomputed(seed):
     ours = Replay(choose_ours, seed).run(1_500, per_s=35)
     least = Replay(choose_least, seed).run(1_500, per_s=35)
     assert ours.read_tokens < 0.75 * least.read_tokens
 
 
-def test_a_prompt_that_another_gateway_sent_is_known_to_be_cached_there():
+def test_prompt_sent_by_a_peer_counts_as_cached():
     clock = ManualClock()
     own, other = ServerLoads(clock), ServerLoads(clock)
     clock.advance(20_000)
@@ -136,17 +136,17 @@
         one.server.name: one.cached_tokens for one in own.build_candidates(SERVERS, make_prompt(1))
     }
     assert cached.pop("e2") == SHARED_TOKENS
-    assert set(cached.values()) == {0}, "what nobody sent is not cached"
-    assert other.pop_sent() == [], "each send is told once"
+    assert set(cached.values()) == {0}, "prompts that were not sent are not cached"
+    assert other.pop_sent() == [], "each attempt is reported once"
 
 
-def test_a_new_process_does_not_take_for_cold_what_it_has_not_heard_of():
+def test_new_process_does_not_assume_empty_caches():
     loads = ServerLoads(ManualClock())
     candidates = loads.build_candidates(SERVERS, make_prompt(1))
     assert {one.cached_tokens for one in candidates} == {None}
 
 
-def test_the_prediction_counts_what_waits_and_what_is_not_cached():
+def test_prediction_includes_queued_and_uncached_tokens():
     prompt = make_prompt(1)
     cold = predict_first_event_ms(prompt, Candidate(SERVERS[0], home_rank=5))
     warm = predict_first_event_ms(prompt, Candidate(SERVERS[0], cached_tokens=SHARED_TOKENS))
@@ -157,24 +157,25 @@
     assert warm < cold
 
 
-def test_many_gateways_do_not_crowd_the_server_that_looks_idle():
-    """27 prompts reached one engine within 0.3 s, and of 120 late
-    first events in two seconds 112 were predicted within half a second."""
+def test_gateways_do_not_overload_an_apparently_idle_server():
+    """Gateways that compare all servers choose the one that appears idle before they receive the load
+    of their peers. 27 prompts reached one engine within 0.3 s, and of 120 late first events in two
+    seconds, 112 had been predicted within half a second."""
     drawn = HerdReplay(1, engines=30, draws=True).run(6_000)
     every = HerdReplay(1, engines=30, draws=False).run(6_000)
     assert drawn.find_worth() > every.find_worth() + 0.08
     assert drawn.count_refused() <= 0.02 * len(drawn.results)
 
 
-def test_more_is_in_time_after_a_reclaim_when_few_servers_are_compared():
-    """20 of 44 engines go at once, and what they had cached is read again by the others."""
+def test_sampling_serves_more_in_time_after_a_reclaim():
+    """20 of 44 engines are lost at once, and the remaining engines recompute what those had cached."""
     load = {"engines": 44, "lost": 20, "lost_at_ms": 3_000}
     drawn = HerdReplay(2, draws=True, **load).run(8_000)
     every = HerdReplay(2, draws=False, **load).run(8_000)
     assert drawn.find_worth(from_ms=3_000) > every.find_worth(from_ms=3_000) + 0.08
 
 
-def test_what_was_reported_to_wait_is_read_once_the_report_is_no_longer_fresh():
+def test_reported_queue_drains_when_the_report_is_no_longer_fresh():
     clock = ManualClock()
     loads = ServerLoads(clock)
     loads.take_report("g2", {"e1": ServerLoad(5, 20_000)})
@@ -189,7 +190,7 @@
     assert candidate.waiting_tokens == 0
 
 
-def test_homes_and_servers_with_the_shared_parts_are_always_compared():
+def test_preferred_and_caching_servers_are_always_compared():
     prompt = make_prompt(1)
     servers = [make_server(f"s{number}") for number in range(40)]
     ranked = rank_homes("p1", [server.name for server in servers], len(servers))
@@ -205,8 +206,8 @@
         assert compared[holder.name].cached_tokens == SHARED_TOKENS
 
 
-def test_what_is_known_of_a_server_is_the_same_however_few_are_compared():
-    """All loads were added up for each request, though it compares a handful of servers."""
+def test_candidate_does_not_depend_on_sampling():
+    """The loads of only the compared servers are added up for a request. Before, all loads were."""
     rng = random.Random(7)
     servers = [make_server(f"s{number}") for number in range(60)]
     loads = ServerLoads(ManualClock())
@@ -222,8 +223,8 @@
             assert one == every[one.server.name]
 
 
-def test_large_prompts_that_are_told_at_once_keep_the_others_off_their_engines():
-    """A small site: seven gateways that report every 200 ms, eight engines, 48 prompts a second."""
+def test_immediate_reports_of_large_prompts_serve_more_in_time():
+    """A small site: seven gateways that report every 200 ms, eight engines, 48 prompts per second."""
     site = {"engines": 8, "draws": True, "gateways": 7, "report_ms": 200, "load": 0.33}
     late, told = (
         sum(
