--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay goes on from the relayed tokens whatever an attempt does."""
+"""The relay continues after the tokens already relayed, however an attempt fails."""
 
 import json
 
@@ -18,7 +18,7 @@
 SERVERS = [BackendServer(f"llm-{n}", "z", f"127.0.0.1:{n}", "m") for n in (1, 2, 3)]
 
 
-class Directory:
+class FakeDirectory:
     leaving = frozenset()
 
     def begin(self, name, prompt_tokens=0, max_tokens=0):
@@ -34,7 +34,7 @@
         return name in self.leaving
 
 
-class Chooser:
+class FakeChooser:
     def __init__(self):
         self.needs = []
 
@@ -52,7 +52,7 @@
         pass
 
 
-class Observer:
+class FakeObserver:
     def __init__(self):
         self.ended = []
         self.dropped = 0
@@ -77,7 +77,7 @@
 
 
 class FakeAttempt:
-    """Brings events by a script: (position, fault) pairs made of the generation's own state."""
+    """Yields the events of a generation from a position on, with scripted faults by position."""
 
     def __init__(self, generation, start, faults):
         self.checker = ChunkChecker(generation.stream_id, generation.request_id)
@@ -115,8 +115,8 @@
         pass
 
 
-class Opener:
-    """Opens attempts that follow one script of faults each; no faults after the last."""
+class FakeOpener:
+    """Opens attempts with one script of faults each; attempts after the last script have no faults."""
 
     def __init__(self, *scripts):
         self.scripts = list(scripts)
@@ -146,8 +146,8 @@
 class Bench:
     def __init__(self, *scripts, burst=10.0, guard=None):
         self.clock = ManualClock()
-        self.opener = Opener(*scripts)
-        self.chooser, self.directory, self.observer = Chooser(), Directory(), Observer()
+        self.opener = FakeOpener(*scripts)
+        self.chooser, self.directory, self.observer = FakeChooser(), FakeDirectory(), FakeObserver()
         budget = RetryBudget(0.1, self.clock, burst=burst)
         self.guard = guard or make_guard(self.clock)
         self.relay = Relay(
@@ -174,17 +174,17 @@
         assert not self.relay.running
 
 
-LOST = AttemptLostError("cut", resumable=True)
+CUT = AttemptLostError("cut", resumable=True)
 
 
-def test_a_whole_attempt():
+def test_single_complete_attempt():
     bench = Bench()
     bench.run()
     assert bench.opener.opened == [("llm-1", 0, None)]
 
 
 @pytest.mark.parametrize("fault", ["foreign", "gap"])
-def test_a_wrong_event_is_left_and_the_answer_continued_elsewhere(fault):
+def test_invalid_event_moves_the_answer_to_another_server(fault):
     bench = Bench({3: fault})
     bench.run()
     assert bench.opener.opened == [("llm-1", 0, None), ("llm-2", 3, None)]
@@ -192,50 +192,50 @@
     assert bench.opener.resumed == []
 
 
-def test_a_doubled_event_is_dropped():
+def test_duplicate_event_is_dropped():
     bench = Bench({3: "twice"})
     bench.run()
     assert bench.observer.dropped == 1
     assert len(bench.opener.opened) == 1
 
 
-def test_a_cut_is_resumed_where_it_was_without_recomputing():
-    bench = Bench({2: LOST}, {4: LOST})
+def test_cut_stream_is_resumed_on_its_server():
+    bench = Bench({2: CUT}, {4: CUT})
     bench.run()
     assert bench.opener.resumed == [2, 4]
     assert len(bench.opener.opened) == 1
 
 
-def test_a_cut_that_cannot_be_resumed_is_continued_and_counted():
-    bench = Bench({2: LOST}, AttemptLostError("gone", Ran.NO))
+def test_failed_resume_continues_on_another_server():
+    bench = Bench({2: CUT}, AttemptLostError("gone", Ran.NO))
     bench.run()
     assert bench.opener.opened == [("llm-1", 0, None), ("llm-2", 2, None)]
     assert bench.observer.ended[-1][0] is Cause.FAILURE
 
 
-def test_a_spent_budget_gives_up_with_what_is_known():
-    bench = Bench({0: LOST}, burst=0.0)
+def test_spent_budget_after_send_reports_unknown_outcome():
+    bench = Bench({0: CUT}, burst=0.0)
     with pytest.raises(RequestError) as raised:
         bench.run()
     assert raised.value.kind is ErrorKind.OUTCOME_UNKNOWN
     assert raised.value.answer.ran is Ran.UNKNOWN
 
 
-def test_a_spent_budget_before_anything_was_sent_says_not_run():
+def test_spent_budget_before_send_reports_not_run():
     bench = Bench(AttemptLostError("refused", Ran.NO), burst=0.0)
     with pytest.raises(RequestError) as raised:
         bench.run()
     assert raised.value.answer.ran is Ran.NO
 
 
-def test_a_loss_on_a_leaving_server_costs_no_budget():
+def test_loss_on_a_leaving_server_costs_no_budget():
     bench = Bench({2: AttemptLostError("reclaimed")}, burst=0.0)
     bench.directory.leaving = frozenset({"llm-1"})
     bench.run()
     assert bench.generation.cause is Cause.RECLAIM
 
 
-def test_a_prepared_move_switches_between_two_tokens():
+def test_prepared_move_switches_between_two_tokens():
     bench = Bench()
     stream = bench.relay.run(bench.generation)
     text = next(stream) + next(stream)
@@ -245,7 +245,7 @@
     assert text.count(b"id: req-1:") == TOTAL + 1
 
 
-def test_a_target_that_leaves_too_is_not_used():
+def test_leaving_move_target_is_not_used():
     bench = Bench()
     stream = bench.relay.run(bench.generation)
     next(stream)
@@ -255,7 +255,7 @@
     assert bench.opener.opened[1] == ("llm-2", 1, None)
 
 
-def test_a_passed_deadline_is_answered_before_anything_is_sent():
+def test_passed_deadline_is_refused_before_any_send():
     bench = Bench()
     bench.clock.advance(70_000)
     with pytest.raises(RequestError) as raised:
@@ -264,15 +264,15 @@
     assert bench.opener.opened == []
 
 
-def test_a_server_that_loses_every_attempt_is_not_asked_for_ever():
-    bench = Bench(*[{0: LOST}] * 20, burst=100.0)
+def test_fruitless_attempts_are_bounded():
+    bench = Bench(*[{0: CUT}] * 20, burst=100.0)
     with pytest.raises(RequestError) as raised:
         bench.run()
     assert raised.value.answer.ran is Ran.UNKNOWN
     assert len(bench.opener.opened) == 4
 
 
-def test_a_deadline_that_passes_in_the_head_does_not_say_not_run():
+def test_deadline_while_waiting_for_the_head_reports_unknown():
     bench = Bench()
     running = []
 
@@ -287,7 +287,7 @@
     assert raised.value.answer.ran is Ran.UNKNOWN
 
 
-def test_a_caller_that_leaves_cancels_the_engine():
+def test_disconnected_caller_cancels_the_stream():
     bench = Bench()
     stream = bench.relay.run(bench.generation)
     next(stream)
@@ -296,8 +296,8 @@
     assert not bench.relay.running
 
 
-def test_a_state_goes_on_elsewhere_from_the_next_position():
-    bench = Bench({3: LOST}, AttemptLostError("entry left"), burst=0.0)
+def test_exported_state_continues_at_the_next_position():
+    bench = Bench({3: CUT}, AttemptLostError("entry left"), burst=0.0)
     with pytest.raises(RequestError):
         bench.run()
     state = bench.generation.export_state(bench.clock)
