--- a/tests/test_repeat_budget.py
+++ b/tests/test_repeat_budget.py
@@ -1,9 +1,9 @@
-"""The fleet's budget of repeats, over restarts of the processes that share it.
+"""The fleet-wide budget of repeats is not exceeded when the processes that share it restart.
 
-A process that is started anew knows nothing of the repeats that it, or the one before it, has made in
-this window; it had its whole fixed part again at once, and the whole fleet's as long as it knew no
-other gateway. Eight gateways that were killed in the middle of a window could so send twice as many
-repeats as may be.
+A restarted process has no record of the repeats that its predecessor made in the current window. It
+used to get its complete fixed share again immediately, and that of the fleet as long as it had found
+no other gateway. Eight gateways killed in the middle of a window could thus send twice the allowed
+number of repeats.
 """
 
 import pytest
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("known", [None, DAEMONS])
-def test_restarted_processes_together_stay_below_the_fixed_part(clock, known):
+def test_restarted_processes_do_not_exceed_the_fixed_part(clock, known):
     budgets = make_budgets(clock)
     clock.advance(WINDOW_MS)
     before = spend_all(budgets)
@@ -44,13 +44,13 @@
     assert before + after <= EXTRA
 
 
-def test_a_process_that_runs_for_a_window_has_its_whole_part(clock):
+def test_complete_share_is_available_after_one_window(clock):
     budget, *_ = make_budgets(clock)
     clock.advance(WINDOW_MS)
     assert spend_all([budget]) == int(0.75 * EXTRA / DAEMONS)
 
 
-def test_the_part_of_the_own_requests_is_there_at_once(clock):
+def test_share_earned_by_requests_is_available_immediately(clock):
     budget, *_ = make_budgets(clock)
     for _ in range(100):
         budget.earn("s")
