--- a/tests/test_rollout_credit.py
+++ b/tests/test_rollout_credit.py
@@ -1,7 +1,7 @@
-"""The bound of what an unjudged version gets, kept by daemons that know only their own requests.
+"""The bound on requests to a version without a verdict holds without coordination of the daemons.
 
-The pattern: a service's requests spread unevenly over many entry daemons that see one or two of them in
-a second, are started again and forget what they have sent.
+A service's requests are spread unevenly over many entry daemons, each of which receives one or two per
+second. Daemons are restarted and then have no record of what they have sent.
 """
 
 import random
@@ -15,14 +15,14 @@
 
 
 class Daemon:
-    """Sends to the new version whatever its credit allows."""
+    """Sends to the new version as much as its credit allows."""
 
     def __init__(self, sharing, rng, moves):
         self.credit = ExposureCredit(BOUND, sharing, rng)
         self.moves = moves
         self.sent = {route: 0 for route, _ in ROUTES}
 
-    def ask(self, route):
+    def send_request(self, route):
         may = self.credit.may_try(route) or (self.moves and self.credit.may_move())
         self.credit.earn(route)
         if may:
@@ -32,7 +32,7 @@
 
 
 def play(daemons, requests, seed, moves=True, restarts=0.0):
-    """Return what was sent to the new version, and the most that ever exceeded the bound."""
+    """Return the requests sent to the new version, the maximum excess over the bound, and the daemons."""
     rng = random.Random(seed)
     fleet = [Daemon(daemons, rng, moves) for _ in range(daemons)]
     weights = [rng.uniform(0.2, 2.0) for _ in fleet]
@@ -42,14 +42,14 @@
         if rng.random() < restarts:
             fleet[number] = Daemon(None, rng, moves)
         (route,) = rng.choices([name for name, _ in ROUTES], [weight for _, weight in ROUTES])
-        sent += fleet[number].ask(route)
+        sent += fleet[number].send_request(route)
         most_over = max(most_over, sent - BOUND.share * asked - BOUND.slack)
     return sent, most_over, fleet
 
 
 @pytest.mark.parametrize("daemons", [8, 83, 300, 1_700])
 @pytest.mark.parametrize("restarts", [0.0, 0.05])
-def test_the_sum_over_all_daemons_is_never_exceeded(daemons, restarts):
+def test_bound_over_all_daemons_is_never_exceeded(daemons, restarts):
     for seed in range(10):
         _, most_over, _ = play(daemons, 3_000, seed, restarts=restarts)
         assert most_over <= 0
@@ -61,13 +61,13 @@
     assert sent >= 0.7 * (BOUND.share * 3_000 + BOUND.slack)
 
 
-def test_a_rare_route_is_tried_as_often_as_a_frequent_one():
+def test_rare_route_gets_as_many_trials_as_a_frequent_one():
     _, _, fleet = play(8, 3_000, 1, moves=False)
     by_route = {route: sum(one.sent[route] for one in fleet) for route, _ in ROUTES}
     assert by_route["note"] >= 0.7 * by_route["draft"]
 
 
-def test_a_daemon_that_was_started_again_has_no_part_of_the_slack():
+def test_restarted_daemon_has_no_part_of_the_slack():
     counts = []
     for sharing in (8, None):
         credits = [ExposureCredit(BOUND, sharing, random.Random(seed)) for seed in range(200)]
