--- a/tests/test_rollout_verdict.py
+++ b/tests/test_rollout_verdict.py
@@ -1,7 +1,7 @@
-"""The sequential tests of a new version: how often they miss a bad one, and condemn a good one.
+"""Error rates of the sequential tests: how often they accept a bad version or reject a good one.
 
-The pattern: a tenth of a service's requests at the most may try a version before it is judged, some
-hundred answers over three routes, of which one fails often by itself.
+At most a tenth of a service's requests may try a version before a verdict: about a hundred answers over
+three routes, one of which has a high failure rate with any version.
 """
 
 import random
@@ -17,12 +17,12 @@
 )
 
 ROUTES = {"draft": 0.01, "reply": 0.02, "note": 0.14}
-"""The part of each route's answers that fail whatever the version."""
+"""The fraction of each route's answers that fail with any version."""
 USUAL_SLOW = 0.06
 OTHERS_PER_TRIAL = 12
 TRIALS = 120
 MOVE_SHARE = 0.8
-"""From then on the version is moved to as soon as it is found good."""
+"""Fraction of the trials after which the version is promoted as soon as its verdict is `GOOD`."""
 DAYS = 400
 
 
@@ -32,7 +32,7 @@
 
 
 def play(rng, failing, slow=USUAL_SLOW, only_route=None, from_trial=0):
-    """Return the verdict after each trial of a version, and the bad answers until the first one."""
+    """Return the verdict on a version, and the number of its bad answers until then."""
     sums = {route: RouteTallies() for route in ROUTES}
     names = list(ROUTES)
     for trial in range(TRIALS):
@@ -52,47 +52,47 @@
 
 
 def count_promoted(**version):
-    """Return the part of the days on which a version would be moved to."""
+    """Return the fraction of the days on which a version would be promoted."""
     results = [play(random.Random(day), **version)[0] for day in range(DAYS)]
     return results.count(Verdict.GOOD) / DAYS
 
 
-def test_a_good_version_is_found_good():
+def test_good_version_is_promoted():
     assert count_promoted(failing=0.0) >= 0.95
 
 
 @pytest.mark.parametrize("failing", [0.2, 0.3, 0.5])
-def test_a_version_that_fails_is_not_moved_to(failing):
+def test_failing_version_is_not_promoted(failing):
     assert count_promoted(failing=failing) <= 0.01
 
 
 @pytest.mark.parametrize("slow", [0.6, 0.9])
-def test_a_slow_version_is_not_moved_to(slow):
+def test_slow_version_is_not_promoted(slow):
     assert count_promoted(failing=0.0, slow=slow) <= 0.01
 
 
 @pytest.mark.parametrize("route", ["draft", "reply"])
-def test_a_version_that_fails_on_one_route_is_not_moved_to(route):
+def test_version_failing_on_one_route_is_not_promoted(route):
     assert count_promoted(failing=0.3, only_route=route) <= 0.01
 
 
-def test_a_version_that_turns_bad_is_not_moved_to():
+def test_version_that_becomes_bad_is_not_promoted():
     assert count_promoted(failing=0.4, from_trial=TRIALS // 2) <= 0.01
 
 
 @pytest.mark.parametrize("failing", [0.3, 0.5, 0.8])
-def test_few_bad_answers_are_needed(failing):
+def test_bad_version_is_detected_after_few_bad_answers(failing):
     bad = [play(random.Random(day), failing=failing)[1] for day in range(DAYS)]
     assert sorted(bad)[int(0.95 * DAYS)] <= 15
     assert max(bad) < MAX_BAD_ANSWERS + 1
 
 
-def test_the_version_in_force_that_fails_as_often_speaks_for_the_new_one():
+def test_equal_failure_rates_are_not_judged_bad():
     both = RouteTallies(Tally(40, 16, 8), Tally(400, 160, 80))
     assert judge({"draft": both}) is not Verdict.BAD
 
 
-def test_a_route_in_use_that_was_not_tried_leaves_it_undecided():
+def test_untried_route_in_use_leaves_the_verdict_undecided():
     tried = RouteTallies(Tally(80, 0, 3), Tally(500, 4, 30))
     assert judge({"draft": tried, "note": RouteTallies(Tally(), Tally(90, 1, 4))}) is (
         Verdict.UNDECIDED
