--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -36,13 +36,13 @@
     return Source(*(Candidate(make_server(n), prefill_tokens=t) for n, t in prefill_tokens.items()))
 
 
-def find_refusal(router, need):
+def expect_refusal(router, need):
     with pytest.raises(RequestError) as caught:
         router.choose(need)
     return caught.value
 
 
-def test_a_cached_prefix_outweighs_some_load_but_not_much():
+def test_cached_prefix_outweighs_moderate_load():
     source = make_source(a=0, b=0)
     router = Router(source)
     need = Need("m", PREFIX, prompt_tokens=160)
@@ -55,7 +55,7 @@
     assert router.choose(need).name == other
 
 
-def test_a_prefix_sent_elsewhere_goes_to_its_home_next():
+def test_prefix_returns_to_its_preferred_server():
     router = Router(make_source(a=0, b=0, c=0))
     need = Need("m", PREFIX, prompt_tokens=160)
     home = router.choose(need).name
@@ -66,19 +66,19 @@
     assert router.choose(need).name == home
 
 
-def test_every_daemon_has_the_same_home_for_a_prefix():
+def test_all_daemons_prefer_one_server_for_a_prefix():
     names = {Router(make_source(a=0, b=0, c=0)).choose(Need("m", PREFIX)).name for _ in range(9)}
     assert len(names) == 1
 
 
-def test_among_near_ones_the_cheaper_is_taken():
+def test_cheaper_server_is_chosen_among_similar_ones():
     dear = Candidate(make_server("a", price=2.0))
     cheap = Candidate(make_server("b", price=1.0), prefill_tokens=15)
     late = Candidate(make_server("c", price=0.5), prefill_tokens=4_000)
     assert Router(Source(dear, cheap, late)).choose(Need("m")).name == "b"
 
 
-def test_a_swamped_home_is_passed_over():
+def test_overloaded_preferred_server_is_not_chosen():
     names = ["a", "b", "c", "d"]
     scored = [Scored(make_server(name), 10.0, requests=1, uncached_tokens=0) for name in names]
     need = Need("m", PREFIX)
@@ -87,10 +87,10 @@
     assert pick(PredictedTime(), busy, need, random.Random(1)).server.name != home.server.name
 
 
-def test_refusal_when_the_deadline_is_nearer_than_the_first_token():
+def test_deadline_before_the_first_token_is_refused():
     router = Router(make_source(a=4_000))
     assert router.choose(Need("m", deadline_ms=1_500)).name == "a"
-    refusal = find_refusal(router, Need("m", deadline_ms=400))
+    refusal = expect_refusal(router, Need("m", deadline_ms=400))
     assert refusal.kind is ErrorKind.OVERLOADED
     assert 600 <= refusal.answer.retry_after_ms <= 1_000
 
@@ -99,25 +99,25 @@
     traits = TargetTraits(first_token_ms=300)
     router = Router(make_source(a=4_000), lambda target: traits)
     assert router.choose(Need("m", priority=0)).name == "a"
-    assert find_refusal(router, Need("m", priority=2)).kind is ErrorKind.OVERLOADED
+    assert expect_refusal(router, Need("m", priority=2)).kind is ErrorKind.OVERLOADED
 
 
-def test_the_queue_of_a_daemon_is_bounded():
+def test_queue_of_a_daemon_is_bounded():
     source = make_source(a=0)
     router = Router(source, queue_length=5)
     source.waiting = 4
     router.choose(Need("m"))
     source.waiting = 5
-    assert find_refusal(router, Need("m")).answer.retry_after_ms > 0
+    assert expect_refusal(router, Need("m")).answer.retry_after_ms > 0
 
 
-def test_overflow_is_noted_before_the_target_is_missed():
+def test_overflow_is_recorded_before_the_target_is_missed():
     source = make_source(a=2_000)
     Router(source).choose(Need("m"))
     assert source.overflows == 1
 
 
-def test_facts_are_awaited_before_each_choice():
+def test_cluster_state_is_awaited_before_each_choice():
     awaited = []
     router = Router(make_source(a=0), await_facts=lambda: awaited.append(1))
     router.choose(Need("m"))
@@ -125,6 +125,6 @@
     assert len(awaited) == 2
 
 
-def test_blocks_are_those_of_the_engines():
+def test_block_hashes_equal_those_of_the_engines():
     text = "user: " + "a summary of the treatment of one map " * 20
     assert hash_blocks(text) == tuple(hash_prefixes(text))
