--- a/tests/test_send_states.py
+++ b/tests/test_send_states.py
@@ -1,4 +1,4 @@
-"""What may follow a failed send: the whole table, without a network."""
+"""The complete state table of what may follow a failed attempt, without a network."""
 
 import itertools
 
@@ -26,7 +26,7 @@
         (RELAYING, SendFailure.OVERDUE, True, RELAYING, False, None),
     ],
 )
-def test_a_request_that_may_run_once(state, failure, was_sent, after, again, answer):
+def test_transitions_of_an_unrepeatable_request(state, failure, was_sent, after, again, answer):
     verdict = judge_failure(state, failure, is_repeatable=False, was_sent=was_sent)
     assert (verdict.state, verdict.may_send_again, verdict.answer) == (after, again, answer)
 
@@ -35,14 +35,14 @@
 
 
 @pytest.mark.parametrize(("state", "failure", "is_repeatable", "was_sent"), ALL)
-def test_not_run_is_said_only_when_it_is_true(state, failure, is_repeatable, was_sent):
+def test_not_run_is_reported_only_if_certain(state, failure, is_repeatable, was_sent):
     verdict = judge_failure(state, failure, is_repeatable=is_repeatable, was_sent=was_sent)
     says_not_run = verdict.answer is not None and ANSWERS[verdict.answer].ran is Ran.NO
     assert not says_not_run or verdict.state is NOT_RUN
 
 
 @pytest.mark.parametrize(("state", "failure", "is_repeatable", "was_sent"), ALL)
-def test_what_may_have_run_is_sent_again_only_if_repeatable(
+def test_request_that_may_have_run_is_repeated_only_if_repeatable(
     state, failure, is_repeatable, was_sent
 ):
     verdict = judge_failure(state, failure, is_repeatable=is_repeatable, was_sent=was_sent)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("state", "failure", "is_repeatable", "was_sent"), ALL)
-def test_knowledge_never_goes_back(state, failure, is_repeatable, was_sent):
+def test_state_never_goes_back(state, failure, is_repeatable, was_sent):
     order = list(SendState)
     verdict = judge_failure(state, failure, is_repeatable=is_repeatable, was_sent=was_sent)
     assert order.index(verdict.state) >= order.index(state)
