--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services are repeated only where that is safe, and say what is known."""
+"""Calls of plain services are repeated only if that is safe, and errors state whether they ran."""
 
 import pytest
 
@@ -32,13 +32,13 @@
 
 
 class Bench:
-    """Stands for everything around the caller of services; `results` come one a dispatch."""
+    """Fakes all dependencies of `ServiceCaller`; each dispatch consumes one of `results`."""
 
     def __init__(self, *results, burst=10.0, guard=None, servers=SERVERS):
         self.results = list(results)
         self.servers = servers
-        self.asked = []
-        self.blamed = []
+        self.called_addresses = []
+        self.failed_servers = []
         self.claimed = []
         clock = ManualClock()
         budget = RetryBudget(0.1, clock, burst=burst)
@@ -59,7 +59,7 @@
         return name
 
     def end(self, ticket, failed=False):
-        self.blamed += [ticket] if failed else []
+        self.failed_servers += [ticket] if failed else []
 
     def choice_began(self, request):
         pass
@@ -74,7 +74,7 @@
         pass
 
     def call(self, address, call, timeout_ms):
-        self.asked.append(address)
+        self.called_addresses.append(address)
         result = self.results.pop(0)
         if isinstance(result, Exception):
             raise result
@@ -89,17 +89,17 @@
         return self.caller.call(request, "acct", SERVICE, path, deadline_ms)
 
 
-def test_only_named_headers_come_back():
+def test_only_listed_headers_are_relayed():
     answer = Bench(OK).send("/slots")
     assert (answer.status, answer.body, answer.content_type) == (200, b"ok", "a/b")
     assert "server" not in answer.headers
 
 
 @pytest.mark.parametrize("results", [[AFTER, OK], [BROKEN, OK], [MIXED, OK], [BEFORE, AFTER, OK]])
-def test_an_idempotent_call_is_sent_again_elsewhere(results):
+def test_idempotent_call_is_repeated_on_another_server(results):
     bench = Bench(*results)
     assert bench.send("/slots/7").status == 200
-    assert len(set(bench.asked)) == len(results)
+    assert len(set(bench.called_addresses)) == len(results)
 
 
 @pytest.mark.parametrize(
@@ -107,90 +107,90 @@
     [(AFTER, ErrorKind.OUTCOME_UNKNOWN), (MIXED, ErrorKind.ANSWER_INVALID)],
 )
 @pytest.mark.parametrize("path", ["/confirmations", "/slots/paid/7"])
-def test_any_other_call_is_sent_once_and_its_end_is_unknown(path, result, kind):
+def test_unrepeatable_call_is_sent_once_with_unknown_outcome(path, result, kind):
     bench = Bench(result, OK)
     with pytest.raises(RequestError) as raised:
         bench.send(path)
     assert (raised.value.kind, raised.value.answer.ran) == (kind, Ran.UNKNOWN)
-    assert len(bench.asked) == 1
+    assert len(bench.called_addresses) == 1
 
 
-def test_any_other_call_goes_elsewhere_while_nothing_was_sent():
+def test_unsent_call_is_tried_on_another_server():
     bench = Bench(BEFORE, OK)
     assert bench.send("/confirmations").status == 200
-    assert len(bench.asked) == 2
+    assert len(bench.called_addresses) == 2
 
 
-def test_servers_that_cannot_be_reached_count_as_no_dispatch():
-    """Four of six servers had ended and were still listed: calls that met these four were given up.
+def test_unreachable_servers_do_not_count_as_dispatches():
+    """Four of six servers had crashed and were still listed, and calls that tried these four were given up.
 
-    One harmless call in some ten was answered with "no backend server", as each refused connection took
-    one of its four dispatches and a part of the budget of repeats, though two servers were idle.
+    About one harmless call in ten was answered with "no backend server" although two servers were idle,
+    as each refused connection used one of its four dispatches and a part of the retry budget.
     """
     servers = [BackendServer(f"app-{n}", "z", f"127.0.0.1:{n}", "app") for n in range(1, 9)]
     bench = Bench(*[BEFORE] * 7, OK, burst=0.0, servers=servers)
     assert bench.send("/confirmations").status == 200
-    assert len(set(bench.asked)) == 8
+    assert len(set(bench.called_addresses)) == 8
 
 
-def test_a_call_does_not_look_for_a_server_for_ever():
+def test_search_for_a_reachable_server_is_bounded():
     servers = [BackendServer(f"app-{n}", "z", f"127.0.0.1:{n}", "app") for n in range(1, 100)]
     bench = Bench(*[BEFORE] * 99, servers=servers)
     with pytest.raises(RequestError) as raised:
         bench.send("/slots")
     assert raised.value.answer.ran is Ran.NO
-    assert len(bench.asked) == MAX_UNREACHED
+    assert len(bench.called_addresses) == MAX_UNREACHED
 
 
-def test_an_answer_of_the_service_is_passed_on_whatever_its_status():
+def test_answer_of_the_service_is_relayed_for_any_status():
     assert Bench(BROKEN).send("/confirmations").status == 503
 
 
-def test_nothing_reached_says_not_run():
+def test_unreachable_servers_report_not_run():
     with pytest.raises(RequestError) as raised:
         Bench(BEFORE, BEFORE, BEFORE).send("/slots")
     assert raised.value.answer.ran is Ran.NO
 
 
-def test_a_spent_budget_returns_what_there_is():
+def test_spent_budget_returns_the_last_answer():
     assert Bench(BROKEN, burst=0.0).send("/slots").status == 503
     with pytest.raises(RequestError) as raised:
         Bench(AFTER, burst=0.0).send("/slots")
     assert raised.value.answer.ran is Ran.UNKNOWN
 
 
-def test_a_passed_deadline_says_not_run_before_a_dispatch():
+def test_passed_deadline_before_a_dispatch_reports_not_run():
     with pytest.raises(RequestError) as raised:
         Bench().send("/slots", deadline_ms=0.0)
     assert raised.value.kind is ErrorKind.DEADLINE_BEFORE_DISPATCH
 
 
-def test_an_impatient_caller_gives_a_server_no_bad_name():
-    for deadline_ms, blamed in ((100.0, []), (10_000.0, ["app-1"])):
+def test_short_deadline_does_not_count_against_the_server():
+    for deadline_ms, failed_servers in ((100.0, []), (10_000.0, ["app-1"])):
         bench = Bench(LATE)
         with pytest.raises(RequestError):
             bench.send("/confirmations", deadline_ms)
-        assert bench.blamed == blamed
+        assert bench.failed_servers == failed_servers
 
 
-def test_a_call_with_a_key_is_sent_only_by_its_claim():
+def test_call_with_a_key_is_dispatched_only_through_its_claim():
     bench = Bench(OK)
     with pytest.raises(RequestError) as raised:
         bench.send("/confirmations", **{"idempotency-key": "k"})
     assert raised.value.kind is ErrorKind.CLAIM_UNAVAILABLE
-    assert (bench.asked, bench.claimed) == ([], [("acct", "k")])
+    assert (bench.called_addresses, bench.claimed) == ([], [("acct", "k")])
 
 
 @pytest.mark.parametrize(
     "path",
     ["/other", "/slotsx", "/slots/../confirmations", "/slots//x", "/slots/%2e%2e/x", "/slots/;x"],
 )
-def test_paths_that_a_service_might_read_otherwise_are_refused(path):
+def test_ambiguous_paths_are_refused(path):
     with pytest.raises(RequestError) as raised:
         find_operation(SERVICE, "POST", path)
     assert raised.value.kind is ErrorKind.UNKNOWN_OPERATION
 
 
-def test_the_longest_prefix_decides_whether_a_call_may_be_repeated():
+def test_longest_prefix_decides_whether_a_call_is_idempotent():
     assert find_operation(SERVICE, "POST", "/slots/7").idempotent
     assert not find_operation(SERVICE, "POST", "/slots/paid").idempotent
