--- a/tests/test_stream_ends.py
+++ b/tests/test_stream_ends.py
@@ -1,4 +1,4 @@
-"""How a stream that has begun ends: whole, with an error, or moved."""
+"""The end of a stream that has begun: complete, with an error, or moved to another daemon."""
 
 import json
 
@@ -12,7 +12,7 @@
 from hemlockswitch.request.running import MovedError
 
 
-class Relay:
+class FakeRelay:
     def __init__(self, end):
         self.end = end
         self.closed = False
@@ -26,7 +26,7 @@
             self.closed = True
 
 
-class Record:
+class FakeRecord:
     ended = False
 
     def __enter__(self):
@@ -37,7 +37,7 @@
 
 
 def open_stream(end, replay=b""):
-    relay, record = Relay(end), Record()
+    relay, record = FakeRelay(end), FakeRecord()
     serving = Serving(relay, None, None, ManualClock())
     generation = Generation("req-1", "acct", b"{}", "m", "p", True, 4, 1, 60_000)
     answer = serving.answer(generation, CallerRequest("req-1", "POST", "/"), record, replay)
@@ -51,7 +51,7 @@
         (RequestError(ErrorKind.OUTCOME_UNKNOWN, "lost"), b"event: error", "error"),
     ],
 )
-def test_an_end_before_the_whole_answer_is_the_last_event(end, event, key):
+def test_premature_end_is_reported_as_the_last_event(end, event, key):
     body, _, record = open_stream(end)
     first, last = list(body)
     assert (first, last.partition(b"\n")[0]) == (b"first", event)
@@ -59,20 +59,20 @@
     assert record.ended
 
 
-def test_a_whole_answer_has_nothing_added():
+def test_complete_answer_is_unchanged():
     body, _, record = open_stream(None)
     assert list(body) == [b"first"]
     assert record.ended
 
 
 @pytest.mark.parametrize("replay", [b"", b"replayed"])
-def test_a_caller_that_leaves_at_once_ends_the_record(replay):
+def test_immediately_disconnected_caller_ends_the_record(replay):
     body, relay, record = open_stream(None, replay)
     body.close()
     assert record.ended
     assert relay.closed or replay
 
 
-def test_what_was_not_received_comes_first():
+def test_replayed_events_come_first():
     body, _, _ = open_stream(None, b"replayed")
     assert list(body) == [b"replayed", b"first"]
