--- a/hemlockswitch/request/buckets.py
+++ b/hemlockswitch/request/buckets.py
@@ -117,25 +117,25 @@
     """
 
     def __init__(self, now_ms: float) -> None:
-        self._begun_ms = now_ms
+        self._window_start_ms = now_ms
         self._amount = 0.0
-        self._before = 0.0
+        self._previous_amount = 0.0
 
     def add(self, now_ms: float, amount: float) -> None:
         """Count `amount`."""
-        self._turn(now_ms)
+        self._advance_window(now_ms)
         self._amount += amount
 
     def measure(self, now_ms: float) -> float:
         """Return the rate per second."""
-        self._turn(now_ms)
-        past = min((now_ms - self._begun_ms) / METER_MS, 1.0)
-        return (self._before * (1 - past) + self._amount) / METER_MS * MS_PER_SECOND
+        self._advance_window(now_ms)
+        past = min((now_ms - self._window_start_ms) / METER_MS, 1.0)
+        return (self._previous_amount * (1 - past) + self._amount) / METER_MS * MS_PER_SECOND
 
-    def _turn(self, now_ms: float) -> None:
-        windows = int((now_ms - self._begun_ms) // METER_MS)
+    def _advance_window(self, now_ms: float) -> None:
+        windows = int((now_ms - self._window_start_ms) // METER_MS)
         if windows <= 0:
             return
-        self._before = self._amount if windows == 1 else 0.0
+        self._previous_amount = self._amount if windows == 1 else 0.0
         self._amount = 0.0
-        self._begun_ms += windows * METER_MS
+        self._window_start_ms += windows * METER_MS
--- a/hemlockswitch/request/capacity.py
+++ b/hemlockswitch/request/capacity.py
@@ -59,7 +59,7 @@
         self._running = 0
         self._waiting: list[_Waiter] = []
         self._numbers = itertools.count()
-        self._left_ms: float | None = None
+        self._last_release_ms: float | None = None
         self._gap_ms = INITIAL_DURATION_MS / places
 
     @property
@@ -150,6 +150,6 @@
 
     def _record_gap(self) -> None:
         now_ms = self._clock.now_ms()
-        if self._left_ms is not None and self._running >= self._places:
-            self._gap_ms += DURATION_WEIGHT * (now_ms - self._left_ms - self._gap_ms)
-        self._left_ms = now_ms
+        if self._last_release_ms is not None and self._running >= self._places:
+            self._gap_ms += DURATION_WEIGHT * (now_ms - self._last_release_ms - self._gap_ms)
+        self._last_release_ms = now_ms
--- a/hemlockswitch/request/choices.py
+++ b/hemlockswitch/request/choices.py
@@ -101,21 +101,21 @@
     choice: PredictedTime, scored: Sequence[Scored], wanted: Wanted, chance: random.Random
 ) -> Scored:
     bounded = drop_overloaded(scored, choice.max_over_mean)
-    home = find_home(scored, wanted, choice.affinity_blocks) if wanted.prefix_blocks else None
-    costs = {one.server.name: compute_cost(choice, one, one is home) for one in bounded}
+    preferred = find_home(scored, wanted, choice.affinity_blocks) if wanted.prefix_blocks else None
+    costs = {one.server.name: compute_cost(choice, one, one is preferred) for one in bounded}
     best_ms = min(costs.values())
     latest_ms = best_ms * (1 + choice.margin_share) + choice.margin_ms
     near = [one for one in bounded if costs[one.server.name] <= latest_ms]
     cheapest = min(one.server.price_per_hour for one in near)
     cheap = [one for one in near if one.server.price_per_hour <= cheapest]
-    if home is None:
+    if preferred is None:
         return min(cheap, key=lambda one: (one.requests, chance.random()))
-    if home in cheap:
-        return home
+    if preferred in cheap:
+        return preferred
     return find_home(cheap, wanted, choice.affinity_blocks)
 
 
-def compute_cost(choice: PredictedTime, one: Scored, is_home: bool) -> float:
+def compute_cost(choice: PredictedTime, one: Scored, is_preferred: bool) -> float:
     """Return the cost of picking a candidate, in milliseconds.
 
     Examples
@@ -124,11 +124,11 @@
     >>> server = BackendServer("llm-1", "marka-hall", "127.0.0.1:1", "assistant-llm")
     >>> one = Scored(server, 50, 0, 100, prompt_tokens=100, seen_tokens=100, ms_per_token=0.5)
     >>> choice = PredictedTime(recompute_weight=0, preferred_hit_probability=0.8)
-    >>> compute_cost(choice, one, is_home=False), compute_cost(choice, one, is_home=True)
+    >>> compute_cost(choice, one, is_preferred=False), compute_cost(choice, one, is_preferred=True)
     (50.0, 10.0)
     """
     uncached = float(one.uncached_tokens)
-    if is_home:
+    if is_preferred:
         likely_cached = choice.preferred_hit_probability * one.seen_tokens
         uncached = min(uncached, one.prompt_tokens - likely_cached)
     spared_ms = (one.uncached_tokens - uncached) * one.ms_per_token
--- a/hemlockswitch/request/chunks.py
+++ b/hemlockswitch/request/chunks.py
@@ -109,15 +109,15 @@
         self._request_id = request_id
         self._earlier_ids = earlier_ids
         self._id_line = f"id: {stream_id}:".encode()
-        self._before = b""
+        self._template_start = b""
         self.before_out = b""
         self.after_out = b""
 
     def match_token(self, event: bytes, position: int) -> bytes | None:
         """Return the content of an event that matches the template, or None if it must be parsed."""
-        if not self._before:
+        if not self._template_start:
             return None
-        start = b"%b%d%b" % (self._id_line, position, self._before)
+        start = b"%b%d%b" % (self._id_line, position, self._template_start)
         if not (event.startswith(start) and event.endswith(self.after_out)):
             return None
         found = _PLAIN.fullmatch(event, len(start), len(event) - len(self.after_out))
@@ -170,7 +170,7 @@
     def _store_template(self, event: bytes, content: bytes) -> None:
         """Store the template if the content occurs exactly once and contains no escapes."""
         quoted = b'"content": "' + content + b'"'
-        if self._before or not content or any(mark in content for mark in _ESCAPES):
+        if self._template_start or not content or any(mark in content for mark in _ESCAPES):
             return
         if event.count(quoted) != 1:
             return
@@ -182,7 +182,7 @@
         opening = newline + data + b'"content": "'
         self.before_out = opening.replace(stream_id, self._request_id.encode())
         self.after_out = b'"' + after
-        self._before = opening
+        self._template_start = opening
 
 
 def _encode(chunk: dict[str, Any]) -> bytes:
--- a/hemlockswitch/request/engine_model.py
+++ b/hemlockswitch/request/engine_model.py
@@ -37,7 +37,7 @@
 TOKENS_PER_MS_BOUNDS = (1.0, 5_000.0)
 MAX_MS_PER_RUNNING = 20.0
 MAX_MS_PER_1M_PAIRS = 20.0
-"""Upper bound for any engine; a reported model outside the bounds is invalid."""
+"""These bounds hold for any engine; a reported model outside them is invalid."""
 
 
 @dataclass(frozen=True)
@@ -224,17 +224,18 @@
 
 def _solve_non_negative(matrix: list[list[float]], right: list[float]) -> tuple[float, ...]:
     """Solve for non-negative coefficients: those that would be negative are set to 0."""
-    kept = list(range(len(right)))
+    active = list(range(len(right)))
     while True:
         solved = _solve(
-            [[matrix[row][column] for column in kept] for row in kept], [right[row] for row in kept]
+            [[matrix[row][column] for column in active] for row in active],
+            [right[row] for row in active],
         )
-        negative = [index for index, value in zip(kept, solved, strict=True) if value < 0]
+        negative = [index for index, value in zip(active, solved, strict=True) if value < 0]
         if not negative:
             break
-        kept = [index for index in kept if index not in negative]
+        active = [index for index in active if index not in negative]
     coefficients = [0.0] * len(right)
-    for index, value in zip(kept, solved, strict=True):
+    for index, value in zip(active, solved, strict=True):
         coefficients[index] = value
     return tuple(coefficients)
 
@@ -250,6 +251,6 @@
                 rows[row][column] -= factor * rows[pivot][column]
     solved = [0.0] * size
     for row in reversed(range(size)):
-        known = sum(rows[row][column] * solved[column] for column in range(row + 1, size))
-        solved[row] = (rows[row][size] - known) / rows[row][row]
+        solved_sum = sum(rows[row][column] * solved[column] for column in range(row + 1, size))
+        solved[row] = (rows[row][size] - solved_sum) / rows[row][row]
     return solved
--- a/hemlockswitch/request/forwarding.py
+++ b/hemlockswitch/request/forwarding.py
@@ -275,7 +275,7 @@
         raise RequestError(verdict.answer, "the deadline of the request has passed")
 
     def _answer_error(self, progress: Progress, reply: Reply, error: RequestError) -> None:
-        """Answer a request with an error."""
+        """Answer a request with an error; its reply must not have begun."""
         progress.outcome = error.kind.value
         progress.detail = error.detail
         request_id = progress.facts.request_id if progress.facts else ""
--- a/hemlockswitch/request/homes.py
+++ b/hemlockswitch/request/homes.py
@@ -19,19 +19,21 @@
 MAX_PARTS = 4_096
 
 
-def rank_homes(key: str, names: Iterable[str], most: int = PREFERRED_COUNT) -> list[str]:
-    """Return the `most` preferred servers of `key`, in descending order of preference.
+def rank_homes(key: str, names: Iterable[str], count: int = PREFERRED_COUNT) -> list[str]:
+    """Return the `count` most preferred servers of `key`, in descending order of preference.
 
     Examples
     ========
 
-    >>> homes = rank_homes("part", ["a", "b", "c", "d"], most=4)
+    >>> homes = rank_homes("part", ["a", "b", "c", "d"], count=4)
     >>> sorted(homes)
     ['a', 'b', 'c', 'd']
     >>> rank_homes("part", [name for name in "abcd" if name != homes[0]]) == homes[1:]
     True
     """
-    return nlargest(most, names, key=lambda name: xxhash.xxh64_intdigest(f"{name}\0{key}".encode()))
+    return nlargest(
+        count, names, key=lambda name: xxhash.xxh64_intdigest(f"{name}\0{key}".encode())
+    )
 
 
 class Homes:
@@ -56,13 +58,13 @@
         if not self._ranked_names.issuperset(present):
             self._ranked_names |= present
             self._parts.clear()
-        homes = self._select(key, present)
-        if len(homes) < min(PREFERRED_COUNT, len(present)):
+        preferred = self._select(key, present)
+        if len(preferred) < min(PREFERRED_COUNT, len(present)):
             # Too few of the cached servers are present: rank the present ones only.
             self._ranked_names = present
             self._parts.clear()
-            homes = self._select(key, present)
-        return {name: rank for rank, name in enumerate(homes)}
+            preferred = self._select(key, present)
+        return {name: rank for rank, name in enumerate(preferred)}
 
     def _select(self, key: str, present: set[str]) -> list[str]:
         ranked = self._parts.get(key)
--- a/hemlockswitch/request/overload.py
+++ b/hemlockswitch/request/overload.py
@@ -2,8 +2,8 @@
 
 After a reclaim the remaining copies receive more prompts than they can process. Engines process prompts
 roughly in order of arrival, so with an unbounded queue every request misses its objective. With a
-bounded queue, admitted requests are served in time and the remaining callers are told at once when to
-retry.
+bounded queue, admitted requests are served in time and the remaining callers immediately receive a
+retry delay.
 """
 
 import random
--- a/hemlockswitch/request/placement.py
+++ b/hemlockswitch/request/placement.py
@@ -144,8 +144,8 @@
     >>> [one.running for one in keep_least_running([Candidate(server, 4), Candidate(server, 1)])]
     [1]
     """
-    least = min((candidate.running for candidate in candidates), default=0)
-    return [candidate for candidate in candidates if candidate.running == least]
+    fewest = min((candidate.running for candidate in candidates), default=0)
+    return [candidate for candidate in candidates if candidate.running == fewest]
 
 
 def draw_considered(
@@ -162,10 +162,10 @@
     chance : random number generator.
     """
     likely: list[BackendServer] = []
-    others: list[BackendServer] = []
+    remaining: list[BackendServer] = []
     for server in servers:
-        (likely if is_likely(server) else others).append(server)
-    return likely + chance.sample(others, min(SAMPLED_SERVERS, len(others)))
+        (likely if is_likely(server) else remaining).append(server)
+    return likely + chance.sample(remaining, min(SAMPLED_SERVERS, len(remaining)))
 
 
 def choose_server(
--- a/hemlockswitch/request/quarantine.py
+++ b/hemlockswitch/request/quarantine.py
@@ -206,8 +206,8 @@
 
         If a crash of the server was reported before that time, the report was wrong and is excused.
         """
-        ended_ms = self._crashed_ms.get(server)
-        if ended_ms is None or sent_ms <= ended_ms:
+        crashed_ms = self._crashed_ms.get(server)
+        if crashed_ms is None or sent_ms <= crashed_ms:
             return
         for fingerprint in self._by_server[server]:
             suspect = self._suspects[fingerprint]
@@ -248,8 +248,8 @@
 
     def pop_untold(self) -> list[SuspectRecord]:
         """Return the records changed since the last call, to be sent to the peers."""
-        untold, self._unsent = self._unsent, set()
-        return [self.get_record(one) for one in sorted(untold) if one in self._suspects]
+        unsent, self._unsent = self._unsent, set()
+        return [self.get_record(one) for one in sorted(unsent) if one in self._suspects]
 
     def list_records(self) -> list[SuspectRecord]:
         """Return the records of all contents, in descending order of crashes."""
@@ -270,10 +270,10 @@
         """Delete expired records, and return the contents that were quarantined until now."""
         now_ms = self._clock.now_ms()
         old = [name for name, one in self._suspects.items() if now_ms >= one.expires_ms]
-        held = [name for name in old if name in self._quarantined]
+        quarantined = [name for name in old if name in self._quarantined]
         for fingerprint in old:
             self._drop(fingerprint)
-        return held
+        return quarantined
 
     def describe(self) -> list[dict[str, Any]]:
         """Return the records for the status page, in descending order of crashes."""
--- a/hemlockswitch/request/retries.py
+++ b/hemlockswitch/request/retries.py
@@ -43,7 +43,7 @@
         self._clock = clock
         self._burst = burst
         self._left = burst
-        self._paced_ms = clock.now_ms()
+        self._last_added_ms = clock.now_ms()
 
     def set_ratio(self, ratio: float) -> None:
         """Apply the ratio of a new revision."""
@@ -72,8 +72,8 @@
 
     def _pace(self) -> None:
         now_ms = self._clock.now_ms()
-        self._add((now_ms - self._paced_ms) / MS_PER_SECOND * FLOOR_PER_SECOND)
-        self._paced_ms = now_ms
+        self._add((now_ms - self._last_added_ms) / MS_PER_SECOND * FLOOR_PER_SECOND)
+        self._last_added_ms = now_ms
 
     def _add(self, amount: float) -> None:
         self._left = min(self._burst, self._left + amount)
--- a/hemlockswitch/request/sending.py
+++ b/hemlockswitch/request/sending.py
@@ -34,7 +34,7 @@
     """An attempt in progress, as counted in this daemon's estimate of the server's load."""
 
     def note_first_event(self, *, succeeds: bool) -> None:
-        """Record that the answer has begun, so the prompt is processed; `succeeds` unless it failed."""
+        """Record the start of the answer, when the prompt is processed; `succeeds` unless it is an error."""
 
     def end(self, failed: bool) -> None:
         """Record the end of the attempt; `failed` raises the failure rate of the server."""
@@ -211,8 +211,8 @@
         request_id = admitted.facts.request_id
         is_once = not admitted.route.is_repeatable
         began_ms = self._clock.now_ms()
-        usual_ms = self._view.find_connect_timeout_ms()
-        timeout_ms = max(min(admitted.deadline_ms - began_ms, usual_ms), 1.0)
+        default_timeout_ms = self._view.find_connect_timeout_ms()
+        timeout_ms = max(min(admitted.deadline_ms - began_ms, default_timeout_ms), 1.0)
         try:
             exchange = self._pool.open(
                 server.address,
@@ -224,7 +224,7 @@
         except ExchangeError as error:
             assert error.stage is Stage.BEFORE_SEND
             took_ms = self._clock.now_ms() - began_ms
-            if timeout_ms == usual_ms or took_ms < timeout_ms:
+            if timeout_ms == default_timeout_ms or took_ms < timeout_ms:
                 self._view.note_unreachable(server, is_silent=took_ms >= timeout_ms)
             raise SendFailedError(SendFailure.UNREACHABLE, error.detail, False) from error
         if exchange.is_new:
--- a/tests/herd_replay.py
+++ b/tests/herd_replay.py
@@ -105,7 +105,7 @@
         self.large_ms = large_ms
         self.gap_ms = gap_ms
         self.relay_ms = relay_ms
-        self.under_way = deque()
+        self.in_transit = deque()
         period = ReportPeriod(report_ms)
         self.loads = [
             ServerLoads(self.clock, lambda: period, partial(self._note_change, number))
@@ -192,9 +192,9 @@
             self.report_at_ms[number] = self.clock.now_ms() + self.report_ms
             self.reported_ms[number] = self.clock.now_ms()
             arrives_ms = self.clock.now_ms() + self.relay_ms
-            self.under_way.append((arrives_ms, number, loads.describe_own(), loads.pop_sent()))
-        while self.under_way and self.under_way[0][0] <= self.clock.now_ms():
-            _, number, report, sent = self.under_way.popleft()
+            self.in_transit.append((arrives_ms, number, loads.describe_own(), loads.pop_sent()))
+        while self.in_transit and self.in_transit[0][0] <= self.clock.now_ms():
+            _, number, report, sent = self.in_transit.popleft()
             for other in self.loads:
                 if other is not self.loads[number]:
                     other.take_report(f"g{number}", report, sent)
