--- a/hemlockswitch/request/retries.py
+++ b/hemlockswitch/request/retries.py
@@ -4,7 +4,7 @@
 
 BURST = 64.0
 FLOOR_PER_SECOND = 2.0
-WAIT_STEP_MS = 20.0
+WAIT_POLL_INTERVAL_MS = 20.0
 
 
 class RetryBudget:
@@ -43,7 +43,7 @@
         self._clock = clock
         self._burst = burst
         self._left = burst
-        self._paced_ms = clock.now_ms()
+        self._last_added_ms = clock.now_ms()
 
     def set_ratio(self, ratio: float) -> None:
         """Apply the ratio of a new revision."""
@@ -61,19 +61,19 @@
         self._left -= 1
         return True
 
-    def wait(self, patience_ms: float) -> bool:
-        """Spend one retry, waiting up to `patience_ms` for the constant rate to provide it."""
-        until_ms = self._clock.now_ms() + patience_ms
+    def wait(self, timeout_ms: float) -> bool:
+        """Spend one retry, waiting up to `timeout_ms` for the constant rate to provide it."""
+        until_ms = self._clock.now_ms() + timeout_ms
         while not self.take():
-            if self._clock.now_ms() + WAIT_STEP_MS > until_ms:
+            if self._clock.now_ms() + WAIT_POLL_INTERVAL_MS > until_ms:
                 return False
-            self._clock.sleep_ms(WAIT_STEP_MS)
+            self._clock.sleep_ms(WAIT_POLL_INTERVAL_MS)
         return True
 
     def _pace(self) -> None:
         now_ms = self._clock.now_ms()
-        self._add((now_ms - self._paced_ms) / MS_PER_SECOND * FLOOR_PER_SECOND)
-        self._paced_ms = now_ms
+        self._add((now_ms - self._last_added_ms) / MS_PER_SECOND * FLOOR_PER_SECOND)
+        self._last_added_ms = now_ms
 
     def _add(self, amount: float) -> None:
         self._left = min(self._burst, self._left + amount)
--- a/hemlockswitch/request/sending.py
+++ b/hemlockswitch/request/sending.py
@@ -22,7 +22,7 @@
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.serving_table import RequestKind, ServingTable
 
-MOST_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
 REUSE_IDLE_MS = 60_000.0
 """Repeatable requests use any pooled connection; the pool limits the age."""
 REUSE_IDLE_AT_MOST_ONCE_MS = 1_000.0
@@ -34,7 +34,7 @@
     """An attempt in progress, as counted in this daemon's estimate of the server's load."""
 
     def note_first_event(self, *, succeeds: bool) -> None:
-        """Record that the answer has begun, so the prompt is processed; `succeeds` unless it failed."""
+        """Record the start of the answer, when the prompt is processed; `succeeds` unless it is an error."""
 
     def end(self, failed: bool) -> None:
         """Record the end of the attempt; `failed` raises the failure rate of the server."""
@@ -115,7 +115,7 @@
 
 
 @dataclass(frozen=True)
-class Send:
+class SendAttempt:
     """An attempt to send a request to one server, with the reply that its answer is written to."""
 
     progress: Progress
@@ -156,7 +156,7 @@
         self._pool = pool
         self._observer = observer
         self._clock = clock
-        self._in_flight: dict[PooledExchange, Send] = {}
+        self._in_flight: dict[PooledExchange, SendAttempt] = {}
 
     def abandon_zone(self, zone: str) -> None:
         """Close the attempts in an unreachable zone whose requests may be sent again.
@@ -168,7 +168,7 @@
             if is_there and send.may_follow:
                 exchange.close()
 
-    def send(self, send: Send) -> None:
+    def send(self, send: SendAttempt) -> None:
         """Send the request to the chosen server and relay its answer.
 
         Raises
@@ -205,14 +205,14 @@
             ticket.end(failed)
             self._pool.finish(exchange)
 
-    def _open(self, send: Send) -> PooledExchange:
+    def _open(self, send: SendAttempt) -> PooledExchange:
         admitted = send.admitted
         server = send.placement.candidate.server
         request_id = admitted.facts.request_id
         is_once = not admitted.route.is_repeatable
         began_ms = self._clock.now_ms()
-        usual_ms = self._view.find_connect_timeout_ms()
-        timeout_ms = max(min(admitted.deadline_ms - began_ms, usual_ms), 1.0)
+        default_timeout_ms = self._view.find_connect_timeout_ms()
+        timeout_ms = max(min(admitted.deadline_ms - began_ms, default_timeout_ms), 1.0)
         try:
             exchange = self._pool.open(
                 server.address,
@@ -224,14 +224,14 @@
         except ExchangeError as error:
             assert error.stage is Stage.BEFORE_SEND
             took_ms = self._clock.now_ms() - began_ms
-            if timeout_ms == usual_ms or took_ms < timeout_ms:
+            if timeout_ms == default_timeout_ms or took_ms < timeout_ms:
                 self._view.note_unreachable(server, is_silent=took_ms >= timeout_ms)
             raise SendFailedError(SendFailure.UNREACHABLE, error.detail, False) from error
         if exchange.is_new:
             self._view.note_connected(server, self._clock.now_ms() - began_ms)
         return exchange
 
-    def _encode(self, send: Send) -> bytes:
+    def _encode(self, send: SendAttempt) -> bytes:
         admitted = send.admitted
         fields = SendFields(
             server_name=send.placement.candidate.server.name,
@@ -253,31 +253,31 @@
             detail = f"the answer with status {answer.status} may not come from the server itself"
             raise SendFailedError(SendFailure.BROKEN, detail, True)
 
-    def _relay(self, send: Send, exchange: PooledExchange) -> None:
+    def _relay(self, send: SendAttempt, exchange: PooledExchange) -> None:
         is_success = exchange.answer.status < HTTPStatus.BAD_REQUEST
         if send.admitted.route.kind is RequestKind.STREAM and is_success:
             self._relay_stream(send, exchange)
         else:
-            self._relay_whole(send, exchange)
+            self._relay_complete(send, exchange)
         send.progress.outcome = "answered"
         send.progress.ended_with_connection = exchange.answer.ends_with_connection
 
-    def _relay_whole(self, send: Send, exchange: PooledExchange) -> None:
+    def _relay_complete(self, send: SendAttempt, exchange: PooledExchange) -> None:
         """Read the complete answer before relaying it to the caller."""
         answer, reply = exchange.answer, send.reply
-        body = exchange.read_body(MOST_ANSWER_BYTES)
+        body = exchange.read_body(MAX_ANSWER_BYTES)
         is_failure = answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
-        if is_failure and send.admitted.route.is_repeatable and self._has_another_try(send):
+        if is_failure and send.admitted.route.is_repeatable and self._may_retry_in_time(send):
             raise SendFailedError(SendFailure.BROKEN, f"the server failed: {answer.status}", True)
         if reply.begun:
             raise SendFailedError(
                 SendFailure.BROKEN, f"expected a stream but got status {answer.status}", True
             )
-        self._note_begun(send)
+        self._record_begun(send)
         headers = self._dialect.select_answer_headers(answer)
         reply.send(answer.status, answer.reason, headers, body)
 
-    def _has_another_try(self, send: Send) -> bool:
+    def _may_retry_in_time(self, send: SendAttempt) -> bool:
         """Return whether another server is expected to answer before the caller's deadline.
 
         If not, the caller is better served by the failure now than by a timeout later.
@@ -289,33 +289,33 @@
         left_ms = admitted.deadline_ms - self._clock.now_ms()
         return placement is not None and placement.expected_ms <= left_ms
 
-    def _relay_stream(self, send: Send, exchange: PooledExchange) -> None:
+    def _relay_stream(self, send: SendAttempt, exchange: PooledExchange) -> None:
         """Relay events as they arrive; of a resumable stream, only complete events."""
         progress, reply = send.progress, send.reply
         splitter = EventSplitter() if send.admitted.route.is_resumable else None
         while piece := exchange.read_piece():
             self._view.note_answer(send.placement.candidate.server)
             if splitter is not None:
-                whole = splitter.feed(piece)
-                piece = whole.data
-                progress.last_event_id = whole.last_id or progress.last_event_id
+                complete = splitter.feed(piece)
+                piece = complete.data
+                progress.last_event_id = complete.last_id or progress.last_event_id
             if piece:
                 self._begin_reply(send, exchange.answer)
                 reply.write(piece)
         self._begin_reply(send, exchange.answer)
         if splitter is not None:
-            reply.write(splitter.rest)
+            reply.write(splitter.remainder)
         reply.end()
 
-    def _begin_reply(self, send: Send, answer: ParsedAnswer) -> None:
+    def _begin_reply(self, send: SendAttempt, answer: ParsedAnswer) -> None:
         """Relay the head of the first server's answer, unless the reply has begun."""
         if send.reply.begun:
             return
-        self._note_begun(send)
+        self._record_begun(send)
         headers = self._dialect.select_answer_headers(answer)
         send.reply.begin(answer.status, answer.reason, headers)
 
-    def _note_begun(self, send: Send) -> None:
+    def _record_begun(self, send: SendAttempt) -> None:
         send.progress.began_ms = self._clock.now_ms()
         send.progress.begun_version = send.placement.candidate.server.version
         self._observer.request_began(send.progress)
