--- a/hemlockswitch/process/gateway/change_relay.py
+++ b/hemlockswitch/process/gateway/change_relay.py
@@ -23,10 +23,10 @@
 from hemlockswitch.process.gateway.rollouts import Rollouts
 from hemlockswitch.request.dialect import Chain
 
-RELAY_MS = 100.0
+RELAY_INTERVAL_MS = 100.0
 """How long changes gather before they are relayed: less than a server needs for a large prompt, and
 long enough that a relay sends few messages."""
-MOST_GATHERED = 1_000
+MAX_GATHERED_CHANGES = 1_000
 """Maximum number of changes that wait to be relayed. More are dropped; later reports repair the loss."""
 
 
@@ -89,8 +89,8 @@
         self._clock = clock
         self._gathered: list[ChangeReport] = []
         self._arrived = Signal()
-        network.handle(ChangeReport, self.take, quick=True)
-        network.handle(RelayedChanges, self._take_relayed, quick=True)
+        network.handle(ChangeReport, self.apply_report, quick=True)
+        network.handle(RelayedChanges, self._apply_relayed, quick=True)
 
     @property
     def has_gathered(self) -> bool:
@@ -101,36 +101,36 @@
         """Relay received changes until the task is killed."""
         while True:
             self._arrived.wait()
-            self._clock.sleep_ms(RELAY_MS)
-            self.pass_on()
+            self._clock.sleep_ms(RELAY_INTERVAL_MS)
+            self.send_gathered()
 
-    def pass_on(self) -> None:
+    def send_gathered(self) -> None:
         """Send the changes gathered since the last call to the near gateways."""
         gathered, self._gathered = self._gathered, []
         self._arrived.clear()
         addresses = [peer.address for peer in self._fleet.list_near()]
         self._network.send_all(addresses, RelayedChanges.from_reports(gathered))
 
-    def take(self, _address: str, report: ChangeReport) -> None:
+    def apply_report(self, _address: str, report: ChangeReport) -> None:
         """Apply the changes at a gateway, and gather them to be relayed."""
-        self._learn(report)
-        if len(self._gathered) < MOST_GATHERED:
+        self._apply_change(report)
+        if len(self._gathered) < MAX_GATHERED_CHANGES:
             self._gathered.append(report)
         self._arrived.set()
 
-    def _take_relayed(self, _address: str, message: RelayedChanges) -> None:
+    def _apply_relayed(self, _address: str, message: RelayedChanges) -> None:
         for report in message.to_reports():
-            self._learn(report)
+            self._apply_change(report)
 
-    def _learn(self, report: ChangeReport) -> None:
+    def _apply_change(self, report: ChangeReport) -> None:
         """Apply a change, unless it is one of this gateway that was relayed back."""
         if report.name == self._fleet.name:
             return
-        self._fleet.note_alive(report.name)
+        self._fleet.record_alive(report.name)
         order = (report.incarnation, report.number)
         changes, sent = read_loads(report.loads), read_sent(report.sent)
-        self._loads.take_changes(report.name, changes, sent, order)
-        self._loads.failures.take_told(report.name, report.results)
+        self._loads.apply_changes(report.name, changes, sent, order)
+        self._loads.failures.apply_reported(report.name, report.results)
         process = name_process(report.name, report.incarnation)
         self._limits.take_report(process, report.spent)
         self._rollouts.take_told(process, report.rollouts)
--- a/hemlockswitch/process/gateway/departures.py
+++ b/hemlockswitch/process/gateway/departures.py
@@ -6,7 +6,7 @@
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.version.backend import BackendServer, BackendState
 
-MOST_REMEMBERED = 4_096
+MAX_DEPARTURES = 4_096
 """Maximum number of recorded departures: more than occur in a large fleet while a delayed write is
 pending."""
 
@@ -19,7 +19,7 @@
 
     >>> leaving = BackendServer("s1", "z1", "10.0.0.1:80", "llm", state=BackendState.LEAVING, heartbeat=9)
     >>> departures = Departures()
-    >>> departures.note(leaving)
+    >>> departures.record(leaving)
     >>> departures.correct(replace(leaving, state=BackendState.LIVE, heartbeat=10)).state.value
     'live'
     """
@@ -27,11 +27,11 @@
     def __init__(self) -> None:
         self._heartbeats: dict[str, int] = {}
 
-    def note(self, server: BackendServer) -> None:
+    def record(self, server: BackendServer) -> None:
         """Record that a server announced that it leaves."""
-        known = self._heartbeats.pop(server.incarnation, 0)
-        self._heartbeats[server.incarnation] = max(known, server.heartbeat)
-        if len(self._heartbeats) > MOST_REMEMBERED:
+        recorded = self._heartbeats.pop(server.incarnation, 0)
+        self._heartbeats[server.incarnation] = max(recorded, server.heartbeat)
+        if len(self._heartbeats) > MAX_DEPARTURES:
             del self._heartbeats[next(iter(self._heartbeats))]
 
     def correct(self, server: BackendServer) -> BackendServer:
--- a/hemlockswitch/process/gateway/failures.py
+++ b/hemlockswitch/process/gateway/failures.py
@@ -18,10 +18,10 @@
 try the server again within seconds."""
 OWN_WEIGHT = 0.5
 """Weight of one own result: how far a failure moves the rate towards 1, and a success towards 0."""
-TOLD_WEIGHT = 0.15
+REPORTED_WEIGHT = 0.15
 """Weight of one result of another gateway. Failures reported by three gateways weigh like one own failure,
 and the rate of a service of which every seventh call fails anyway changes little from call to call."""
-MOST_TOLD_FAILURES = 2
+MAX_REPORTED_FAILURES = 2
 """Maximum number of failures of one gateway at one server that count within a half-life."""
 
 
@@ -32,24 +32,24 @@
     ========
 
     >>> rate = FailureRate()
-    >>> rate.note(0, failed=True)
+    >>> rate.record(0, failed=True)
     >>> rate.get(0), rate.get(2_000)
     (0.5, 0.25)
     """
 
     def __init__(self) -> None:
         self._rate = 0.0
-        self._noted_ms = 0.0
+        self._updated_ms = 0.0
 
-    def note(self, now_ms: float, *, failed: bool, weight: float = OWN_WEIGHT) -> None:
+    def record(self, now_ms: float, *, failed: bool, weight: float = OWN_WEIGHT) -> None:
         """Record the result of one send attempt."""
         rate = self.get(now_ms)
         self._rate = rate + weight * ((1.0 if failed else 0.0) - rate)
-        self._noted_ms = now_ms
+        self._updated_ms = now_ms
 
     def get(self, now_ms: float) -> float:
         """Return the rate now."""
-        return self._rate * math.pow(0.5, (now_ms - self._noted_ms) / FAILURE_HALF_LIFE_MS)
+        return self._rate * math.pow(0.5, (now_ms - self._updated_ms) / FAILURE_HALF_LIFE_MS)
 
 
 class ServerFailures:
@@ -64,44 +64,44 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._own: dict[str, FailureRate] = defaultdict(FailureRate)
-        self._told: dict[str, FailureRate] = defaultdict(FailureRate)
-        self._told_failures: dict[tuple[str, str], FailureCount] = defaultdict(FailureCount)
-        self._untold: Results = {}
+        self._reported: dict[str, FailureRate] = defaultdict(FailureRate)
+        self._reported_counts: dict[tuple[str, str], FailureCount] = defaultdict(FailureCount)
+        self._unreported: Results = {}
 
-    def note_own(self, server: str, *, failed: bool) -> None:
+    def record_own(self, server: str, *, failed: bool) -> None:
         """Record the result of one of this gateway's send attempts."""
-        self._own[server].note(self._clock.now_ms(), failed=failed)
-        succeeded_before, failed_before = self._untold.get(server, (0, 0))
-        self._untold[server] = (succeeded_before + (not failed), failed_before + failed)
+        self._own[server].record(self._clock.now_ms(), failed=failed)
+        succeeded_before, failed_before = self._unreported.get(server, (0, 0))
+        self._unreported[server] = (succeeded_before + (not failed), failed_before + failed)
 
-    def pop_untold(self) -> Results:
+    def pop_unreported(self) -> Results:
         """Return the own results since the last call, to be reported to other gateways."""
-        untold, self._untold = self._untold, {}
-        return untold
+        unreported, self._unreported = self._unreported, {}
+        return unreported
 
-    def take_told(self, gateway: str, results: Results) -> None:
+    def apply_reported(self, gateway: str, results: Results) -> None:
         """Apply the results of another gateway's send attempts."""
         now_ms = self._clock.now_ms()
         for server, (succeeded, failed) in results.items():
-            counted = self._told_failures[gateway, server].limit(now_ms, failed) if failed else 0
+            counted = self._reported_counts[gateway, server].limit(now_ms, failed) if failed else 0
             for _ in range(counted):
-                self._told[server].note(now_ms, failed=True, weight=TOLD_WEIGHT)
-            for _ in range(min(succeeded, MOST_TOLD_FAILURES)):
-                self._told[server].note(now_ms, failed=False, weight=TOLD_WEIGHT)
+                self._reported[server].record(now_ms, failed=True, weight=REPORTED_WEIGHT)
+            for _ in range(min(succeeded, MAX_REPORTED_FAILURES)):
+                self._reported[server].record(now_ms, failed=False, weight=REPORTED_WEIGHT)
 
     def get_rate(self, server: str) -> float:
         """Return the recent failure rate: the own one or the reported one, whichever is higher."""
         now_ms = self._clock.now_ms()
-        rates = (rates.get(server) for rates in (self._own, self._told))
+        rates = (rates.get(server) for rates in (self._own, self._reported))
         return max((rate.get(now_ms) for rate in rates if rate is not None), default=0.0)
 
-    def forget(self, server: str) -> None:
+    def evict(self, server: str) -> None:
         """Discard the rates of a removed server."""
         self._own.pop(server, None)
-        self._told.pop(server, None)
-        self._untold.pop(server, None)
-        for key in [key for key in self._told_failures if key[1] == server]:
-            del self._told_failures[key]
+        self._reported.pop(server, None)
+        self._unreported.pop(server, None)
+        for key in [key for key in self._reported_counts if key[1] == server]:
+            del self._reported_counts[key]
 
 
 class FailureCount:
@@ -115,6 +115,6 @@
         """Return how many of `failed` new failures count."""
         if now_ms - self._since_ms >= FAILURE_HALF_LIFE_MS:
             self._since_ms, self._counted = now_ms, 0
-        counted = min(failed, MOST_TOLD_FAILURES - self._counted)
+        counted = min(failed, MAX_REPORTED_FAILURES - self._counted)
         self._counted += counted
         return counted
--- a/hemlockswitch/process/gateway/fleet.py
+++ b/hemlockswitch/process/gateway/fleet.py
@@ -20,23 +20,23 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.gateway.messages import GatewayReport
-from hemlockswitch.process.gateway.neighbours import Neighbours, Peer, draw_relays
+from hemlockswitch.process.gateway.neighbours import Peer, PeerGroups, draw_relays
 from hemlockswitch.process.gateway.registrations import GATEWAY_KIND, Registration
 from hemlockswitch.process.gateway.report_period import ReportPeriod, UsagePeriod
 from hemlockswitch.process.gateway.watch_guard import StoreView
 
-LIST_MS = 10_000.0
+LIST_INTERVAL_MS = 10_000.0
 """Time between two lists of the registrations; gateways that start in between are added with their first
 report."""
-FIRST_LIST_MS = 1_000.0
+INITIAL_LIST_INTERVAL_MS = 1_000.0
 """Time between two lists while this gateway is not registered or has no peers."""
-STALE_MS = 5_000.0
+MAX_LIST_AGE_MS = 5_000.0
 """Maximum age of a list, which may lack a registration that was written shortly before."""
-GONE_MS = 30_000.0
+GATEWAY_REMOVAL_DELAY_MS = 30_000.0
 """A gateway from which the holder of the duties has received nothing for this long is removed for good, and
 its share of the limits goes to the other gateways. In a longer partition a gateway that is cut off keeps
 its share, so limits may be exceeded by the shares of the gateways that are cut off."""
-HEARD_MS = 100.0
+CONNECTED_CACHE_MS = 100.0
 """How long the list of connected gateways is cached: it is needed for each reported spending, some hundred
 times a second, while a gateway counts as disconnected only after seconds."""
 
@@ -73,25 +73,25 @@
         self._get_address = get_address
         self._clock = clock
         self._peers: dict[str, Peer] = {}
-        self._neighbours: Neighbours | None = None  # None after a change
-        self._heard: list[Peer] | None = None  # None after a change
-        self._heard_listed_ms = float("-inf")
+        self._peer_groups: PeerGroups | None = None  # None after a change
+        self._connected: list[Peer] | None = None  # None after a change
+        self._connected_listed_ms = float("-inf")
 
     def replace_all(self, page: ObjectPage) -> None:
         """Apply a complete list of registrations; gateways that report without being listed stay."""
         self.is_listed = True
         listed = {item.name for item in page.items}
-        heard = {peer.name for peer in self.list_heard()}
+        connected = {peer.name for peer in self.list_heard()}
         for item in page.items:
             if item.name == self.name:
-                self._take_own(item)
+                self._apply_own(item)
             else:
                 self._put(item)
-        if self.name not in listed and self._clock.now_ms() - self._registered_ms > STALE_MS:
+        if self.name not in listed and self._clock.now_ms() - self._registered_ms > MAX_LIST_AGE_MS:
             self.own_version, self.is_registered = None, False
-        for name in [name for name in self._peers if name not in listed | heard]:
+        for name in [name for name in self._peers if name not in listed | connected]:
             del self._peers[name]
-        self._note_change()
+        self._drop_cached_lists()
 
     def refresh(self, store: ListedStore) -> None:
         """List the registrations, and write this gateway's registration if it is missing."""
@@ -105,7 +105,7 @@
 
     def get_list_period_ms(self) -> float:
         """Return the time until the next list."""
-        return LIST_MS if self.is_registered and self._peers else FIRST_LIST_MS
+        return LIST_INTERVAL_MS if self.is_registered and self._peers else INITIAL_LIST_INTERVAL_MS
 
     def register(self, store: ListedStore) -> bool:
         """Write this gateway's registration; return whether the write was confirmed."""
@@ -128,15 +128,15 @@
         return False
 
     def remove_gone(self, store: ListedStore) -> None:
-        """Remove the registrations of gateways that have been unresponsive for `GONE_MS`.
+        """Remove the registrations of gateways that have been unresponsive for `GATEWAY_REMOVAL_DELAY_MS`.
 
         Called by the holder of the duties. A gateway that was only cut off for this long finds its
         registration missing in its next list and writes it again.
         """
         now_ms = self._clock.now_ms()
         for peer in self.list_peers():
-            silent_ms = now_ms - max(peer.heard_ms, peer.known_ms)
-            if peer.version and silent_ms > GONE_MS:
+            silent_ms = now_ms - max(peer.last_received_ms, peer.first_seen_ms)
+            if peer.version and silent_ms > GATEWAY_REMOVAL_DELAY_MS:
                 self._remove(store, peer, silent_ms)
 
     def _remove(self, store: ListedStore, peer: Peer, silent_ms: float) -> None:
@@ -148,12 +148,12 @@
         if isinstance(outcome, Written):
             log_event(Event.GATEWAY_GONE, gateway=peer.name, silent_ms=round(silent_ms))
             del self._peers[peer.name]
-            self._note_change()
+            self._drop_cached_lists()
 
-    def _note_change(self) -> None:
+    def _drop_cached_lists(self) -> None:
         """Drop the cached lists after a gateway was added, removed or moved to another zone."""
-        self._neighbours = None
-        self._heard = None
+        self._peer_groups = None
+        self._connected = None
 
     def note_report(self, address: str, report: GatewayReport, view: StoreView) -> None:
         """Record another gateway's report, and add the gateway if it has not been listed yet."""
@@ -161,14 +161,14 @@
         if peer is None:
             peer = self._peers[report.name] = Peer(report.name, address, self._clock.now_ms())
         if peer.zone != report.zone or peer.report is None:
-            self._note_change()
-        peer.heard_ms = peer.reported_ms = self._clock.now_ms()
+            self._drop_cached_lists()
+        peer.last_received_ms = peer.reported_ms = self._clock.now_ms()
         peer.zone = report.zone
         peer.link_mbps = report.link_mbps
         peer.report = report
         peer.view = view
 
-    def note_alive(self, name: str) -> None:
+    def record_alive(self, name: str) -> None:
         """Record that a change of a gateway was received over a relay, so it is running and connected.
 
         After a restart of the fleet the shares of the limits are thereby restored within about a second;
@@ -176,7 +176,7 @@
         """
         peer = self._peers.get(name)
         if peer is not None:
-            peer.heard_ms = self._clock.now_ms()
+            peer.last_received_ms = self._clock.now_ms()
 
     def list_peers(self) -> list[Peer]:
         """Return the other gateways."""
@@ -185,29 +185,29 @@
     @property
     def reports_by_zone(self) -> bool:
         """Whether there are too many gateways to send every report to each of them at once."""
-        return self._get_neighbours().by_zone
+        return self._get_peer_groups().by_zone
 
     def list_near(self) -> list[Peer]:
         """Return the gateways that get every report: those of this zone, or all of a small fleet."""
-        return self._get_neighbours().near
+        return self._get_peer_groups().near
 
     def list_far(self) -> list[Peer]:
         """Return the gateways that get reports less often; none in a small fleet."""
-        return self._get_neighbours().far
+        return self._get_peer_groups().far
 
-    def _get_neighbours(self) -> Neighbours:
+    def _get_peer_groups(self) -> PeerGroups:
         """Return the division into near and far gateways, computed again after a change of the fleet."""
-        if self._neighbours is None:
-            self._neighbours = Neighbours.from_peers(self.list_peers(), self.zone)
-        return self._neighbours
+        if self._peer_groups is None:
+            self._peer_groups = PeerGroups.from_peers(self.list_peers(), self.zone)
+        return self._peer_groups
 
     def get_near_period(self) -> ReportPeriod:
         """Return the time between two reports to the gateways near this one."""
-        return self._get_neighbours().near_period
+        return self._get_peer_groups().near_period
 
     def get_far_period(self) -> ReportPeriod:
         """Return the time between two reports to the far gateways."""
-        return self._get_neighbours().far_period
+        return self._get_peer_groups().far_period
 
     def get_usage_period(self) -> UsagePeriod:
         """Return the time between two usage reports."""
@@ -225,33 +225,33 @@
     def list_heard(self) -> list[Peer]:
         """Return the connected gateways: those that were received from recently."""
         now_ms = self._clock.now_ms()
-        if self._heard is None or now_ms - self._heard_listed_ms > HEARD_MS:
-            self._heard = self._find_heard(now_ms)
-            self._heard_listed_ms = now_ms
-        return list(self._heard)
+        if self._connected is None or now_ms - self._connected_listed_ms > CONNECTED_CACHE_MS:
+            self._connected = self._find_connected(now_ms)
+            self._connected_listed_ms = now_ms
+        return list(self._connected)
 
-    def _find_heard(self, now_ms: float) -> list[Peer]:
+    def _find_connected(self, now_ms: float) -> list[Peer]:
         """Return the connected gateways, without those of an unresponsive zone.
 
         In a partition each side may use only its share of the limits, so the loss of a zone must be
         detected before each of its gateways has timed out.
         """
         period = self.get_far_period()
-        heard = [
+        received = [
             peer
             for peer in self._peers.values()
-            if peer.heard_ms >= now_ms - period.out_of_touch_ms
+            if peer.last_received_ms >= now_ms - period.disconnected_ms
         ]
         latest_ms: dict[str, float] = {}
-        for peer in heard:
-            latest_ms[peer.zone] = max(latest_ms.get(peer.zone, 0.0), peer.heard_ms)
-        counts = Counter(peer.zone for peer in heard)
-        silent = {
+        for peer in received:
+            latest_ms[peer.zone] = max(latest_ms.get(peer.zone, 0.0), peer.last_received_ms)
+        counts = Counter(peer.zone for peer in received)
+        unresponsive = {
             zone
             for zone, heard_ms in latest_ms.items()
-            if now_ms - heard_ms > period.find_zone_out_of_touch_ms(counts[zone])
+            if now_ms - heard_ms > period.find_zone_disconnected_ms(counts[zone])
         }
-        return [peer for peer in heard if peer.zone not in silent]
+        return [peer for peer in received if peer.zone not in unresponsive]
 
     def get_share(self) -> float:
         """Return the fraction of the fleet that is connected to this gateway, which is included."""
@@ -279,7 +279,8 @@
         return any(
             peer.report is not None
             and peer.report.leads
-            and now_ms - peer.heard_ms <= ReportPeriod(peer.report.period_ms).out_of_touch_ms
+            and now_ms - peer.last_received_ms
+            <= ReportPeriod(peer.report.period_ms).disconnected_ms
             for peer in self._peers.values()
         )
 
@@ -287,7 +288,10 @@
         """Return the state for the status page."""
         now_ms = self._clock.now_ms()
         return {
-            peer.name: {"address": peer.address, "heard_ms_ago": round(now_ms - peer.heard_ms)}
+            peer.name: {
+                "address": peer.address,
+                "heard_ms_ago": round(now_ms - peer.last_received_ms),
+            }
             for peer in self._peers.values()
             if peer.report is not None
         }
@@ -306,7 +310,7 @@
             if peer.report is not None
         }
 
-    def _take_own(self, item: StoredObject) -> None:
+    def _apply_own(self, item: StoredObject) -> None:
         """Apply this gateway's own registration; an earlier process may have had another address."""
         self.own_version = None if item.deleted else item.version
         written = Registration.from_object(item)
--- a/hemlockswitch/process/gateway/followed_objects.py
+++ b/hemlockswitch/process/gateway/followed_objects.py
@@ -18,7 +18,7 @@
     ObjectConsumer,
     ObjectFollower,
 )
-from hemlockswitch.process.gateway.freshness import ConfirmationExchange, FreshnessKeeper
+from hemlockswitch.process.gateway.freshness import ConfirmationExchange, ViewRefresher
 from hemlockswitch.process.gateway.messages import WatchedPage
 from hemlockswitch.process.gateway.registry import ServerRegistry
 from hemlockswitch.process.gateway.relayed_watch import RelayedWatch
@@ -31,11 +31,11 @@
 """How long changes gather before the next watch: each change ends the watch of every watcher, and each
 watch is a call. Servers are added and removed by zones, over half a second. The first change after a
 pause is received without this delay."""
-LONGEST_SETTLE_MS = 600.0
+MAX_SETTLE_MS = 600.0
 """How long changes gather while the registry fills after a start. A leaving server must get no new requests
 two seconds after it announced that it leaves; this uses less than a third of that time."""
 
-ORDERS_PATIENCE_MS = 2_000.0
+ORDERS_WATCHER_WAIT_MS = 2_000.0
 """How long a gateway that has listed the rollout orders waits for its zone's watchers: the servers that an
 order starts take longer to boot."""
 ORDERS_WAIT_MS = 15_000
@@ -53,7 +53,7 @@
     registry : stores the backend servers.
     rollouts : stores the rollout orders; None where rollouts are not supported.
     network, fleet : the other gateways, to which a watcher sends its pages.
-    hash_held : returns a digest of the quarantined requests.
+    hash_quarantined : returns a digest of the quarantined requests.
     clock : the time.
     """
 
@@ -65,7 +65,7 @@
         rollouts: Rollouts | None,
         network: PeerNetwork,
         fleet: Fleet,
-        hash_held: Callable[[], int],
+        hash_quarantined: Callable[[], int],
         clock: Clock,
     ) -> None:
         self._store = adapter.store
@@ -73,11 +73,11 @@
         self._registry = registry
         self._network = network
         self.watchers = ZoneWatchers(fleet, clock, self._measure_oldest_ms)
-        self._hash_held = hash_held
+        self._hash_quarantined = hash_quarantined
         self._watches: dict[str, RelayedWatch] = {}
         self._transits = TransitTimes(clock)
         self._clock = clock
-        network.handle(WatchedPage, self._take_page, quick=True)
+        network.handle(WatchedPage, self._queue_page, quick=True)
         self.configuration = self._follow(adapter.config_kind, tables)
         self.servers = self._follow(adapter.server_kind, registry, self._get_settle_ms)
         self.followers = [self.configuration, self.servers]
@@ -85,7 +85,7 @@
             orders = self._follow(
                 adapter.rollout_kind,
                 rollouts,
-                patience_ms=ORDERS_PATIENCE_MS,
+                watcher_wait_ms=ORDERS_WATCHER_WAIT_MS,
                 wait_ms=ORDERS_WAIT_MS,
             )
             rollouts.versions.request_refresh = orders.renew_watch
@@ -100,9 +100,9 @@
         )
         followers = {one.kind: one for one in self.followers}
         exchange = ConfirmationExchange(network, fleet, followers, self._transits, clock)
-        find_turn = self.watchers.find_ask_turn
+        find_scope = self.watchers.find_query_scope
         self.keepers = {
-            kind: FreshnessKeeper(one, find_turn, exchange.tell, clock)
+            kind: ViewRefresher(one, find_scope, exchange.send, clock)
             for kind, one in followers.items()
         }
         registry.get_recovered_ms = lambda: self.servers.recovered_ms
@@ -113,11 +113,13 @@
         kind: str,
         consumer: ObjectConsumer,
         get_settle_ms: Callable[[], float] = lambda: 0.0,
-        patience_ms: float = 0.0,
+        watcher_wait_ms: float = 0.0,
         wait_ms: int = WATCH_WAIT_MS,
     ) -> ObjectFollower:
         """Return a follower over a relayed watch; the times are parameters of these classes."""
-        watch = RelayedWatch(self._store, self.watchers, self._relay_page, self._clock, patience_ms)
+        watch = RelayedWatch(
+            self._store, self.watchers, self._relay_page, self._clock, watcher_wait_ms
+        )
         self._watches[kind] = watch
         return ObjectFollower(watch, kind, consumer, self._clock, get_settle_ms, wait_ms)
 
@@ -168,7 +170,7 @@
             self._registry.hash_servers(),
             self._store.last_outage,
             self._describe_relayed(),
-            self._hash_held(),
+            self._hash_quarantined(),
             self._measure_oldest_ms(),
         )
 
@@ -181,13 +183,13 @@
     def _relay_page(self, page: WatchedPage) -> None:
         self._network.send_all(self.watchers.list_relay_addresses(), page)
 
-    def _take_page(self, address: str, page: WatchedPage) -> None:
+    def _queue_page(self, address: str, page: WatchedPage) -> None:
         delay_ms = self._transits.measure_delay_ms(address, page.sent_ms)
         if page.kind in self._watches:
-            self._watches[page.kind].take_page(page, delay_ms)
+            self._watches[page.kind].queue_page(page, delay_ms)
 
     def _get_settle_ms(self) -> float:
         """Return how long changes of the registry may gather."""
         if not self.knows_all_servers():
-            return LONGEST_SETTLE_MS
+            return MAX_SETTLE_MS
         return SETTLE_MS if self.watchers.is_watcher() else 0.0
--- a/hemlockswitch/process/gateway/follower.py
+++ b/hemlockswitch/process/gateway/follower.py
@@ -17,10 +17,10 @@
 WATCH_WAIT_MS = 25_000
 """How long a watch waits: close to the maximum that platforms allow, since each call has a cost. A dead
 connection is detected by the kernel's keep-alive probes long before."""
-RETRY_MS = 250.0
+RETRY_DELAY_MS = 250.0
 """Pause after a failed call. Changes must be received within two seconds of the platform's return, so the
 pause is much shorter; the client's own back-off adds to it."""
-MOST_CONFIRMATIONS = 16
+MAX_QUEUED_CONFIRMATIONS = 16
 """Maximum number of confirmations that wait for a page; one or two arrive per second."""
 
 
@@ -38,13 +38,13 @@
         """Return the changes after version `since`."""
 
 
-class AskedStore(WatchedStore, Protocol):
+class QueriedStore(WatchedStore, Protocol):
     """A store that can also be queried without waiting; see `process.gateway.relayed_watch`."""
 
-    def ask(self, kind: str, since: int) -> ObjectPage:
+    def query(self, kind: str, since: int) -> ObjectPage:
         """Return the changes after version `since` without waiting for one."""
 
-    def note_known(self, version: int) -> None:
+    def record_received(self, version: int) -> None:
         """Record that all changes up to a version were received."""
 
 
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class _Confirmation:
-    """A confirmation of another gateway; see `ObjectFollower.take_confirmation`."""
+    """A confirmation of another gateway; see `ObjectFollower.apply_confirmation`."""
 
     changed: int
     until: int
@@ -92,7 +92,7 @@
 
     def __init__(
         self,
-        store: AskedStore,
+        store: QueriedStore,
         kind: str,
         consumer: ObjectConsumer,
         clock: Clock,
@@ -121,12 +121,12 @@
     @property
     def version(self) -> int:
         """The version up to which the consumer has received all changes."""
-        return self._versions.known
+        return self._versions.complete_version
 
     @property
     def changed_version(self) -> int:
         """The version of the last change that the consumer received, or a later one without a change."""
-        return self._versions.changed
+        return self._versions.changed_version
 
     @property
     def live_version(self) -> int:
@@ -142,19 +142,19 @@
         while True:
             # A renewal may also come between two calls, when there is no watch to cancel.
             with contextlib.suppress(WatchRenewedError):
-                self.take_step()
+                self.run_step()
 
     def renew_watch(self) -> None:
         """Cancel the waiting watch, if there is one, and list all objects again."""
         self._must_list = True
-        self._give_up_watch()
+        self._cancel_watch()
 
-    def _give_up_watch(self) -> None:
+    def _cancel_watch(self) -> None:
         task, self._task, self.watch_sent_ms = self._task, None, None
         if task is not None:
             task.kill(WatchRenewedError(), block=False)
 
-    def ask(self) -> None:
+    def query(self) -> None:
         """Query the service for missing changes without waiting, beside the waiting watch.
 
         The watch is sent again if it should have returned the changes found, or may have been lost
@@ -168,19 +168,19 @@
         was_lost = self.is_lost
         began_ms = self._clock.now_ms()
         try:
-            page = self._store.ask(self.kind, self.version)
+            page = self._store.query(self.kind, self.version)
         except HistoryGoneError:
-            self._note_history_gone()
-            self._give_up_watch()
+            self._record_history_loss()
+            self._cancel_watch()
             return
         except PlatformError as error:
-            self._note_lost(error, began_ms)
+            self._record_failure(error, began_ms)
             raise
-        self._note_heard()
-        if self._take(page) or was_lost:
-            self._give_up_watch()
+        self._record_answer()
+        if self._apply(page) or was_lost:
+            self._cancel_watch()
 
-    def take_confirmation(self, changed: int, until: int, confirmed_ms: float) -> None:
+    def apply_confirmation(self, changed: int, until: int, confirmed_ms: float) -> None:
         """Apply another gateway's confirmation that the last change up to version `until` was at `changed`.
 
         The confirmation is queued until the changes up to `changed` have been received here.
@@ -191,23 +191,23 @@
         confirmed_ms : when the service confirmed this, by this process's clock.
         """
         self._confirmations = [*self._confirmations, _Confirmation(changed, until, confirmed_ms)][
-            -MOST_CONFIRMATIONS:
+            -MAX_QUEUED_CONFIRMATIONS:
         ]
-        self._use_confirmations()
+        self._apply_confirmations()
 
-    def _use_confirmations(self) -> None:
+    def _apply_confirmations(self) -> None:
         """Apply the confirmations whose changes have been received, and keep the remaining ones queued."""
         waiting, self._confirmations = self._confirmations, []
         for one in waiting:
             if one.confirmed_ms <= self.confirmed_ms:
                 continue
-            if self._versions.note_unchanged(one.changed, one.until):
+            if self._versions.record_unchanged(one.changed, one.until):
                 self.confirmed_ms = one.confirmed_ms
-                self._store.note_known(self.version)
+                self._store.record_received(self.version)
             else:
                 self._confirmations.append(one)
 
-    def take_step(self) -> None:
+    def run_step(self) -> None:
         """Make one call, and pause if it fails."""
         began_ms = self._clock.now_ms()
         try:
@@ -216,20 +216,20 @@
             else:
                 self._watch()
         except HistoryGoneError:
-            self._note_history_gone()
+            self._record_history_loss()
         except PlatformError as error:
             self._must_list = not self._must_list
-            self._note_lost(error, began_ms)
-            self._clock.sleep_ms(RETRY_MS)
+            self._record_failure(error, began_ms)
+            self._clock.sleep_ms(RETRY_DELAY_MS)
 
-    def _note_history_gone(self) -> None:
+    def _record_history_loss(self) -> None:
         log_event(Event.WATCH_HISTORY_GONE, "warning", kind=self.kind, since=self.version)
         self.is_synced = False
 
     def _list(self) -> None:
         page = self._store.list(self.kind)
-        self._note_heard()
-        self._take(replace(page, is_whole=True))
+        self._record_answer()
+        self._apply(replace(page, is_whole=True))
         self.is_synced = True
         self._must_list = False
         if self.first_synced_ms is None:
@@ -242,31 +242,31 @@
             page = self._store.watch(self.kind, self.version, self._wait_ms)
         finally:
             self.watch_sent_ms = self._task = None
-        self._note_heard()
-        self._take(page)
+        self._record_answer()
+        self._apply(page)
         if page.items:
             self._clock.sleep_ms(self._get_settle_ms())
 
-    def _take(self, page: ObjectPage) -> bool:
+    def _apply(self, page: ObjectPage) -> bool:
         """Pass the new entries of a page to the consumer; return whether there were any."""
-        news = self._versions.take(page)
-        if news.is_whole:
-            self._consumer.replace_all(news)
-        elif news.items:
-            self._consumer.apply_changes(news)
+        new_page = self._versions.apply(page)
+        if new_page.is_whole:
+            self._consumer.replace_all(new_page)
+        elif new_page.items:
+            self._consumer.apply_changes(new_page)
         if page.confirmed_ms is not None:
             self.confirmed_ms = max(self.confirmed_ms, page.confirmed_ms)
         if self._confirmations:
-            self._use_confirmations()
-        return news.is_whole or bool(news.items)
+            self._apply_confirmations()
+        return new_page.is_whole or bool(new_page.items)
 
-    def _note_lost(self, error: PlatformError, began_ms: float) -> None:
+    def _record_failure(self, error: PlatformError, began_ms: float) -> None:
         self._failed_call_ms = began_ms
         if not self.is_lost:
             log_event(Event.WATCH_FAILED, "warning", watch=self.kind, detail=error.detail)
         self.is_lost = True
 
-    def _note_heard(self) -> None:
+    def _record_answer(self) -> None:
         self.heard_ms = self._clock.now_ms()
         if self.is_lost:
             # A call that began before the last confirmed answer and failed later shows no outage.
--- a/hemlockswitch/process/gateway/freshness.py
+++ b/hemlockswitch/process/gateway/freshness.py
@@ -23,21 +23,21 @@
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.gateway.change_relay import send_to_first
 from hemlockswitch.process.gateway.fleet import Fleet
-from hemlockswitch.process.gateway.follower import RETRY_MS, ObjectFollower
+from hemlockswitch.process.gateway.follower import RETRY_DELAY_MS, ObjectFollower
 from hemlockswitch.process.gateway.messages import VersionConfirmation
 from hemlockswitch.process.gateway.transit import TransitTimes
 
-START_MS = 2_000.0
+START_DELAY_MS = 2_000.0
 """How long after its start a gateway does not query the service: it has just listed the objects, and has no
 reports yet that show which gateway queries."""
-STALE_MS = 2_000.0
+STALE_VIEW_MS = 2_000.0
 """Age at which a view is stale and the gateway counts as cut off from the object service: a leaving server
 must get no new requests two seconds after it announced that it leaves."""
-LEAST_TOLD_MS = 200.0
+MIN_CONFIRMATION_GAIN_MS = 200.0
 """A confirmation is sent only if it is at least this much newer than the last one received."""
 
 
-class AskTurn(Enum):
+class QueryScope(Enum):
     """The age of the view at which a gateway queries the service: (minimum, maximum) in milliseconds.
 
     The times leave room for a confirmation in transit, and for a request to reach its server within two
@@ -74,9 +74,9 @@
         self._fleet = fleet
         self._followers = followers
         self._clock = clock
-        network.handle(VersionConfirmation, self._take, quick=True)
+        network.handle(VersionConfirmation, self._apply, quick=True)
 
-    def tell(self, follower: ObjectFollower) -> None:
+    def send(self, follower: ObjectFollower) -> None:
         """Send a confirmation to every gateway of a small fleet, or to one relay of each zone."""
         confirmation = VersionConfirmation(
             follower.kind,
@@ -86,91 +86,91 @@
             self._clock.now_ms(),
         )
         if not self._fleet.reports_by_zone:
-            self._tell_near(confirmation)
+            self._send_near(confirmation)
             return
         for relays in self._fleet.draw_relays():
             send_to_first(self._network, relays, confirmation)
 
-    def _tell_near(self, confirmation: VersionConfirmation) -> None:
+    def _send_near(self, confirmation: VersionConfirmation) -> None:
         self._network.send_all([peer.address for peer in self._fleet.list_near()], confirmation)
 
-    def _take(self, address: str, confirmation: VersionConfirmation) -> None:
+    def _apply(self, address: str, confirmation: VersionConfirmation) -> None:
         delay_ms = self._transits.measure_delay_ms(address, confirmation.sent_ms)
         age_ms = confirmation.age_ms + delay_ms
         now_ms = self._clock.now_ms()
         follower = self._followers.get(confirmation.kind)
         if follower is not None:
-            follower.take_confirmation(confirmation.changed, confirmation.until, now_ms - age_ms)
+            follower.apply_confirmation(confirmation.changed, confirmation.until, now_ms - age_ms)
         if self._fleet.reports_by_zone and not confirmation.is_passed_on:
-            self._tell_near(replace(confirmation, age_ms=age_ms, sent_ms=now_ms, is_passed_on=True))
+            self._send_near(replace(confirmation, age_ms=age_ms, sent_ms=now_ms, is_passed_on=True))
 
 
-class FreshnessKeeper:
+class ViewRefresher:
     """Queries the service for one kind of objects when the last confirmation is too old.
 
     Parameters
     ==========
 
     follower : the follower of the kind.
-    find_turn : returns for whom this gateway queries, which determines how soon it does.
-    tell : sends the confirmation to the other gateways.
+    find_scope : returns for whom this gateway queries, which determines how soon it does.
+    send : sends the confirmation to the other gateways.
     clock : the time.
-    chance : source of random numbers.
+    rng : source of random numbers.
     """
 
     def __init__(
         self,
         follower: ObjectFollower,
-        find_turn: Callable[[], AskTurn],
-        tell: Callable[[ObjectFollower], None],
+        find_scope: Callable[[], QueryScope],
+        send: Callable[[ObjectFollower], None],
         clock: Clock,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._follower = follower
-        self._find_turn = find_turn
-        self._tell = tell
+        self._find_scope = find_scope
+        self._send = send
         self._clock = clock
-        self._chance = chance or random.Random()
+        self._rng = rng or random.Random()
         self._started_ms = clock.now_ms()
-        self._is_late = False
+        self._is_stale = False
 
     def run(self) -> None:
         """Keep the view fresh until the task is killed."""
         while True:
-            self.take_step()
+            self.run_step()
 
-    def take_step(self) -> None:
+    def run_step(self) -> None:
         """Wait until the last confirmation is too old, and query the service."""
-        limit_ms = self._chance.uniform(*self._find_turn().value)
+        limit_ms = self._rng.uniform(*self._find_scope().value)
         while (wait_ms := self._find_due_ms(limit_ms) - self._clock.now_ms()) > 0:
             self._clock.sleep_ms(wait_ms)
         if not self._follower.is_synced:
-            self._clock.sleep_ms(RETRY_MS)
+            self._clock.sleep_ms(RETRY_DELAY_MS)
             return
-        known_ms = self._follower.confirmed_ms
+        confirmed_before_ms = self._follower.confirmed_ms
         try:
-            self._follower.ask()
+            self._follower.query()
         except PlatformError:
-            self._note_late()
-            self._clock.sleep_ms(RETRY_MS)
+            self._log_staleness()
+            self._clock.sleep_ms(RETRY_DELAY_MS)
             return
-        self._note_late()
-        if self._follower.confirmed_ms - known_ms >= LEAST_TOLD_MS:
-            self._tell(self._follower)
+        self._log_staleness()
+        if self._follower.confirmed_ms - confirmed_before_ms >= MIN_CONFIRMATION_GAIN_MS:
+            self._send(self._follower)
 
     def _find_due_ms(self, limit_ms: float) -> float:
-        return max(self._follower.confirmed_ms + limit_ms, self._started_ms + START_MS)
+        return max(self._follower.confirmed_ms + limit_ms, self._started_ms + START_DELAY_MS)
 
-    def _note_late(self) -> None:
+    def _log_staleness(self) -> None:
         """Log when the view becomes stale, and when it is fresh again."""
         age_ms = self._follower.measure_age_ms()
-        is_late = age_ms >= STALE_MS
-        if is_late != self._is_late:
+        is_stale = age_ms >= STALE_VIEW_MS
+        if is_stale != self._is_stale:
             log_event(
-                Event.VIEW_AGED if is_late else Event.VIEW_FRESH,
-                "warning" if is_late else "info",
+                Event.VIEW_AGED if is_stale else Event.VIEW_FRESH,
+                "warning" if is_stale else "info",
                 kind=self._follower.kind,
                 version=self._follower.version,
                 age_ms=round(age_ms),
             )
-        self._is_late = is_late
+        self._is_stale = is_stale
--- a/hemlockswitch/process/gateway/known_versions.py
+++ b/hemlockswitch/process/gateway/known_versions.py
@@ -8,7 +8,7 @@
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.version.backend import BackendServer
 
-REFRESH_MS = 1_000.0
+MIN_REFRESH_INTERVAL_MS = 1_000.0
 """Minimum time between two lists of the rollout orders because of a version that no order names."""
 
 
@@ -60,19 +60,19 @@
     def select(self, service: str, servers: list[BackendServer]) -> list[BackendServer]:
         """Return the servers of the versions in force; all that are not withheld if there are none."""
         versions = {server.version for server in servers}
-        known = self._in_force.setdefault(service, versions)
+        in_force = self._in_force.setdefault(service, versions)
         withheld = self._withheld.get(service, ())
-        if versions <= known and not withheld:
+        if versions <= in_force and not withheld:
             return servers
-        for version in versions - known - set(withheld):
-            self._look_up(service, version)
+        for version in versions - in_force - set(withheld):
+            self._admit_if_listed(service, version)
         allowed = [one for one in servers if one.version not in withheld]
-        return [one for one in allowed if one.version in known] or allowed
+        return [one for one in allowed if one.version in in_force] or allowed
 
-    def _look_up(self, service: str, version: str) -> None:
+    def _admit_if_listed(self, service: str, version: str) -> None:
         """Put a version in force if the orders have been listed since it was first seen.
 
-        Otherwise request another list, at most every `REFRESH_MS`.
+        Otherwise request another list, at most every `MIN_REFRESH_INTERVAL_MS`.
         """
         now_ms = self._clock.now_ms()
         since_ms = self._unknown_since_ms.get((service, version))
@@ -82,6 +82,6 @@
         elif self._listed_ms > since_ms:
             self._in_force[service].add(version)
             return
-        if now_ms - self._refreshed_ms >= REFRESH_MS:
+        if now_ms - self._refreshed_ms >= MIN_REFRESH_INTERVAL_MS:
             self._refreshed_ms = now_ms
             self.request_refresh()
--- a/hemlockswitch/process/gateway/loads.py
+++ b/hemlockswitch/process/gateway/loads.py
@@ -21,22 +21,22 @@
 from hemlockswitch.request.placement import HOMES_CONSIDERED, Candidate, draw_considered
 from hemlockswitch.version.backend import BackendServer
 
-REMEMBERED_BEGINNINGS = 4_096
+MAX_RECORDED_PREFIXES = 4_096
 """Maximum number of prompt prefixes recorded for each server; about three times as many as a server
 caches."""
 ASSUMED_CAPACITY_TOKENS = 400_000.0
 """Cache capacity assumed for a server to which this daemon has not sent a prompt yet."""
-LEARNING_MS = 10_000.0
+CACHE_WARM_UP_MS = 10_000.0
 """How long a new process assumes that prompts are cached on their preferred servers, because it has no
 record of the prompts sent before its start. Traffic repeats most shared parts within this time."""
-MOST_TOLD = 200
+MAX_REPORTED_PROMPTS = 200
 """Maximum number of sent prompts in one report; more are dropped, since a report must stay small."""
 
 SentPrompt = tuple[str, Chain]
 """A server's incarnation, and the shared prefixes of a prompt that was sent to it."""
 
 
-class PromptMemory:
+class CachedPrefixes:
     """The prompt prefixes sent to a server; evicts the least recently used ones.
 
     Parameters
@@ -48,31 +48,31 @@
     def __init__(self, capacity_tokens: float) -> None:
         self.capacity_tokens = capacity_tokens
         self._tokens = 0.0
-        self._beginnings: OrderedDict[int, int] = OrderedDict()
+        self._prefixes: OrderedDict[int, int] = OrderedDict()
 
-    def note(self, chain: Chain) -> None:
+    def record(self, chain: Chain) -> None:
         """Record the shared prefixes of a prompt."""
         for digest, tokens in chain:
-            if digest not in self._beginnings:
+            if digest not in self._prefixes:
                 self._tokens += tokens
-                self._beginnings[digest] = tokens
-            self._beginnings.move_to_end(digest)
-        while self._beginnings and self._is_full():
-            _, tokens = self._beginnings.popitem(last=False)
+                self._prefixes[digest] = tokens
+            self._prefixes.move_to_end(digest)
+        while self._prefixes and self._is_full():
+            _, tokens = self._prefixes.popitem(last=False)
             self._tokens -= tokens
 
     def count_cached(self, chain: Chain) -> float:
         """Return the number of leading tokens of a prompt that are recorded as cached."""
         cached = 0.0
         for digest, tokens in chain:
-            if digest not in self._beginnings:
+            if digest not in self._prefixes:
                 break
             cached += tokens
         return cached
 
     def _is_full(self) -> bool:
         is_over = self._tokens > self.capacity_tokens
-        return is_over or len(self._beginnings) > REMEMBERED_BEGINNINGS
+        return is_over or len(self._prefixes) > MAX_RECORDED_PREFIXES
 
 
 class Ticket:
@@ -144,14 +144,14 @@
         self._on_change = on_change
         self._running: dict[str, int] = defaultdict(int)
         self._waiting: dict[str, float] = defaultdict(float)
-        self._untold_loads: set[str] = set()
+        self._unreported_loads: set[str] = set()
         self.failures = ServerFailures(clock)
-        self._memories: dict[str, PromptMemory] = {}
+        self._cached_prefixes: dict[str, CachedPrefixes] = {}
         self._demand: dict[str, DemandMeter] = {}
         self._reported = ReportedLoads(clock, get_period)
         self._homes: dict[str, Homes] = defaultdict(Homes)
         self._begun_ms = clock.now_ms()
-        self._untold: deque[SentPrompt] = deque(maxlen=MOST_TOLD)
+        self._unreported_prompts: deque[SentPrompt] = deque(maxlen=MAX_REPORTED_PROMPTS)
 
     def begin(
         self,
@@ -166,28 +166,28 @@
         meter = self._demand.setdefault(server.serves, DemandMeter())
         meter.add(self._clock.now_ms(), uncached_tokens)
         if prompt is not None and prompt.shared_chain:
-            self._note_prompt(server.incarnation, prompt.shared_chain).capacity_tokens = (
+            self._record_prompt(server.incarnation, prompt.shared_chain).capacity_tokens = (
                 capacity_tokens
             )
-            self._untold.append((server.incarnation, prompt.shared_chain))
+            self._unreported_prompts.append((server.incarnation, prompt.shared_chain))
         return Ticket(self, server.incarnation, uncached_tokens, on_begun)
 
     def add(self, name: str, running: int, waiting_tokens: float) -> None:
         """Change the own load on a server."""
         self._running[name] += running
         self._waiting[name] += waiting_tokens
-        self._untold_loads.add(name)
+        self._unreported_loads.add(name)
         self._on_change()
 
     def note_result(self, name: str, failed: bool) -> None:
         """Record the result of a send attempt."""
-        self.failures.note_own(name, failed=failed)
+        self.failures.record_own(name, failed=failed)
 
     def forget(self, name: str) -> None:
         """Discard the state of a removed server, except its send attempts in progress."""
-        self.failures.forget(name)
-        self._untold_loads.discard(name)
-        self._memories.pop(name, None)
+        self.failures.evict(name)
+        self._unreported_loads.discard(name)
+        self._cached_prefixes.pop(name, None)
         if not self._running.get(name):
             self._running.pop(name, None)
             self._waiting.pop(name, None)
@@ -199,8 +199,8 @@
 
     def count_running(self, names: Collection[str]) -> int:
         """Return the number of requests of all daemons in progress on the given servers."""
-        others = self._reported.sum_loads()
-        return sum(self._running.get(name, 0) + others.running.get(name, 0) for name in names)
+        reported = self._reported.sum_loads()
+        return sum(self._running.get(name, 0) + reported.running.get(name, 0) for name in names)
 
     def describe_own(self) -> dict[str, ServerLoad]:
         """Return the own load, to be reported to other daemons."""
@@ -214,12 +214,12 @@
         """Return the own load on the servers where it has changed since the last call."""
         changed = {
             name: ServerLoad(self._running.get(name, 0), round(self._waiting.get(name, 0.0)))
-            for name in self._untold_loads
+            for name in self._unreported_loads
         }
-        self._untold_loads.clear()
+        self._unreported_loads.clear()
         return changed
 
-    def take_changes(
+    def apply_changes(
         self,
         daemon: str,
         changes: Mapping[str, ServerLoad],
@@ -227,13 +227,13 @@
         order: Order,
     ) -> None:
         """Apply changes of another daemon's load; its load on other servers stays as it is."""
-        self._reported.take_changes(daemon, changes, order)
-        self._note_sent(sent)
+        self._reported.apply_changes(daemon, changes, order)
+        self._record_sent(sent)
 
     def pop_sent(self) -> list[SentPrompt]:
         """Return the prompts sent since the last call, to be reported to other daemons."""
-        sent = list(self._untold)
-        self._untold.clear()
+        sent = list(self._unreported_prompts)
+        self._unreported_prompts.clear()
         return sent
 
     def take_report(
@@ -248,19 +248,19 @@
         Parameters
         ==========
 
-        order : see `ReportedLoads.take`.
+        order : see `ReportedLoads.apply_report`.
         """
-        self._reported.take(daemon, report, order)
-        self._note_sent(sent)
+        self._reported.apply_report(daemon, report, order)
+        self._record_sent(sent)
 
-    def _note_sent(self, sent: Sequence[SentPrompt]) -> None:
+    def _record_sent(self, sent: Sequence[SentPrompt]) -> None:
         for name, chain in sent:
-            self._note_prompt(name, chain)
+            self._record_prompt(name, chain)
 
-    def _note_prompt(self, name: str, chain: Chain) -> PromptMemory:
-        memory = self._memories.setdefault(name, PromptMemory(ASSUMED_CAPACITY_TOKENS))
-        memory.note(chain)
-        return memory
+    def _record_prompt(self, name: str, chain: Chain) -> CachedPrefixes:
+        prefixes = self._cached_prefixes.setdefault(name, CachedPrefixes(ASSUMED_CAPACITY_TOKENS))
+        prefixes.record(chain)
+        return prefixes
 
     def build_candidates(
         self,
@@ -280,49 +280,55 @@
         find_distance_ms : returns the additional latency to a zone.
         chance : draws the servers that are compared for a prompt; None to compare all.
         """
-        ranks = self._rank_homes(servers, prompt)
+        ranks = self._rank_preferred_servers(servers, prompt)
         if prompt is not None and chance is not None:
-            likely = self._list_holders(prompt)
+            likely = self._list_caching_servers(prompt)
             likely |= {name for name, rank in ranks.items() if rank < HOMES_CONSIDERED}
             servers = draw_considered(
                 servers,
                 lambda server: server.name in likely or server.incarnation in likely,
                 chance,
             )
-        others = self._reported.sum_loads({server.incarnation for server in servers})
-        look = _Look(prompt, ranks, others, tokens_per_ms, find_distance_ms)
-        return [self._build_candidate(server, look) for server in servers]
+        reported = self._reported.sum_loads({server.incarnation for server in servers})
+        comparison = _Look(prompt, ranks, reported, tokens_per_ms, find_distance_ms)
+        return [self._build_candidate(server, comparison) for server in servers]
 
-    def _rank_homes(self, servers: list[BackendServer], prompt: Prompt | None) -> dict[str, int]:
+    def _rank_preferred_servers(
+        self, servers: list[BackendServer], prompt: Prompt | None
+    ) -> dict[str, int]:
         """Return the ranks of the preferred servers of a prompt's last shared part."""
         if not servers or prompt is None or not prompt.shared_parts:
             return {}
         key = prompt.shared_parts[-1].identifier
         return self._homes[servers[0].serves].rank(key, [server.name for server in servers])
 
-    def _list_holders(self, prompt: Prompt) -> set[str]:
+    def _list_caching_servers(self, prompt: Prompt) -> set[str]:
         """Return the incarnations of the servers to which a prompt's first shared part was sent."""
         if not prompt.shared_chain:
             return set()
         first = prompt.shared_chain[:1]
-        return {name for name, memory in self._memories.items() if memory.count_cached(first)}
+        return {
+            name for name, memory in self._cached_prefixes.items() if memory.count_cached(first)
+        }
 
-    def _build_candidate(self, server: BackendServer, look: "_Look") -> Candidate:
+    def _build_candidate(self, server: BackendServer, comparison: "_Look") -> Candidate:
         name = server.incarnation
-        waiting_tokens = look.others.estimate_waiting_tokens(name, look.tokens_per_ms)
+        waiting_tokens = comparison.others.estimate_waiting_tokens(name, comparison.tokens_per_ms)
         return Candidate(
             server=server,
-            running=self._running.get(name, 0) + look.others.running.get(name, 0),
+            running=self._running.get(name, 0) + comparison.others.running.get(name, 0),
             waiting_tokens=self._waiting.get(name, 0.0) + waiting_tokens,
-            cached_tokens=self._count_cached(name, look.prompt) if look.prompt else None,
-            home_rank=look.ranks.get(server.name, NO_HOME),
-            distance_ms=look.find_distance_ms(server.zone),
+            cached_tokens=(
+                self._count_cached(name, comparison.prompt) if comparison.prompt else None
+            ),
+            home_rank=comparison.ranks.get(server.name, NO_HOME),
+            distance_ms=comparison.find_distance_ms(server.zone),
             failure_rate=self.failures.get_rate(name),
         )
 
     def _count_cached(self, name: str, prompt: Prompt) -> float | None:
         """Return the cached tokens; None if there are none but this process started too recently to tell."""
-        memory = self._memories.get(name)
-        cached = memory.count_cached(prompt.shared_chain) if memory is not None else 0.0
-        is_learning = self._clock.now_ms() - self._begun_ms < LEARNING_MS
-        return None if is_learning and not cached else cached
+        prefixes = self._cached_prefixes.get(name)
+        cached = prefixes.count_cached(prompt.shared_chain) if prefixes is not None else 0.0
+        is_warming_up = self._clock.now_ms() - self._begun_ms < CACHE_WARM_UP_MS
+        return None if is_warming_up and not cached else cached
--- a/hemlockswitch/process/gateway/neighbours.py
+++ b/hemlockswitch/process/gateway/neighbours.py
@@ -7,9 +7,9 @@
 
 from hemlockswitch.process.gateway.messages import GatewayReport
 from hemlockswitch.process.gateway.report_period import (
-    FAR_REPORTS_PER_S,
+    MAX_FAR_REPORTS_PER_S,
+    MAX_NEAR_REPORTS_PER_S,
     MESH_GATEWAYS,
-    NEAR_REPORTS_PER_S,
     ReportPeriod,
 )
 from hemlockswitch.process.gateway.watch_guard import StoreView
@@ -25,18 +25,20 @@
 
     name: str
     address: str
-    known_ms: float
+    first_seen_ms: float
     zone: str = ""  # empty while neither its registration nor a report has stated it
     link_mbps: float = 0.0  # 0 while neither its registration nor a report has stated it
     version: int = 0  # of its registration; 0 while only reports of it were received
-    heard_ms: float = float("-inf")  # when it was last received from, directly or over a relay
+    last_received_ms: float = float(
+        "-inf"
+    )  # when it was last received from, directly or over a relay
     report: GatewayReport | None = None
     reported_ms: float = float("-inf")  # when `report` was received
     view: StoreView = StoreView()
 
 
 @dataclass(frozen=True)
-class Neighbours:
+class PeerGroups:
     """The gateways that get this gateway's reports, and how often.
 
     Parameters
@@ -66,8 +68,8 @@
             True,
             near,
             far,
-            ReportPeriod.from_peers(len(near), NEAR_REPORTS_PER_S),
-            ReportPeriod.from_peers(len(far), FAR_REPORTS_PER_S),
+            ReportPeriod.from_peers(len(near), MAX_NEAR_REPORTS_PER_S),
+            ReportPeriod.from_peers(len(far), MAX_FAR_REPORTS_PER_S),
         )
 
 
@@ -85,8 +87,8 @@
     If there are none, all peers are considered: after a restart of the fleet nothing has been received
     yet, and the registrations are still valid.
     """
-    heard = [peer for peer in peers if peer.heard_ms >= oldest_ms] or list(peers)
-    relays = sorted(heard, key=lambda peer: rank_gateway(peer.name, peer.link_mbps))[
+    recent = [peer for peer in peers if peer.last_received_ms >= oldest_ms] or list(peers)
+    relays = sorted(recent, key=lambda peer: rank_gateway(peer.name, peer.link_mbps))[
         :RELAYS_PER_ZONE
     ]
     return [peer.address for peer in random.sample(relays, len(relays))]
--- a/hemlockswitch/process/gateway/prober.py
+++ b/hemlockswitch/process/gateway/prober.py
@@ -7,7 +7,7 @@
 from hemlockswitch.connection.backend_pool import BackendPool
 from hemlockswitch.connection.exchange_errors import ExchangeError
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.process.gateway.reachability import LOOK_MS, Reachability
+from hemlockswitch.process.gateway.reachability import ZONE_POLL_INTERVAL_MS, Reachability
 from hemlockswitch.version.backend import BackendServer
 
 
@@ -38,8 +38,8 @@
     def run(self) -> None:
         """Check the zones and probe suspects until the task is killed."""
         while True:
-            self._clock.sleep_ms(LOOK_MS)
-            self._reachability.look()
+            self._clock.sleep_ms(ZONE_POLL_INTERVAL_MS)
+            self._reachability.check_zones()
             for server in self._reachability.list_probes(self._list_servers()):
                 gevent.spawn(self._probe, server)
 
@@ -53,7 +53,7 @@
         if self._connect(server, timeout_ms):
             return False
         is_silent = self._clock.now_ms() - began_ms >= timeout_ms
-        self._reachability.note_unreachable(server, is_silent=is_silent)
+        self._reachability.record_unreachable(server, is_silent=is_silent)
         return not is_silent
 
     def _probe(self, server: BackendServer) -> None:
@@ -67,5 +67,5 @@
             self._pool.warm(server.address, timeout_ms)
         except ExchangeError:
             return False
-        self._reachability.note_connected(server, self._clock.now_ms() - began_ms)
+        self._reachability.record_connected(server, self._clock.now_ms() - began_ms)
         return True
--- a/hemlockswitch/process/gateway/reachability.py
+++ b/hemlockswitch/process/gateway/reachability.py
@@ -22,74 +22,80 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.gateway.report_period import MISSED_REPORTS, SILENT_GAPS, ReportPeriod
+from hemlockswitch.process.gateway.report_period import (
+    MISSED_REPORTS,
+    UNRESPONSIVE_ZONE_GAPS,
+    ReportPeriod,
+)
 from hemlockswitch.version.backend import BackendServer
 
-SILENT_MS = 500.0
+MIN_ZONE_TIMEOUT_MS = 500.0
 """Minimum time without a message before a zone is suspected; its gateways' report periods may demand
 more."""
-LEAST_CONNECT_MS = 150.0
-MOST_CONNECT_MS = 500.0
+MIN_CONNECT_TIMEOUT_MS = 150.0
+MAX_CONNECT_TIMEOUT_MS = 500.0
 """Bounds of the connection time-out: longer than this process pauses for a large configuration, and
 shorter than the second after which a dropped opening packet is sent again."""
-CONNECT_FACTOR = 10.0
+CONNECT_TIMEOUT_FACTOR = 10.0
 """Ratio of the connection time-out to the usual connection time, which includes queueing at a busy
 server."""
-SMOOTHING = 0.2
+CONNECT_TIME_SMOOTHING = 0.2
 """Weight of one connection in the moving average of the connection time."""
-LOOK_MS = 100.0
+ZONE_POLL_INTERVAL_MS = 100.0
 """Time between two checks for unresponsive zones."""
-STALL_MS = 250.0
+MIN_STALL_MS = 250.0
 """A check that is this late shows that the process itself was stalled."""
-PRIOR_DISTANCE_MS = 3.0
+DEFAULT_ZONE_LATENCY_MS = 3.0
 """Additional latency assumed for another zone before connections have been measured: two crossings of
 about a millisecond."""
-CROSSING_MS = 1.0
+ZONE_CROSSING_COST_MS = 1.0
 """Cost of traffic between zones, expressed as latency: little compared with reading a prompt again."""
-PROBE_MS = 200.0
+PROBE_INTERVAL_MS = 200.0
 """Time between two probes of a zone's suspects: how late the return of a zone may be detected."""
-MOST_PROBES = 2
+MAX_PROBES_PER_ZONE = 2
 """Maximum number of suspects of one zone that are probed at once, drawn at random. When a zone returns any
 of its servers answers, and a single server among several suspects is probed within a second."""
-RETURN_MS = 1_500.0
+ZONE_RETURN_GRACE_MS = 1_500.0
 """How long after its return a zone is not suspected for missing messages: broken streams to its gateways
 are opened again only after a pause."""
-ZONE_EVIDENCE = 2
+MIN_TIMED_OUT_SERVERS = 2
 """Number of servers of a zone that must not answer, without an answer from the zone in between, for the
 zone to be suspected before its time without messages is up."""
 
 
 @dataclass(frozen=True)
-class _Word:
+class _ReceivedReport:
     """When the last report of a gateway came, and the period within which it announced the next one."""
 
-    heard_ms: float
+    received_ms: float
     period_ms: float
 
 
 @dataclass
-class _Zone:
+class _ZoneState:
     """The state of a zone."""
 
-    heard_ms: float
+    last_received_ms: float
     returned_ms: float = float("-inf")
     is_suspect: bool = False
     probed_ms: float = float("-inf")
     timed_out: set[str] = field(default_factory=set)  # incarnations, since a server answered
-    words: dict[str, _Word] = field(default_factory=dict)  # by gateway
+    reports: dict[str, _ReceivedReport] = field(default_factory=dict)  # by gateway
 
-    def find_silence_ms(self) -> float:
+    def find_timeout_ms(self) -> float:
         """Return the time without a message after which the zone is suspected."""
-        talking = [
-            word
-            for word in self.words.values()
-            if self.heard_ms - word.heard_ms <= MISSED_REPORTS * word.period_ms
+        active = [
+            report
+            for report in self.reports.values()
+            if self.last_received_ms - report.received_ms <= MISSED_REPORTS * report.period_ms
         ]
-        if not talking:
-            return SILENT_MS
-        gap_ms = 1.0 / sum(1.0 / word.period_ms for word in talking)
-        shortest_ms = min(word.period_ms for word in talking)
-        return max(SILENT_MS, min(MISSED_REPORTS * shortest_ms, SILENT_GAPS * gap_ms))
+        if not active:
+            return MIN_ZONE_TIMEOUT_MS
+        gap_ms = 1.0 / sum(1.0 / report.period_ms for report in active)
+        shortest_ms = min(report.period_ms for report in active)
+        return max(
+            MIN_ZONE_TIMEOUT_MS, min(MISSED_REPORTS * shortest_ms, UNRESPONSIVE_ZONE_GAPS * gap_ms)
+        )
 
 
 class Reachability:
@@ -101,7 +107,7 @@
     zone : this gateway's availability zone, which is never suspected as a zone.
     get_period : returns the time between two reports of the gateways of this zone.
     clock : the time.
-    on_zone_lost : called with a zone when it becomes suspected.
+    on_zone_suspected : called with a zone when it becomes suspected.
     """
 
     def __init__(
@@ -109,17 +115,17 @@
         zone: str,
         get_period: Callable[[], ReportPeriod],
         clock: Clock,
-        on_zone_lost: Callable[[str], None] = lambda _: None,
+        on_zone_suspected: Callable[[str], None] = lambda _: None,
     ) -> None:
         self._zone = zone
         self._get_period = get_period
         self._clock = clock
-        self._on_zone_lost = on_zone_lost
-        self._zones: dict[str, _Zone] = {}
+        self._on_zone_suspected = on_zone_suspected
+        self._zones: dict[str, _ZoneState] = {}
         self._suspects: dict[str, BackendServer] = {}
         self._reached_ms: dict[str, float] = {}
         self._connect_ms: dict[str, float] = {}
-        self._looked_ms = clock.now_ms()
+        self._checked_ms = clock.now_ms()
 
     def is_suspect(self, server: BackendServer) -> bool:
         """Return whether a server should get no requests while other servers are available."""
@@ -133,44 +139,46 @@
     def find_connect_timeout_ms(self) -> float:
         """Return the connection time-out."""
         if not self._connect_ms:
-            return MOST_CONNECT_MS
+            return MAX_CONNECT_TIMEOUT_MS
         usual_ms = max(self._connect_ms.values())
-        return min(max(CONNECT_FACTOR * usual_ms, LEAST_CONNECT_MS), MOST_CONNECT_MS)
+        return min(
+            max(CONNECT_TIMEOUT_FACTOR * usual_ms, MIN_CONNECT_TIMEOUT_MS), MAX_CONNECT_TIMEOUT_MS
+        )
 
     def find_distance_ms(self, zone: str) -> float:
         """Return the additional latency of a request to a zone, compared with this gateway's zone."""
         if zone == self._zone:
             return 0.0
         if zone not in self._connect_ms or self._zone not in self._connect_ms:
-            return PRIOR_DISTANCE_MS
+            return DEFAULT_ZONE_LATENCY_MS
         longer_ms = self._connect_ms[zone] - self._connect_ms[self._zone]
-        return max(longer_ms, 0.0) + CROSSING_MS
+        return max(longer_ms, 0.0) + ZONE_CROSSING_COST_MS
 
-    def note_heard(self, zone: str) -> None:
+    def record_received(self, zone: str) -> None:
         """Record that a report, or bytes of a server's answer, came from a zone."""
-        known = self._zones.setdefault(zone, _Zone(self._clock.now_ms()))
-        known.heard_ms = self._clock.now_ms()
-        if known.is_suspect:
-            known.is_suspect = False
-            known.returned_ms = self._clock.now_ms()
-            known.timed_out.clear()
+        state = self._zones.setdefault(zone, _ZoneState(self._clock.now_ms()))
+        state.last_received_ms = self._clock.now_ms()
+        if state.is_suspect:
+            state.is_suspect = False
+            state.returned_ms = self._clock.now_ms()
+            state.timed_out.clear()
             log_event(Event.ZONE_REACHED, zone=zone)
 
-    def note_connected(self, server: BackendServer, took_ms: float) -> None:
+    def record_connected(self, server: BackendServer, took_ms: float) -> None:
         """Record that a connection to a server was opened."""
         usual_ms = self._connect_ms.get(server.zone, took_ms)
-        self._connect_ms[server.zone] = usual_ms + SMOOTHING * (took_ms - usual_ms)
-        self.note_answer(server)
+        self._connect_ms[server.zone] = usual_ms + CONNECT_TIME_SMOOTHING * (took_ms - usual_ms)
+        self.record_answer(server)
 
-    def note_answer(self, server: BackendServer) -> None:
+    def record_answer(self, server: BackendServer) -> None:
         """Record that a server sent bytes."""
-        self.note_heard(server.zone)
+        self.record_received(server.zone)
         self._zones[server.zone].timed_out.clear()
         self._reached_ms[server.incarnation] = self._clock.now_ms()
         if self._suspects.pop(server.incarnation, None) is not None:
             log_event(Event.BACKEND_REACHED, server=server.incarnation)
 
-    def note_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
+    def record_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
         """Record that a connection to a server could not be opened.
 
         Parameters
@@ -178,53 +186,53 @@
 
         is_silent : whether there was no answer at all; a refusal concerns this server alone.
         """
-        self._suspect(server, "unreachable")
+        self._suspect_server(server, "unreachable")
         if not is_silent:
             return
-        known = self._zones.setdefault(server.zone, _Zone(self._clock.now_ms()))
-        known.timed_out.add(server.incarnation)
-        if server.zone != self._zone and len(known.timed_out) >= ZONE_EVIDENCE:
-            self._lose(server.zone, known)
+        state = self._zones.setdefault(server.zone, _ZoneState(self._clock.now_ms()))
+        state.timed_out.add(server.incarnation)
+        if server.zone != self._zone and len(state.timed_out) >= MIN_TIMED_OUT_SERVERS:
+            self._suspect_zone(server.zone, state)
 
-    def note_report(self, zone: str, gateway: str, period_ms: float) -> None:
+    def record_report(self, zone: str, gateway: str, period_ms: float) -> None:
         """Record that a gateway of a zone reported, and will report again within a period."""
-        self.note_heard(zone)
+        self.record_received(zone)
         if period_ms > 0:
-            self._zones[zone].words[gateway] = _Word(self._clock.now_ms(), period_ms)
+            self._zones[zone].reports[gateway] = _ReceivedReport(self._clock.now_ms(), period_ms)
 
-    def take_unreachable(
-        self, zone: str, unreachable: Iterable[str], known: Iterable[BackendServer]
+    def apply_unreachable(
+        self, zone: str, unreachable: Iterable[str], servers: Iterable[BackendServer]
     ) -> None:
         """Suspect the servers that another gateway of this zone suspects.
 
         A gateway of this zone is on the same side of a partition, so its suspicion is adopted, except for
         servers that recently answered this gateway.
         """
-        told = set(unreachable)
-        if zone != self._zone or not told:
+        reported = set(unreachable)
+        if zone != self._zone or not reported:
             return
-        oldest_ms = self._clock.now_ms() - self._get_period().told_ms
-        for server in known:
+        oldest_ms = self._clock.now_ms() - self._get_period().suspicion_overrule_ms
+        for server in servers:
             reached_ms = self._reached_ms.get(server.incarnation, float("-inf"))
-            if server.incarnation in told and reached_ms < oldest_ms:
-                self._suspect(server, "told")
+            if server.incarnation in reported and reached_ms < oldest_ms:
+                self._suspect_server(server, "told")
 
     def describe_unreachable(self) -> list[str]:
         """Return the individually suspected servers, to be reported to other gateways."""
         return sorted(self._suspects)
 
-    def look(self) -> None:
+    def check_zones(self) -> None:
         """Suspect the zones that are unresponsive; to be called several times a second."""
         now_ms = self._clock.now_ms()
-        if now_ms - self._looked_ms > STALL_MS:
+        if now_ms - self._checked_ms > MIN_STALL_MS:
             # Messages that arrived during the stall have not been read yet.
-            for known in self._zones.values():
-                known.heard_ms = now_ms
-        self._looked_ms = now_ms
-        for zone, known in self._zones.items():
-            since_ms = max(known.heard_ms, known.returned_ms + RETURN_MS)
-            if zone != self._zone and now_ms - since_ms > known.find_silence_ms():
-                self._lose(zone, known)
+            for state in self._zones.values():
+                state.last_received_ms = now_ms
+        self._checked_ms = now_ms
+        for zone, state in self._zones.items():
+            since_ms = max(state.last_received_ms, state.returned_ms + ZONE_RETURN_GRACE_MS)
+            if zone != self._zone and now_ms - since_ms > state.find_timeout_ms():
+                self._suspect_zone(zone, state)
 
     def list_probes(self, servers: Iterable[BackendServer]) -> list[BackendServer]:
         """Return the suspects to probe now: a few of each zone."""
@@ -235,10 +243,10 @@
                 by_zone[server.zone].append(server)
         chosen: list[BackendServer] = []
         for zone, suspects in by_zone.items():
-            known = self._zones.setdefault(zone, _Zone(now_ms))
-            if now_ms - known.probed_ms >= PROBE_MS:
-                known.probed_ms = now_ms
-                chosen += random.sample(suspects, min(MOST_PROBES, len(suspects)))
+            state = self._zones.setdefault(zone, _ZoneState(now_ms))
+            if now_ms - state.probed_ms >= PROBE_INTERVAL_MS:
+                state.probed_ms = now_ms
+                chosen += random.sample(suspects, min(MAX_PROBES_PER_ZONE, len(suspects)))
         return chosen
 
     def forget(self, server: BackendServer) -> None:
@@ -246,20 +254,20 @@
         self._suspects.pop(server.incarnation, None)
         self._reached_ms.pop(server.incarnation, None)
 
-    def _suspect(self, server: BackendServer, reason: str) -> None:
+    def _suspect_server(self, server: BackendServer, reason: str) -> None:
         if server.incarnation not in self._suspects:
             log_event(
                 Event.BACKEND_SUSPECTED, server=server.incarnation, zone=server.zone, reason=reason
             )
         self._suspects[server.incarnation] = server
 
-    def _lose(self, zone: str, known: _Zone) -> None:
-        if known.is_suspect:
+    def _suspect_zone(self, zone: str, state: _ZoneState) -> None:
+        if state.is_suspect:
             return
-        known.is_suspect = True
-        silent_ms = round(self._clock.now_ms() - known.heard_ms)
-        timed_out = sorted(known.timed_out)
+        state.is_suspect = True
+        silent_ms = round(self._clock.now_ms() - state.last_received_ms)
+        timed_out = sorted(state.timed_out)
         log_event(
             Event.ZONE_UNREACHABLE, "warning", zone=zone, silent_ms=silent_ms, servers=timed_out
         )
-        self._on_zone_lost(zone)
+        self._on_zone_suspected(zone)
--- a/hemlockswitch/process/gateway/registry.py
+++ b/hemlockswitch/process/gateway/registry.py
@@ -19,27 +19,27 @@
 RETURN_WINDOW_MS = 2_000.0
 """Entries that lapsed while the registry was unavailable are registered again within two seconds of its
 return."""
-HOLD_MS = 1_500.0
+MAX_LAPSED_RETENTION_MS = 1_500.0
 """Maximum time for which a lapsed entry is retained: a stopped server must get no work later than two
 seconds after its removal."""
-LAPSE_SHARE = 0.5
-FEWEST_LAPSED = 4
-"""Removals count as a lapse when they concern at least `FEWEST_LAPSED` live servers and more than this
+MIN_LAPSED_FRACTION = 0.5
+MIN_LAPSED = 4
+"""Removals count as a lapse when they concern at least `MIN_LAPSED` live servers and more than this
 share of them. So many do not stop at one moment without announcing it: a reclaim takes one zone, with
 notice. This also detects an outage of the registry during which this process made no call."""
-MISDIRECTED_MS = 3_000.0
+MISDIRECTED_EXCLUSION_MS = 3_000.0
 """How long a server is excluded after its address answered as another server; by then its entry has been
 corrected or removed."""
-FILLS_MS = 3_000.0
+MIN_FILL_MS = 3_000.0
 """When all processes start together, most servers register within two heartbeats of 1.2 s."""
-QUIET_MS = 1_200.0
+NO_NEW_SERVER_MS = 1_200.0
 """A heartbeat interval without a new server shows that every server is registered. A scaling order made
 earlier would remove the servers that it does not count."""
-MOST_LINES = 4
+MAX_CHANGE_LINES = 4
 """Maximum number of changes of one page that are logged a line each; a page with more is logged as one
 line with all names."""
-LONGEST_FILL_MS = 8_000.0
-"""Limits `FILLS_MS` and `QUIET_MS` together: servers that come and go all the time must not delay the
+MAX_FILL_MS = 8_000.0
+"""Limits `MIN_FILL_MS` and `NO_NEW_SERVER_MS` together: servers that come and go all the time must not delay the
 scaling orders."""
 
 
@@ -81,18 +81,18 @@
 
     A removed entry is dropped at once, with one exception: right after the registry returns from
     an outage, or when most entries are removed at once, the lapsed entries are retained for at most
-    `HOLD_MS`, since live servers register again.
+    `MAX_LAPSED_RETENTION_MS`, since live servers register again.
 
     Parameters
     ==========
 
     decode : turns an entry into a backend server; raises `ConfigurationError`.
     clock : the time.
-    on_gone : called with a server that gets no new work from now on.
+    on_removed : called with a server that gets no new work from now on.
     """
 
     def __init__(
-        self, decode: Decoder, clock: Clock, on_gone: Callable[[BackendServer], None]
+        self, decode: Decoder, clock: Clock, on_removed: Callable[[BackendServer], None]
     ) -> None:
         self.get_recovered_ms: Callable[[], float] = lambda: float("-inf")
         self.measure_age_ms: Callable[[], float] = (
@@ -100,10 +100,10 @@
         )  # of the state before a page is applied
         self._decode = decode
         self._clock = clock
-        self._on_gone = on_gone
+        self._on_removed = on_removed
         self._servers: dict[str, BackendServer] = {}
         self._by_service: dict[str, dict[str, BackendServer]] = defaultdict(dict)
-        self._held_until_ms: dict[str, float] = {}
+        self._retained_until_ms: dict[str, float] = {}
         self._misdirected_until_ms: dict[str, float] = {}
         self._digest: int | None = None  # None after a change
         self._last_new_ms = float("-inf")
@@ -139,11 +139,11 @@
         """Return whether entries were removed because their heartbeats could not be written."""
         live = {name for name, one in self._servers.items() if one.state is BackendState.LIVE}
         lapsed = live.intersection(removed)
-        return len(lapsed) >= FEWEST_LAPSED and len(lapsed) > LAPSE_SHARE * len(live)
+        return len(lapsed) >= MIN_LAPSED and len(lapsed) > MIN_LAPSED_FRACTION * len(live)
 
     def list_ready(self, service: str) -> list[BackendServer]:
         """Return the servers of a service that may get new requests."""
-        self._drop_held()
+        self._drop_expired()
         now_ms = self._clock.now_ms()
         return [
             server
@@ -154,14 +154,14 @@
 
     def is_live(self, server: BackendServer) -> bool:
         """Return whether this process of a server is registered and is not leaving."""
-        known = self._servers.get(server.name)
-        if known is None or known.incarnation != server.incarnation:
+        registered = self._servers.get(server.name)
+        if registered is None or registered.incarnation != server.incarnation:
             return False
-        return known.state is BackendState.LIVE
+        return registered.state is BackendState.LIVE
 
     def list_all(self) -> list[BackendServer]:
         """Return every listed server, including those that are leaving."""
-        self._drop_held()
+        self._drop_expired()
         return list(self._servers.values())
 
     def is_mostly_filled(self, synced_ms: float | None) -> bool:
@@ -172,7 +172,7 @@
 
         synced_ms : when the registry was first listed; None before.
         """
-        return synced_ms is not None and self._clock.now_ms() - synced_ms >= QUIET_MS
+        return synced_ms is not None and self._clock.now_ms() - synced_ms >= NO_NEW_SERVER_MS
 
     def is_complete(self, synced_ms: float | None) -> bool:
         """Return whether the registry has been followed long enough to contain every server.
@@ -184,9 +184,9 @@
         """
         if not self._is_complete and synced_ms is not None:
             now_ms = self._clock.now_ms()
-            is_quiet = now_ms - self._last_new_ms >= QUIET_MS
+            is_quiet = now_ms - self._last_new_ms >= NO_NEW_SERVER_MS
             followed_ms = now_ms - synced_ms
-            self._is_complete = followed_ms >= (FILLS_MS if is_quiet else LONGEST_FILL_MS)
+            self._is_complete = followed_ms >= (MIN_FILL_MS if is_quiet else MAX_FILL_MS)
         return self._is_complete
 
     def hash_servers(self) -> int:
@@ -199,8 +199,8 @@
         return self._digest
 
     def note_misdirected(self, name: str) -> None:
-        """Exclude for `MISDIRECTED_MS` a server whose address now belongs to another server."""
-        self._misdirected_until_ms[name] = self._clock.now_ms() + MISDIRECTED_MS
+        """Exclude for `MISDIRECTED_EXCLUSION_MS` a server whose address now belongs to another server."""
+        self._misdirected_until_ms[name] = self._clock.now_ms() + MISDIRECTED_EXCLUSION_MS
 
     def _put(self, item: StoredObject) -> None:
         try:
@@ -213,7 +213,7 @@
         server = self._departures.correct(server)
         before = self._servers.get(server.name)
         if before is not None and before.incarnation != server.incarnation:
-            self._note_restart(before, server)
+            self._record_restart(before, server)
         if before is None:
             self._last_new_ms = self._clock.now_ms()
         else:
@@ -221,17 +221,17 @@
         self._servers[server.name] = server
         self._digest = None
         self._by_service[server.serves][server.name] = server
-        self._held_until_ms.pop(server.name, None)
+        self._retained_until_ms.pop(server.name, None)
         if before is None or before.state is not server.state:
             self._changes.append(_Change(server, server.state, item.version))
         if server.state is BackendState.LEAVING:
-            self._departures.note(server)
-            self._on_gone(server)
+            self._departures.record(server)
+            self._on_removed(server)
 
-    def _note_restart(self, before: BackendServer, server: BackendServer) -> None:
+    def _record_restart(self, before: BackendServer, server: BackendServer) -> None:
         """Discard the state of the process that had this name before."""
         self._misdirected_until_ms.pop(before.name, None)
-        self._on_gone(before)
+        self._on_removed(before)
         log_event(
             Event.BACKEND_RESTARTED,
             server=server.name,
@@ -243,7 +243,7 @@
     def _log_changes(self, source: PageSource | None = None) -> None:
         """Log the collected changes, and the source of their page; None if a retained entry expired."""
         changes, self._changes = self._changes, []
-        if len(changes) <= MOST_LINES:
+        if len(changes) <= MAX_CHANGE_LINES:
             for change in changes:
                 change.log(source)
             return
@@ -266,27 +266,27 @@
         hold_ms = self.get_recovered_ms() + RETURN_WINDOW_MS - now_ms
         if is_lapse:
             # The entry may have been removed right after the state here was last confirmed.
-            hold_ms = max(hold_ms, HOLD_MS - self.measure_age_ms())
+            hold_ms = max(hold_ms, MAX_LAPSED_RETENTION_MS - self.measure_age_ms())
         if hold_ms <= 0 or server.state is not BackendState.LIVE:
             self._drop(name)
             return
-        hold_ms = min(hold_ms, HOLD_MS)
-        self._held_until_ms.setdefault(name, now_ms + hold_ms)
+        hold_ms = min(hold_ms, MAX_LAPSED_RETENTION_MS)
+        self._retained_until_ms.setdefault(name, now_ms + hold_ms)
         log_event(Event.BACKEND_HELD, server=name, hold_ms=round(hold_ms))
 
-    def _drop_held(self) -> None:
+    def _drop_expired(self) -> None:
         now_ms = self._clock.now_ms()
-        expired = [name for name, until in self._held_until_ms.items() if until <= now_ms]
+        expired = [name for name, until in self._retained_until_ms.items() if until <= now_ms]
         for name in expired:
             self._drop(name)
         if expired:
             self._log_changes()
 
     def _drop(self, name: str) -> None:
-        self._held_until_ms.pop(name, None)
+        self._retained_until_ms.pop(name, None)
         self._misdirected_until_ms.pop(name, None)
         server = self._servers.pop(name)
         self._digest = None
         self._by_service[server.serves].pop(name, None)
         self._changes.append(_Change(server, BackendState.GONE))
-        self._on_gone(server)
+        self._on_removed(server)
--- a/hemlockswitch/process/gateway/relayed_watch.py
+++ b/hemlockswitch/process/gateway/relayed_watch.py
@@ -23,17 +23,17 @@
 from hemlockswitch.process.gateway.follower import WatchedStore
 from hemlockswitch.process.gateway.messages import WatchedPage
 
-LOOK_MS = 200.0
+WATCHERS_POLL_INTERVAL_MS = 200.0
 """Time between two checks of the zone's watchers while no page arrives."""
 CATCH_UP_WAIT_MS = 100
 """How long a call for changes that are known to exist may wait."""
-ASK_WAIT_MS = 1
+QUERY_WAIT_MS = 1
 """How long a call that checks for changes may wait: the shortest wait that the service supports."""
-MOST_RELAYED_BYTES = 32 * 1024
+MAX_RELAYED_PAGE_BYTES = 32 * 1024
 """Maximum size of a relayed page; for a larger page only a notice is sent. To thirty gateways over a link of
 20 Mbit/s this size takes 0.4 s. A configuration of 300 KB would take four seconds, where each gateway reads
 it from the object service in 0.1 s."""
-MOST_PAGES_KEPT = 64
+MAX_QUEUED_PAGES = 64
 """Maximum number of pages that are queued while a call is in progress. A dropped page leaves a gap, for which
 the service is queried."""
 
@@ -66,7 +66,7 @@
     directory : the watchers of this zone.
     send_page : sends a page to the gateways of the zone that do not watch.
     clock : the time.
-    patience_ms : how long after a list to wait for a report of a watcher before this gateway watches for
+    watcher_wait_ms : how long after a list to wait for a report of a watcher before this gateway watches for
         itself. After a start of the whole fleet no gateway has a report of the watchers yet, and each
         would watch.
     """
@@ -77,19 +77,19 @@
         directory: WatcherDirectory,
         send_page: Callable[[WatchedPage], None],
         clock: Clock,
-        patience_ms: float = 0.0,
+        watcher_wait_ms: float = 0.0,
     ) -> None:
-        self._patience_ms = patience_ms
-        self._patient_until_ms = float("-inf")
+        self._watcher_wait_ms = watcher_wait_ms
+        self._wait_for_watchers_until_ms = float("-inf")
         self._store = store
         self._directory = directory
         self._send_page = send_page
         self._clock = clock
-        self._pages: deque[_ArrivedPage] = deque(maxlen=MOST_PAGES_KEPT)
+        self._pages: deque[_ArrivedPage] = deque(maxlen=MAX_QUEUED_PAGES)
         self._arrived = Signal()
-        self._must_ask = False
-        self._relies = False
-        self._known = 0
+        self._must_query = False
+        self._uses_watchers = False
+        self._received_version = 0
 
     def list(self, kind: str, prefix: str = "") -> ObjectPage:
         """Return all objects of a kind, from the object service itself.
@@ -103,8 +103,8 @@
             source=PageSource.LIST,
             confirmed_ms=asked_ms,
         )
-        self._patient_until_ms = self._clock.now_ms() + self._patience_ms
-        self._share(kind, 0, page)
+        self._wait_for_watchers_until_ms = self._clock.now_ms() + self._watcher_wait_ms
+        self._send_as_watcher(kind, 0, page)
         return page
 
     def watch(self, kind: str, since: int, wait_ms: int, prefix: str = "") -> ObjectPage:
@@ -118,19 +118,19 @@
         arrived = self._wait_for_page(kind, since)
         if arrived is not None:
             return arrived.page.to_object_page(arrived.arrived_ms)
-        since = max(since, self._known)
-        if self._must_ask:
+        since = max(since, self._received_version)
+        if self._must_query:
             wait_ms = CATCH_UP_WAIT_MS
-        self._must_ask = False
+        self._must_query = False
         asked_ms = self._clock.now_ms()
         answer = self._store.watch(kind, since, wait_ms, prefix)
         # Without a change the service answers at the end of the wait; with one, at any time since the call.
         has_waited = not answer.items and self._clock.now_ms() >= asked_ms + wait_ms
         answer = replace(answer, confirmed_ms=asked_ms + wait_ms if has_waited else asked_ms)
-        self._share(kind, since, answer)
+        self._send_as_watcher(kind, since, answer)
         return answer
 
-    def ask(self, kind: str, since: int) -> ObjectPage:
+    def query(self, kind: str, since: int) -> ObjectPage:
         """Return the changes after version `since` from the object service, without waiting.
 
         If there are any, the zone's watchers have not relayed them, so they are sent to the zone.
@@ -141,17 +141,17 @@
         HistoryGoneError, PlatformError : as from the object service.
         """
         asked_ms = self._clock.now_ms()
-        page = replace(self._store.watch(kind, since, ASK_WAIT_MS), confirmed_ms=asked_ms)
-        self.note_known(page.version)
+        page = replace(self._store.watch(kind, since, QUERY_WAIT_MS), confirmed_ms=asked_ms)
+        self.record_received(page.version)
         if page.items:
             self._send(kind, since, page)
         return page
 
-    def note_known(self, version: int) -> None:
+    def record_received(self, version: int) -> None:
         """Record that all changes up to a version were received by other means than a page of `watch`."""
-        self._known = max(self._known, version)
+        self._received_version = max(self._received_version, version)
 
-    def _share(self, kind: str, since: int, page: ObjectPage) -> None:
+    def _send_as_watcher(self, kind: str, since: int, page: ObjectPage) -> None:
         """Send a page to the other gateways of the zone, if this gateway watches for it."""
         if self._directory.is_watcher():
             self._send(kind, since, page)
@@ -159,11 +159,11 @@
     def _send(self, kind: str, since: int, page: ObjectPage) -> None:
         now_ms = self._clock.now_ms()
         message = WatchedPage.from_object_page(kind, since, page, now_ms)
-        if len(encode_message(message)) > MOST_RELAYED_BYTES:
+        if len(encode_message(message)) > MAX_RELAYED_PAGE_BYTES:
             message = WatchedPage.make_notice(kind, page.version, now_ms)
         self._send_page(message)
 
-    def take_page(self, page: WatchedPage, delay_ms: float = 0.0) -> None:
+    def queue_page(self, page: WatchedPage, delay_ms: float = 0.0) -> None:
         """Queue a page from a watcher; it was in transit for `delay_ms` longer than usual."""
         self._pages.append(_ArrivedPage(page, self._clock.now_ms() - delay_ms))
         self._arrived.set()
@@ -172,12 +172,12 @@
         """Return the next relayed page; None if the service must be called instead."""
         while self._may_wait_for_watchers(kind):
             self._wait()
-        while not self._must_ask:
-            known = max(since, self._known)
-            relayed = self._find_relayed(kind, known)
+        while not self._must_query:
+            received = max(since, self._received_version)
+            relayed = self._find_relayed(kind, received)
             if not relayed:
                 break
-            arrived = self._find_page(known, relayed)
+            arrived = self._find_page(received, relayed)
             if arrived is not None:
                 return arrived
             self._wait()
@@ -185,7 +185,7 @@
 
     def _may_wait_for_watchers(self, kind: str) -> bool:
         """Return whether to wait for a watcher's report before this gateway watches for itself."""
-        if self._must_ask or self._clock.now_ms() >= self._patient_until_ms:
+        if self._must_query or self._clock.now_ms() >= self._wait_for_watchers_until_ms:
             return False
         return not self._directory.find_relayed_version(kind)
 
@@ -194,7 +194,7 @@
         watches = self._directory.is_watcher()
         relayed = 0 if watches else self._directory.find_relayed_version(kind)
         relies = relayed > 0
-        if relies != self._relies:
+        if relies != self._uses_watchers:
             log_event(
                 Event.WATCH_RELIANCE_CHANGED,
                 watch=kind,
@@ -202,7 +202,7 @@
                 relayed=relayed,
                 since=since,
             )
-        self._relies = relies
+        self._uses_watchers = relies
         return relayed
 
     def _find_page(self, since: int, relayed: int) -> _ArrivedPage | None:
@@ -214,16 +214,16 @@
             if page.since <= since < page.version:
                 return arrived
             if page.since > since:
-                self._note_gap(since, page.since)
+                self._record_gap(since, page.since)
                 return None
         if relayed > since:
-            self._note_gap(since, relayed)
+            self._record_gap(since, relayed)
         return None
 
-    def _note_gap(self, since: int, relayed: int) -> None:
-        self._must_ask = True
+    def _record_gap(self, since: int, relayed: int) -> None:
+        self._must_query = True
         log_event(Event.WATCH_PAGE_MISSED, "warning", since=since, relayed=relayed)
 
     def _wait(self) -> None:
-        if not self._must_ask:
-            self._arrived.wait(LOOK_MS / MS_PER_SECOND)
+        if not self._must_query:
+            self._arrived.wait(WATCHERS_POLL_INTERVAL_MS / MS_PER_SECOND)
--- a/hemlockswitch/process/gateway/report_period.py
+++ b/hemlockswitch/process/gateway/report_period.py
@@ -9,48 +9,48 @@
 from dataclasses import dataclass
 from typing import Self
 
-REPORT_MS = 200.0
+REPORT_PERIOD_MS = 200.0
 """Report period of a small fleet. The overspending of accounts and the overload of servers grow with it;
 a fifth of a second of the largest account's traffic is far below the bounds."""
-REPORTS_PER_S = 100.0
+MAX_REPORTS_PER_S = 100.0
 """Maximum number of reports per second that a gateway sends to the receivers of one period. With more than
 twenty receivers the period grows, so that control uses a small part of a core."""
-MESH_GATEWAYS = int(REPORTS_PER_S * REPORT_MS / 1_000.0)
+MESH_GATEWAYS = int(MAX_REPORTS_PER_S * REPORT_PERIOD_MS / 1_000.0)
 """Maximum number of peers with which every gateway reports to all of them at the shortest period."""
-NEAR_REPORTS_PER_S = 30.0
-FAR_REPORTS_PER_S = 40.0
+MAX_NEAR_REPORTS_PER_S = 30.0
+MAX_FAR_REPORTS_PER_S = 40.0
 """Maximum numbers of reports per second in a larger fleet, to the gateways of the own zone and to all
 others. Loads and spending are sent at each change, so reports only show which gateways are running, and
 repair lost messages."""
-EARLY_GAP_MS = 40.0
+MIN_URGENT_GAP_MS = 40.0
 """Minimum time between two reports at the shortest period, for urgent changes that do not wait for the next
 periodic report. The gap grows with the square of the period, so that a large fleet sends few additional
 reports."""
 MISSED_REPORTS = 2.5
 """Number of periods after which a report counts as missing: two reports in a row may be lost on a bad link or
 delayed by a busy processor, three rarely are."""
-SILENT_GAPS = 10.0
+UNRESPONSIVE_ZONE_GAPS = 10.0
 """A zone counts as unresponsive after this many average gaps between reports of any of its gateways, if that
 is less than the time after which one of its gateways counts as missing. Gateways report independently of
 one another, so a gap of this length occurs by chance once in hours."""
-OUT_OF_TOUCH_REPORTS = 4.0
-LEAST_OUT_OF_TOUCH_MS = 1_500.0
+DISCONNECTED_REPORTS = 4.0
+MIN_DISCONNECTED_MS = 1_500.0
 """A gateway that has not been received from for this number of periods, and at least this time, counts as
 disconnected, since several reports are missing. Its share of the limits is not spent by the others."""
-LEAST_LIFE_MS = 1_500.0
+MIN_LOAD_LIFETIME_MS = 1_500.0
 """Minimum time for which a reported load counts. A load that is not reported again decreases by what the
 servers read meanwhile, and is wrong for no longer than a usual answer takes."""
-LEAST_COVERED_MS = 700.0
+MIN_RELIANCE_MS = 700.0
 """Minimum time since its last report for which a gateway is relied on for the objects that it watches."""
-LEAST_DIFFERENCE_MS = 600.0
+MIN_DIFFERENCE_MS = 600.0
 """Minimum time for which two views of the object service must differ before a watch is renewed: changes are
 gathered for about as long before the next watch."""
-LEAST_TOLD_MS = 1_000.0
+MIN_SUSPICION_OVERRULE_MS = 1_000.0
 """Minimum time for which an answer of a server to this gateway overrules the suspicion of other gateways."""
-LEAST_REPEATED_MS = 3_000.0
+MIN_REPEATED_MS = 3_000.0
 """Minimum time after an account's last request for which its sum is repeated in reports."""
-USAGE_MS = 250.0
-USAGE_REPORTS_PER_S = 100.0
+USAGE_PERIOD_MS = 250.0
+MAX_USAGE_REPORTS_PER_S = 100.0
 """Period of usage reports, and the maximum number of them per second at the one gateway that receives them
 all. What a killed gateway has counted since its last usage report is lost."""
 SETTLE_REPORTS = 2.0
@@ -77,21 +77,21 @@
 
     >>> ReportPeriod.from_peers(7).ms, ReportPeriod.from_peers(194).ms
     (200.0, 1940.0)
-    >>> ReportPeriod.from_peers(194).life_ms
+    >>> ReportPeriod.from_peers(194).load_lifetime_ms
     4850.0
     """
 
-    ms: float = REPORT_MS
+    ms: float = REPORT_PERIOD_MS
 
     @classmethod
-    def from_peers(cls, peers: int, reports_per_s: float = REPORTS_PER_S) -> Self:
+    def from_peers(cls, peers: int, reports_per_s: float = MAX_REPORTS_PER_S) -> Self:
         """Return the period with which a gateway can report to this number of peers."""
-        return cls(max(REPORT_MS, peers * 1_000.0 / reports_per_s))
+        return cls(max(REPORT_PERIOD_MS, peers * 1_000.0 / reports_per_s))
 
     @property
-    def early_gap_ms(self) -> float:
+    def urgent_gap_ms(self) -> float:
         """The minimum time between two reports when a change is urgent."""
-        return min(EARLY_GAP_MS * (self.ms / REPORT_MS) ** 2, self.ms)
+        return min(MIN_URGENT_GAP_MS * (self.ms / REPORT_PERIOD_MS) ** 2, self.ms)
 
     @property
     def missed_ms(self) -> float:
@@ -99,39 +99,39 @@
         return MISSED_REPORTS * self.ms
 
     @property
-    def life_ms(self) -> float:
+    def load_lifetime_ms(self) -> float:
         """The time for which a reported load counts."""
-        return max(LEAST_LIFE_MS, self.missed_ms)
+        return max(MIN_LOAD_LIFETIME_MS, self.missed_ms)
 
     @property
-    def out_of_touch_ms(self) -> float:
+    def disconnected_ms(self) -> float:
         """The time without a message after which a gateway counts as disconnected."""
-        return max(LEAST_OUT_OF_TOUCH_MS, OUT_OF_TOUCH_REPORTS * self.ms)
+        return max(MIN_DISCONNECTED_MS, DISCONNECTED_REPORTS * self.ms)
 
-    def find_zone_out_of_touch_ms(self, gateways: int) -> float:
+    def find_zone_disconnected_ms(self, gateways: int) -> float:
         """Return the time without a message after which a zone with `gateways` gateways is disconnected."""
         gap_ms = self.ms / max(gateways, 1)
-        return max(LEAST_OUT_OF_TOUCH_MS, min(self.out_of_touch_ms, SILENT_GAPS * gap_ms))
+        return max(MIN_DISCONNECTED_MS, min(self.disconnected_ms, UNRESPONSIVE_ZONE_GAPS * gap_ms))
 
     @property
-    def covered_ms(self) -> float:
+    def reliance_ms(self) -> float:
         """The maximum age of the last message of a gateway that is relied on for what it watches."""
-        return max(LEAST_COVERED_MS, self.missed_ms)
+        return max(MIN_RELIANCE_MS, self.missed_ms)
 
     @property
     def difference_ms(self) -> float:
         """The time for which two views of the object service must differ before one counts as wrong."""
-        return max(LEAST_DIFFERENCE_MS, self.missed_ms)
+        return max(MIN_DIFFERENCE_MS, self.missed_ms)
 
     @property
     def repeated_ms(self) -> float:
         """The time for which spending is repeated, so that several reports contain it."""
-        return max(LEAST_REPEATED_MS, self.missed_ms)
+        return max(MIN_REPEATED_MS, self.missed_ms)
 
     @property
-    def told_ms(self) -> float:
+    def suspicion_overrule_ms(self) -> float:
         """The maximum age of a server's answer that overrules the suspicion of other gateways."""
-        return max(LEAST_TOLD_MS, self.missed_ms)
+        return max(MIN_SUSPICION_OVERRULE_MS, self.missed_ms)
 
 
 @dataclass(frozen=True)
@@ -144,12 +144,12 @@
     ms : the period in milliseconds.
     """
 
-    ms: float = USAGE_MS
+    ms: float = USAGE_PERIOD_MS
 
     @classmethod
     def from_gateways(cls, gateways: int) -> Self:
         """Return the period with which one gateway can receive the reports of this number of gateways."""
-        return cls(max(USAGE_MS, gateways * 1_000.0 / USAGE_REPORTS_PER_S))
+        return cls(max(USAGE_PERIOD_MS, gateways * 1_000.0 / MAX_USAGE_REPORTS_PER_S))
 
     @property
     def settle_ms(self) -> float:
--- a/hemlockswitch/process/gateway/reported_loads.py
+++ b/hemlockswitch/process/gateway/reported_loads.py
@@ -72,14 +72,14 @@
     ==========
 
     order : the order of the newest report or change in it.
-    whole_order : the order of the last report of the complete load.
+    complete_order : the order of the last report of the complete load.
     changed : by server, the order of the newest change since that report.
     """
 
     received_ms: float
     order: Order
     loads: Mapping[str, ServerLoad]
-    whole_order: Order
+    complete_order: Order
     changed: Mapping[str, Order] = field(default_factory=dict)
 
 
@@ -98,8 +98,8 @@
     >>> from hemlockswitch.core.clock import ManualClock
     >>> clock = ManualClock()
     >>> reported = ReportedLoads(clock)
-    >>> reported.take("g2", {"e1": ServerLoad(2, 500)})
-    >>> reported.take("g3", {"e1": ServerLoad(1, 0)})
+    >>> reported.apply_report("g2", {"e1": ServerLoad(2, 500)})
+    >>> reported.apply_report("g3", {"e1": ServerLoad(1, 0)})
     >>> reported.sum_loads().running
     {'e1': 3}
     >>> clock.advance(2_000)
@@ -114,7 +114,7 @@
         self._get_period = get_period
         self._reports: dict[str, _Report] = {}
 
-    def take(
+    def apply_report(
         self, daemon: str, loads: Mapping[str, ServerLoad], order: Order | None = None
     ) -> None:
         """Replace a daemon's load with that of its newest report.
@@ -131,16 +131,16 @@
         if last is None or order >= last.order:
             self._reports[daemon] = _Report(self._clock.now_ms(), order, loads, order)
 
-    def take_changes(self, daemon: str, changes: Mapping[str, ServerLoad], order: Order) -> None:
+    def apply_changes(self, daemon: str, changes: Mapping[str, ServerLoad], order: Order) -> None:
         """Apply the changes of a daemon's load; its load on all other servers stays as it is.
 
         If a change is lost, the previous load stays until the next complete report or change.
         """
         last = self._reports.get(daemon)
         if last is None or last.order[0] < order[0]:
-            began = (order[0], 0)
-            last = _Report(self._clock.now_ms(), began, {}, began)
-        if order < last.whole_order:
+            initial = (order[0], 0)
+            last = _Report(self._clock.now_ms(), initial, {}, initial)
+        if order < last.complete_order:
             return
         # Changes may arrive out of order, so each server has its own order.
         newer = {
@@ -151,14 +151,14 @@
             self._clock.now_ms(),
             max(order, last.order),
             {name: load for name, load in loads.items() if load.running},
-            last.whole_order,
+            last.complete_order,
             {**last.changed, **dict.fromkeys(newer, order)},
         )
 
     def sum_loads(self, names: set[str] | None = None) -> LoadSums:
         """Return the sums over the daemons that reported recently, for the servers in `names` or for all."""
         now_ms = self._clock.now_ms()
-        oldest_ms = now_ms - self._get_period().life_ms
+        oldest_ms = now_ms - self._get_period().load_lifetime_ms
         sums = LoadSums()
         for report in self._reports.values():
             if report.loads and report.received_ms >= oldest_ms:
--- a/hemlockswitch/process/gateway/reporting.py
+++ b/hemlockswitch/process/gateway/reporting.py
@@ -9,14 +9,14 @@
 from hemlockswitch.process.gateway.reports import ReportExchange
 from hemlockswitch.process.gateway.watch_guard import WatchGuard
 
-SPENDING_PAUSE_MS = 50.0
+SPENDING_REPORT_INTERVAL_MS = 50.0
 """Minimum time between two reports of contended accounts, so that a gateway receives about as many of these as
 periodic reports."""
-CHANGE_GAP_MS = 100.0
+CHANGE_REPORT_INTERVAL_MS = 100.0
 """Minimum time between two reports of changes. A gateway of a large fleet has few requests per second, so most
 changes are reported at once."""
-FIRST_SPREAD = (0.0, 1.0)
-FAR_SPREAD = (0.75, 1.25)
+FIRST_REPORT_SPREAD = (0.0, 1.0)
+FAR_REPORT_SPREAD = (0.75, 1.25)
 """Ranges, as fractions of the period, from which the time before the first report to far gateways and the time
 between two of these reports are drawn: gateways that started together must not report in step."""
 
@@ -56,8 +56,8 @@
         """Report to the near gateways until the task is killed."""
         while True:
             period = self._fleet.get_near_period()
-            self._clock.sleep_ms(period.early_gap_ms)
-            self._urgent.wait((period.ms - period.early_gap_ms) / MS_PER_SECOND)
+            self._clock.sleep_ms(period.urgent_gap_ms)
+            self._urgent.wait((period.ms - period.urgent_gap_ms) / MS_PER_SECOND)
             self._urgent.clear()
             self._reports.send_near()
             self._watch_guard.compare([peer.view for peer in self._fleet.list_heard()])
@@ -68,13 +68,13 @@
         Gateways that start together receive one another's registrations together; their first reports are
         spread over a period, so that reports of each zone arrive continuously.
         """
-        spread = FIRST_SPREAD
+        spread = FIRST_REPORT_SPREAD
         while True:
             by_zone = self._fleet.reports_by_zone
             self._clock.sleep_ms(random.uniform(*spread) * self._fleet.get_far_period().ms)
             if by_zone:
                 self._reports.send_far()
-            spread = FAR_SPREAD if by_zone else FIRST_SPREAD
+            spread = FAR_REPORT_SPREAD if by_zone else FIRST_REPORT_SPREAD
 
     def send_changes(self) -> None:
         """Report changes until the task is killed; in a small fleet the periodic reports contain them."""
@@ -83,7 +83,7 @@
             self.changed.clear()
             if self._fleet.reports_by_zone:
                 self._reports.send_changes()
-            self._clock.sleep_ms(CHANGE_GAP_MS)
+            self._clock.sleep_ms(CHANGE_REPORT_INTERVAL_MS)
 
     def send_spending(self) -> None:
         """Report the spending of contended accounts until the task is killed.
@@ -95,7 +95,7 @@
             self.contended.clear()
             if not self._fleet.reports_by_zone:
                 self._reports.send_spending()
-            self._clock.sleep_ms(SPENDING_PAUSE_MS)
+            self._clock.sleep_ms(SPENDING_REPORT_INTERVAL_MS)
 
     def send_usage(self) -> None:
         """Report usage counts until the task is killed."""
--- a/hemlockswitch/process/gateway/reports.py
+++ b/hemlockswitch/process/gateway/reports.py
@@ -44,7 +44,7 @@
     name : the name of this gateway.
     incarnation : differs for each start of its process.
     network : the streams to the other gateways.
-    knowledge : the local state, which is reported and to which received reports are applied.
+    state : the local state, which is reported and to which received reports are applied.
     limits : the spending of the client accounts.
     leads : returns whether this gateway holds the duties.
     get_view : returns this gateway's view of the object service.
@@ -56,7 +56,7 @@
         name: str,
         incarnation: int,
         network: PeerNetwork,
-        knowledge: Knowledge,
+        state: Knowledge,
         limits: SharedLimits,
         leads: Callable[[], bool],
         get_view: Callable[[], StoreView],
@@ -65,22 +65,22 @@
         self._name = name
         self._incarnation = incarnation
         self._network = network
-        self._fleet = knowledge.fleet
-        self._loads = knowledge.loads
+        self._fleet = state.fleet
+        self._loads = state.loads
         self._limits = limits
-        self._usage = knowledge.usage
-        self._true_time = knowledge.true_time
+        self._usage = state.usage
+        self._true_time = state.true_time
         self._leads = leads
-        self._reachability = knowledge.reachability
-        self._models = knowledge.models
-        self._rollouts = knowledge.rollouts
-        self._list_servers = knowledge.registry.list_all
+        self._reachability = state.reachability
+        self._models = state.models
+        self._rollouts = state.rollouts
+        self._list_servers = state.registry.list_all
         self._get_view = get_view
         self._clock = clock
         self._last_number = 0
-        network.handle(GatewayReport, self._take_report, quick=True)
-        network.handle(SpendingReport, self._take_spending, quick=True)
-        network.handle(UsageReport, self._take_usage, quick=True)
+        network.handle(GatewayReport, self._apply_report, quick=True)
+        network.handle(SpendingReport, self._apply_spending, quick=True)
+        network.handle(UsageReport, self._apply_usage, quick=True)
 
     def send_near(self) -> None:
         """Send a complete report to the near gateways."""
@@ -102,11 +102,11 @@
         change = ChangeReport(
             self._name,
             self._incarnation,
-            self._take_number(),
+            self._next_number(),
             write_loads(self._loads.pop_changed()),
             self._pop_sent(),
             self._limits.pop_changed(),
-            self._loads.failures.pop_untold(),
+            self._loads.failures.pop_unreported(),
             self._rollouts.pop_changed(leads=self._leads()),
         )
         for relays in self._fleet.draw_relays():
@@ -127,7 +127,7 @@
     def _send(self, peers: Iterable[Peer], message: Any) -> None:
         self._network.send_all([peer.address for peer in peers], message)
 
-    def _take_number(self) -> int:
+    def _next_number(self) -> int:
         self._last_number += 1
         return self._last_number
 
@@ -146,13 +146,13 @@
             leads=self._leads(),
             revision=view.revision,
             servers_digest=view.servers_digest,
-            outage_ms_ago=self._tell_outage(view),
+            outage_ms_ago=self._describe_outage(view),
             sent=sent,
             zone=self._fleet.zone,
             relayed=dict(view.relayed),
             unreachable=self._reachability.describe_unreachable(),
             models=self._models.describe_own(),
-            number=self._take_number(),
+            number=self._next_number(),
             period_ms=period.ms,
             link_mbps=self._fleet.link_mbps,
             held_digest=view.held_digest,
@@ -160,7 +160,7 @@
             view_age_ms=round(view.age_ms),
         )
 
-    def _take_report(self, address: str, report: GatewayReport) -> None:
+    def _apply_report(self, address: str, report: GatewayReport) -> None:
         self._fleet.note_report(address, report, self._read_view(report))
         order = (report.incarnation, report.number)
         self._loads.take_report(
@@ -170,11 +170,11 @@
         self._limits.take_report(process, report.spent)
         self._rollouts.take_told(process, report.rollouts)
         self._models.take_report(report.name, report.models)
-        self._reachability.note_report(report.zone, report.name, report.period_ms)
-        known = self._list_servers() if report.unreachable else ()
-        self._reachability.take_unreachable(report.zone, report.unreachable, known)
+        self._reachability.record_report(report.zone, report.name, report.period_ms)
+        servers = self._list_servers() if report.unreachable else ()
+        self._reachability.apply_unreachable(report.zone, report.unreachable, servers)
 
-    def _tell_outage(self, view: StoreView) -> tuple[float, ...]:
+    def _describe_outage(self, view: StoreView) -> tuple[float, ...]:
         if view.outage is None:
             return ()
         now_ms = self._clock.now_ms()
@@ -196,8 +196,8 @@
             report.view_age_ms,
         )
 
-    def _take_spending(self, _address: str, report: SpendingReport) -> None:
+    def _apply_spending(self, _address: str, report: SpendingReport) -> None:
         self._limits.take_report(name_process(report.name, report.incarnation), report.spent)
 
-    def _take_usage(self, _address: str, report: UsageReport) -> None:
+    def _apply_usage(self, _address: str, report: UsageReport) -> None:
         self._usage.take_report(name_process(report.name, report.incarnation), report.usage)
--- a/hemlockswitch/process/gateway/service_models.py
+++ b/hemlockswitch/process/gateway/service_models.py
@@ -25,16 +25,16 @@
 """Time between two fits; one takes some 2 ms of processor time for each service with engines."""
 TOLD_LIFE_MS = 10_000.0
 """How long another gateway's reported model is used."""
-CALL_STEP = 0.05
+CALL_TIME_STEP = 0.05
 """Relative step by which each call moves the usual call time up or down, so that it settles at the
 median."""
 
-ToldModel = tuple[float, float, float, float]
+ModelCoefficients = tuple[float, float, float, float]
 """The coefficients of a model, in the order of `EngineModel.coefficients`."""
 
 
 @dataclass(frozen=True)
-class _Told:
+class _ReportedModels:
     received_ms: float
     models: Mapping[str, EngineModel]
 
@@ -51,7 +51,7 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._fitters: dict[str, ModelFitter] = {}
-        self._told: dict[str, _Told] = {}
+        self._reported: dict[str, _ReportedModels] = {}
         self._in_force: dict[str, EngineModel] = {}
         self._call_ms: dict[str, float] = {}
 
@@ -70,9 +70,11 @@
     def note_call(self, service: str, took_ms: float) -> None:
         """Record the duration of a call of a plain service."""
         usual_ms = self.get_call_ms(service)
-        self._call_ms[service] = usual_ms * (1 + CALL_STEP if took_ms > usual_ms else 1 - CALL_STEP)
+        self._call_ms[service] = usual_ms * (
+            1 + CALL_TIME_STEP if took_ms > usual_ms else 1 - CALL_TIME_STEP
+        )
 
-    def describe_own(self) -> dict[str, ToldModel]:
+    def describe_own(self) -> dict[str, ModelCoefficients]:
         """Return the models fitted to enough own send attempts, to be reported to other gateways."""
         return {
             service: fitter.model.coefficients
@@ -80,10 +82,10 @@
             if fitter.count >= FEWEST_TOLD
         }
 
-    def take_report(self, gateway: str, told: Mapping[str, ToldModel]) -> None:
+    def take_report(self, gateway: str, reported: Mapping[str, ModelCoefficients]) -> None:
         """Apply another gateway's models, except those with coefficients that no engine can have."""
         models: dict[str, EngineModel] = {}
-        for service, coefficients in told.items():
+        for service, coefficients in reported.items():
             try:
                 models[service] = EngineModel(*coefficients)
             except (TypeError, ValueError) as error:
@@ -94,10 +96,10 @@
                     service=service,
                     detail=str(error),
                 )
-        self._told[gateway] = _Told(self._clock.now_ms(), models)
+        self._reported[gateway] = _ReportedModels(self._clock.now_ms(), models)
         for service in models:
             if service not in self._in_force:
-                self._in_force[service] = self._join(service)
+                self._in_force[service] = self._combine(service)
 
     def fit(self) -> None:
         """Fit the own models again, and combine them with the reported ones."""
@@ -105,7 +107,7 @@
         for service, fitter in self._fitters.items():
             fitter.fit(now_ms, self.get(service))
         for service in self._fitters.keys() | self._in_force.keys():
-            self._in_force[service] = self._join(service)
+            self._in_force[service] = self._combine(service)
 
     def describe(self) -> dict[str, dict[str, float]]:
         """Return the models in force, for the status page."""
@@ -120,13 +122,13 @@
             for service, model in sorted(self._in_force.items())
         }
 
-    def _join(self, service: str) -> EngineModel:
+    def _combine(self, service: str) -> EngineModel:
         """Return the median of the recently reported models and the own model."""
         oldest_ms = self._clock.now_ms() - TOLD_LIFE_MS
         models = [
-            told.models[service]
-            for told in self._told.values()
-            if told.received_ms >= oldest_ms and service in told.models
+            report.models[service]
+            for report in self._reported.values()
+            if report.received_ms >= oldest_ms and service in report.models
         ]
         fitter = self._fitters.get(service)
         if fitter is not None and (fitter.count >= FEWEST_TOLD or not models):
--- a/hemlockswitch/process/gateway/suspect_exchange.py
+++ b/hemlockswitch/process/gateway/suspect_exchange.py
@@ -17,11 +17,11 @@
 from hemlockswitch.process.gateway.neighbours import Peer
 from hemlockswitch.request.quarantine import Quarantine, SuspectFields, SuspectRecord
 
-GATHER_MS = 20.0
+SEND_INTERVAL_MS = 20.0
 """Minimum time between two messages: the requests in progress on one server end within milliseconds."""
-REPAIR_MS = 1_000.0
+REPAIR_INTERVAL_MS = 1_000.0
 """Minimum time between two repairs of one gateway; its reports show after a period whether a repair worked."""
-MOST_TOLD = 200
+MAX_RECORDS_PER_MESSAGE = 200
 """Maximum number of contents in one message, some 20 KB; few servers have more requests in progress."""
 
 
@@ -63,7 +63,7 @@
         self._fleet = fleet
         self._quarantine = quarantine
         self._clock = clock
-        network.handle(SuspectReport, self.take, quick=True)
+        network.handle(SuspectReport, self.apply_report, quick=True)
 
     def run(self) -> None:
         """Send changed records until the task is killed."""
@@ -71,7 +71,7 @@
             self._changed.wait()
             self._changed.clear()
             self.tell()
-            self._clock.sleep_ms(GATHER_MS)
+            self._clock.sleep_ms(SEND_INTERVAL_MS)
 
     def note_change(self) -> None:
         """Wake the task because a record has changed."""
@@ -79,7 +79,7 @@
 
     def differ(self) -> bool:
         """Return whether another gateway quarantines different contents."""
-        return bool(self._list_peers_that_differ())
+        return bool(self._list_differing_peers())
 
     def are_missed(self) -> bool:
         """Return whether some gateways are not connected."""
@@ -88,46 +88,48 @@
     def tell(self) -> None:
         """Send the changed records to every other gateway."""
         records = self._quarantine.pop_untold()
-        for first in range(0, len(records), MOST_TOLD):
-            fields = [one.list_fields() for one in records[first : first + MOST_TOLD]]
+        for first in range(0, len(records), MAX_RECORDS_PER_MESSAGE):
+            fields = [one.list_fields() for one in records[first : first + MAX_RECORDS_PER_MESSAGE]]
             report = SuspectReport(self._fleet.name, fields)
             self._network.send_all(self._list_addresses(), report)
 
     def repair(self) -> None:
-        """Send up to `MOST_TOLD` records to the near gateways that quarantine different contents.
+        """Send up to `MAX_RECORDS_PER_MESSAGE` records to the near gateways that quarantine different contents.
 
         A gateway that started or was cut off thereby gets the records from its peers, without the object
         service.
         """
-        addresses = self._list_differing()
+        addresses = self._list_repair_addresses()
         if not addresses:
             return
         now_ms = self._clock.now_ms()
         self._repaired_ms.update((address, now_ms) for address in addresses)
-        fields = [one.list_fields() for one in self._quarantine.list_records()[:MOST_TOLD]]
+        fields = [
+            one.list_fields() for one in self._quarantine.list_records()[:MAX_RECORDS_PER_MESSAGE]
+        ]
         report = SuspectReport(self._fleet.name, fields, is_relayed=True)
         self._network.send_all(addresses, report)
 
-    def _list_differing(self) -> list[str]:
-        differing = self._list_peers_that_differ()
+    def _list_repair_addresses(self) -> list[str]:
+        differing = self._list_differing_peers()
         if not differing:
             return []
         near = {peer.address for peer in self._fleet.list_near()}
-        oldest_ms = self._clock.now_ms() - REPAIR_MS
+        oldest_ms = self._clock.now_ms() - REPAIR_INTERVAL_MS
         return [
             peer.address
             for peer in differing
             if peer.address in near and self._repaired_ms.get(peer.address, 0.0) <= oldest_ms
         ]
 
-    def _list_peers_that_differ(self) -> list[Peer]:
+    def _list_differing_peers(self) -> list[Peer]:
         """Return the gateways that quarantine different contents, according to their last reports."""
         digest = self._quarantine.hash_held()
         return [peer for peer in self._fleet.list_heard() if peer.view.held_digest != digest]
 
-    def take(self, _address: str, report: SuspectReport) -> None:
+    def apply_report(self, _address: str, report: SuspectReport) -> None:
         """Apply the records of another gateway, and relay a message from another zone to the near gateways."""
-        for fields in report.suspects[:MOST_TOLD]:
+        for fields in report.suspects[:MAX_RECORDS_PER_MESSAGE]:
             self._quarantine.take(SuspectRecord.from_fields(fields))
         if self._fleet.reports_by_zone and not report.is_relayed:
             relayed = SuspectReport(report.name, report.suspects, is_relayed=True)
--- a/hemlockswitch/process/gateway/transit.py
+++ b/hemlockswitch/process/gateway/transit.py
@@ -8,7 +8,7 @@
 
 from hemlockswitch.core.clock import Clock
 
-MESSAGES = 100
+MAX_COMPARED_MESSAGES = 100
 """Number of messages of a sender that are compared; after as many, an offset from before a clock stalled is
 discarded."""
 
@@ -47,6 +47,6 @@
         sent_ms : when the message was sent, by the sender's clock.
         """
         offset_ms = self._clock.now_ms() - sent_ms
-        offsets = self._offsets.setdefault(sender, deque(maxlen=MESSAGES))
+        offsets = self._offsets.setdefault(sender, deque(maxlen=MAX_COMPARED_MESSAGES))
         offsets.append(offset_ms)
         return offset_ms - min(offsets)
--- a/hemlockswitch/process/gateway/true_time.py
+++ b/hemlockswitch/process/gateway/true_time.py
@@ -10,10 +10,10 @@
 
 from hemlockswitch.core.clock import NANOSECONDS_PER_MS
 
-WORST_SKEW_MS = 500.0
+MAX_SKEW_MS = 500.0
 """Maximum accepted difference from the median of the other daemons, which is adopted beyond it. Clocks differ
 by some tens of milliseconds when none has stepped."""
-FEWEST_OPINIONS = 2
+MIN_ESTIMATES = 2
 
 
 def read_boot_ms() -> float:
@@ -54,10 +54,10 @@
         """Return the estimated wall-clock time."""
         return self._read_boot() + self._offset_ms
 
-    def hear(self, opinions: dict[str, float]) -> None:
+    def hear(self, estimates: dict[str, float]) -> None:
         """Compare with the present estimates of other daemons, and adopt their median if far off."""
-        if len(opinions) < FEWEST_OPINIONS:
+        if len(estimates) < MIN_ESTIMATES:
             return
-        median_ms = statistics.median(opinions.values())
-        if abs(median_ms - self.now_ms()) > WORST_SKEW_MS:
+        median_ms = statistics.median(estimates.values())
+        if abs(median_ms - self.now_ms()) > MAX_SKEW_MS:
             self._offset_ms = median_ms - self._read_boot()
--- a/hemlockswitch/process/gateway/view.py
+++ b/hemlockswitch/process/gateway/view.py
@@ -35,7 +35,7 @@
     Parameters
     ==========
 
-    knowledge : the local state of the gateway.
+    state : the local state of the gateway.
     readiness : tells whether that state has been filled since the start.
     on_large_prompt : called when a prompt was sent that must be reported to the other gateways at
         once.
@@ -43,18 +43,18 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        state: Knowledge,
         readiness: Readiness,
         on_large_prompt: Callable[[], None],
         clock: Clock,
     ) -> None:
-        self._tables = knowledge.tables
-        self._registry = knowledge.registry
-        self._loads = knowledge.loads
-        self._fleet = knowledge.fleet
-        self._reachability = knowledge.reachability
-        self._models = knowledge.models
-        self._rollouts = knowledge.rollouts
+        self._tables = state.tables
+        self._registry = state.registry
+        self._loads = state.loads
+        self._fleet = state.fleet
+        self._reachability = state.reachability
+        self._models = state.models
+        self._rollouts = state.rollouts
         self._readiness = readiness
         self._on_large_prompt = on_large_prompt
         self._clock = clock
@@ -127,12 +127,14 @@
             admitted.facts.prompt,
             placement.uncached_tokens,
             self._find_capacity(admitted.service),
-            lambda: self._learn(admitted, placement, self._clock.now_ms() - began_ms),
+            lambda: self._update_model(admitted, placement, self._clock.now_ms() - began_ms),
         )
         trial = self._rollouts.begin_send(admitted.route.name, server, placement.expected_ms)
         return ticket if trial is None else ObservedTicket(ticket, trial)
 
-    def _learn(self, admitted: AdmittedRequest, placement: Placement, took_ms: float) -> None:
+    def _update_model(
+        self, admitted: AdmittedRequest, placement: Placement, took_ms: float
+    ) -> None:
         if self._rollouts.is_on_trial(placement.candidate.server):
             return  # The model describes the version in force, which the trial is compared with.
         prompt = admitted.facts.prompt
@@ -148,15 +150,15 @@
 
     def note_connected(self, server: BackendServer, took_ms: float) -> None:
         """Record that a new connection to a server was opened."""
-        self._reachability.note_connected(server, took_ms)
+        self._reachability.record_connected(server, took_ms)
 
     def note_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
         """Record that connecting failed; `is_silent` if the server did not answer the attempt at all."""
-        self._reachability.note_unreachable(server, is_silent=is_silent)
+        self._reachability.record_unreachable(server, is_silent=is_silent)
 
     def note_answer(self, server: BackendServer) -> None:
         """Record that a server sent bytes of an answer."""
-        self._reachability.note_answer(server)
+        self._reachability.record_answer(server)
 
     def note_misdirected(self, server_name: str) -> None:
         """Exclude for a while a server whose address now belongs to another server."""
@@ -168,7 +170,7 @@
 
     def _find_capacity(self, service: str) -> float:
         table = self._tables.current
-        known = table.services.get(service) if table is not None else None
-        if known is None or known.engine is None:
+        settings = table.services.get(service) if table is not None else None
+        if settings is None or settings.engine is None:
             return PLAIN_CAPACITY_TOKENS
-        return known.engine.kv_capacity_tokens * CACHED_SHARE
+        return settings.engine.kv_capacity_tokens * CACHED_SHARE
--- a/hemlockswitch/process/gateway/watch_guard.py
+++ b/hemlockswitch/process/gateway/watch_guard.py
@@ -25,10 +25,10 @@
 """Uncertainty of the beginning of an outage: it may have begun this much before it was noticed, because
 the holder of the duties calls the store once a second, and may have reached another gateway this much
 later."""
-RENEWAL_PAUSE_MS = 1_000.0
+MIN_RENEWED_WATCH_AGE_MS = 1_000.0
 """Minimum age of a watch that is renewed because of a difference: the answer of a younger one may still be
 in transit, and a lasting difference must cost few calls."""
-FEWEST_AGREEING = 2
+MIN_AGREEING_GATEWAYS = 2
 
 
 class RenewalReason(StrEnum):
@@ -99,19 +99,19 @@
         own = self._get_own_view()
         # A higher revision is newer whatever the age of its report, but hashes of servers have no order.
         is_behind = any(view.revision > own.revision for view in others)
-        self._note_difference(self._configuration, is_behind, self._get_near_period())
+        self._record_difference(self._configuration, is_behind, self._get_near_period())
         differs = _differs_from_most(own, others)
-        self._note_difference(self._servers, differs, self._get_far_period())
+        self._record_difference(self._servers, differs, self._get_far_period())
 
     def _check_outages(self, follower: ObjectFollower, outages: list[Outage]) -> None:
         """Renew a watch that was sent while the store was down."""
         sent_ms = follower.watch_sent_ms
         if sent_ms is None:
             return
-        if any(_may_be_swallowed(outage, sent_ms, follower.heard_ms) for outage in outages):
+        if any(_may_be_lost(outage, sent_ms, follower.heard_ms) for outage in outages):
             self._renew(follower, sent_ms, RenewalReason.OUTAGE_ENDED)
 
-    def _note_difference(
+    def _record_difference(
         self, follower: ObjectFollower, differs: bool, period: ReportPeriod
     ) -> None:
         now_ms = self._clock.now_ms()
@@ -121,7 +121,7 @@
         since_ms = self._differs_since_ms.setdefault(follower, now_ms)
         sent_ms = follower.watch_sent_ms
         has_lasted = now_ms - since_ms >= period.difference_ms
-        if has_lasted and sent_ms is not None and now_ms - sent_ms >= RENEWAL_PAUSE_MS:
+        if has_lasted and sent_ms is not None and now_ms - sent_ms >= MIN_RENEWED_WATCH_AGE_MS:
             self._renew(follower, sent_ms, RenewalReason.OTHERS_KNOW_MORE)
 
     def _renew(self, follower: ObjectFollower, sent_ms: float, reason: RenewalReason) -> None:
@@ -132,19 +132,19 @@
         follower.renew_watch()
 
 
-def _may_be_swallowed(outage: Outage, sent_ms: float, heard_ms: float) -> bool:
+def _may_be_lost(outage: Outage, sent_ms: float, answered_ms: float) -> bool:
     """Return whether a watch may have been sent to a store that was down.
 
     If the store answered this gateway well inside the outage, it was down for the other gateway only.
     """
     was_sent_inside = outage.began_ms - OUTAGE_MARGIN_MS <= sent_ms <= outage.ended_ms
-    was_answered_inside = outage.began_ms + OUTAGE_MARGIN_MS <= heard_ms <= sent_ms
+    was_answered_inside = outage.began_ms + OUTAGE_MARGIN_MS <= answered_ms <= sent_ms
     return was_sent_inside and not was_answered_inside
 
 
 def _differs_from_most(own: StoreView, others: list[StoreView]) -> bool:
     """Return whether more than half of the other gateways agree on a different list of servers."""
-    if len(others) < FEWEST_AGREEING:
+    if len(others) < MIN_AGREEING_GATEWAYS:
         return False
     digest, count = Counter(view.servers_digest for view in others).most_common(1)[0]
     return digest != own.servers_digest and count > len(others) / 2
--- a/hemlockswitch/process/gateway/zone_watchers.py
+++ b/hemlockswitch/process/gateway/zone_watchers.py
@@ -4,7 +4,7 @@
 
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.process.gateway.fleet import Fleet
-from hemlockswitch.process.gateway.freshness import STALE_MS, AskTurn
+from hemlockswitch.process.gateway.freshness import STALE_VIEW_MS, QueryScope
 from hemlockswitch.process.gateway.neighbours import Peer, rank_gateway
 
 WATCHERS_PER_ZONE = 2
@@ -15,7 +15,7 @@
 class ZoneWatchers:
     """The watchers of this gateway's zone: the connected gateways with the fastest links.
 
-    Gateways whose view of the object service is older than `STALE_MS` are left out, unless all views are.
+    Gateways whose view of the object service is older than `STALE_VIEW_MS` are left out, unless all views are.
 
     Parameters
     ==========
@@ -37,41 +37,41 @@
 
     def is_watcher(self) -> bool:
         """Return whether this gateway watches the object service for its zone."""
-        return self._fleet.name in self._list_names()
+        return self._fleet.name in self._list_watcher_names()
 
     def find_relayed_version(self, kind: str) -> int:
         """Return the newest version of a kind that a connected watcher of this zone has sent; 0 if none."""
-        names = self._list_names()
-        watchers = (one for one in self._list_zone() if one.name in names)
+        names = self._list_watcher_names()
+        watchers = (one for one in self._list_zone_peers() if one.name in names)
         relayed = (one.view.relayed.get(kind, 0) for one in watchers)
         return max(relayed, default=0)
 
     def list_relay_addresses(self) -> list[str]:
         """Return the addresses of the gateways of this zone that get changes from its watchers."""
-        names = self._list_names()
-        return [peer.address for peer in self._list_zone() if peer.name not in names]
+        names = self._list_watcher_names()
+        return [peer.address for peer in self._list_zone_peers() if peer.name not in names]
 
-    def _list_zone(self) -> list[Peer]:
+    def _list_zone_peers(self) -> list[Peer]:
         """Return the other gateways of this zone that are recent enough to be relied on."""
-        oldest_ms = self._clock.now_ms() - self._fleet.get_near_period().covered_ms
-        heard = (peer for peer in self._fleet.list_peers() if peer.heard_ms >= oldest_ms)
-        return [peer for peer in heard if peer.zone == self._fleet.zone]
+        oldest_ms = self._clock.now_ms() - self._fleet.get_near_period().reliance_ms
+        recent = (peer for peer in self._fleet.list_peers() if peer.last_received_ms >= oldest_ms)
+        return [peer for peer in recent if peer.zone == self._fleet.zone]
 
-    def find_ask_turn(self) -> AskTurn:
+    def find_query_scope(self) -> QueryScope:
         """Return whether this gateway queries the object service for the fleet, its zone, or itself only."""
         if self._rank_current(self._fleet.list_heard())[0][1] == self._fleet.name:
-            return AskTurn.FLEET
-        if self._rank_current(self._list_zone())[0][1] == self._fleet.name:
-            return AskTurn.ZONE
-        return AskTurn.SELF
+            return QueryScope.FLEET
+        if self._rank_current(self._list_zone_peers())[0][1] == self._fleet.name:
+            return QueryScope.ZONE
+        return QueryScope.SELF
 
-    def _list_names(self) -> list[str]:
-        return [name for _, name in self._rank_current(self._list_zone())[:WATCHERS_PER_ZONE]]
+    def _list_watcher_names(self) -> list[str]:
+        return [name for _, name in self._rank_current(self._list_zone_peers())[:WATCHERS_PER_ZONE]]
 
     def _rank_current(self, peers: list[Peer]) -> list[tuple[float, str]]:
         """Return the ranks of `peers` and this gateway without those whose view is stale; all if all are."""
         own = rank_gateway(self._fleet.name, self._fleet.link_mbps)
         ages = {rank_gateway(peer.name, peer.link_mbps): peer.view.age_ms for peer in peers}
         ages[own] = self._measure_own_age_ms()
-        hearing = [rank for rank, age_ms in ages.items() if age_ms <= STALE_MS]
-        return sorted(hearing or ages)
+        current = [rank for rank, age_ms in ages.items() if age_ms <= STALE_VIEW_MS]
+        return sorted(current or ages)
--- a/tests/freshness_fleet.py
+++ b/tests/freshness_fleet.py
@@ -211,7 +211,7 @@
             adapter, tables, registry, None, port, fleet, lambda: 0, self.clock
         )
         for keeper in followed.keepers.values():
-            keeper._chance = self.chance
+            keeper._rng = self.chance
         for watch in followed._watches.values():
             watch._wait = lambda: self.clock.sleep_ms(LOOK_MS)
         self.gateways[name] = SimulatedGateway(name, zone, port, fleet, registry, followed)
--- a/tests/test_change_relay.py
+++ b/tests/test_change_relay.py
@@ -15,7 +15,7 @@
 from hemlockswitch.platform.rollouts import decode_rollout
 from hemlockswitch.process.gateway import neighbours
 from hemlockswitch.process.gateway.accounts import SharedLimits
-from hemlockswitch.process.gateway.change_relay import MOST_GATHERED, ChangeRelay
+from hemlockswitch.process.gateway.change_relay import MAX_GATHERED_CHANGES, ChangeRelay
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.loads import ServerLoads
 from hemlockswitch.process.gateway.messages import ChangeReport, GatewayReport, RelayedChanges
@@ -107,7 +107,7 @@
 def relay_all(gateways):
     for gateway in gateways:
         if gateway.relay.has_gathered:
-            gateway.relay.pass_on()
+            gateway.relay.send_gathered()
 
 
 def test_a_load_reaches_every_other_gateway(gateways, network):
@@ -199,7 +199,7 @@
     listener = gateways[1]
     listener.loads.take_report("g00", {}, order=(1, 900))
     report = ChangeReport("g00", 2, 1, {"e1": (4, 0.0)}, [], {}, {})
-    listener.relay.take(listener.address, report)
+    listener.relay.apply_report(listener.address, report)
     assert listener.count_running() == 4
 
 
@@ -247,19 +247,19 @@
 def test_sent_prompts_are_relayed(gateways):
     prompt = Prompt((PromptPart("shared", 13_000), PromptPart("own", 500)), 13_500, 50)
     sent = [("e1", list(prompt.shared_chain))]
-    gateways[0].relay.take("", ChangeReport("g99", 1, 1, {}, sent, {}, {}))
-    gateways[0].relay.pass_on()
+    gateways[0].relay.apply_report("", ChangeReport("g99", 1, 1, {}, sent, {}, {}))
+    gateways[0].relay.send_gathered()
     (candidate,) = gateways[4].loads.build_candidates([SERVER], prompt)
     assert candidate.cached_tokens == 13_000
 
 
 def test_the_number_of_gathered_changes_is_bounded(gateways, network):
     relay = gateways[1].relay
-    for number in range(MOST_GATHERED + 50):
-        relay.take("10.0.0.1:g00", ChangeReport("g00", 1, number, {}, [], {}, {}))
+    for number in range(MAX_GATHERED_CHANGES + 50):
+        relay.apply_report("10.0.0.1:g00", ChangeReport("g00", 1, number, {}, [], {}, {}))
     network.sent.clear()
-    relay.pass_on()
-    assert {len(message.changes) for _, _, message in network.sent} == {MOST_GATHERED}
+    relay.send_gathered()
+    assert {len(message.changes) for _, _, message in network.sent} == {MAX_GATHERED_CHANGES}
 
 
 def test_relayed_changes_keep_a_large_fleet_from_crowding_servers():
@@ -268,7 +268,7 @@
     A report comes every 1,940 ms; relayed changes take some 60 ms, and 96 ms pass between two.
     """
     fleet = {"engines": 40, "draws": True, "gateways": 195, "load": 1.4, "report_ms": 1_940}
-    told = {"gap_ms": ReportPeriod(310.0).early_gap_ms, "relay_ms": 60.0}
+    told = {"gap_ms": ReportPeriod(310.0).urgent_gap_ms, "relay_ms": 60.0}
     seeds = (1, 2, 3)
     periodic = [HerdReplay(seed, **fleet).run(5_000).find_worth(2_000) for seed in seeds]
     relayed = [HerdReplay(seed, **fleet, **told).run(5_000).find_worth(2_000) for seed in seeds]
--- a/tests/test_deaf_watchers.py
+++ b/tests/test_deaf_watchers.py
@@ -39,7 +39,7 @@
 
 def relies(gateway):
     """Return whether a gateway uses the zone's watchers for every kind of objects."""
-    return all(watch._relies for watch in gateway.followed._watches.values())
+    return all(watch._uses_watchers for watch in gateway.followed._watches.values())
 
 
 def change_everything(site):
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -12,7 +12,7 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.process.gateway.failures import (
     FAILURE_HALF_LIFE_MS,
-    MOST_TOLD_FAILURES,
+    MAX_REPORTED_FAILURES,
     ServerFailures,
 )
 from hemlockswitch.process.gateway.loads import ServerLoads
@@ -26,48 +26,48 @@
 
 def test_failures_reported_by_several_gateways_weigh_like_an_own_failure(clock):
     own, told = ServerFailures(clock), ServerFailures(clock)
-    own.note_own("e1", failed=True)
+    own.record_own("e1", failed=True)
     for number in range(5):
-        told.take_told(f"g{number}", {"e1": (0, 1)})
+        told.apply_reported(f"g{number}", {"e1": (0, 1)})
     assert told.get_rate("e1") >= own.get_rate("e1")
 
 
 def test_failures_reported_by_one_gateway_have_limited_weight(clock):
     failures = ServerFailures(clock)
     for _ in range(100):
-        failures.take_told("g1", {"e1": (0, 50)})
+        failures.apply_reported("g1", {"e1": (0, 50)})
     assert failures.get_rate("e1") < 0.3
     clock.advance(FAILURE_HALF_LIFE_MS)
-    failures.take_told("g1", {"e1": (0, 1)})
+    failures.apply_reported("g1", {"e1": (0, 1)})
     assert failures.get_rate("e1") < 0.4
 
 
 def test_reported_successes_lower_the_failure_rate(clock):
     failures = ServerFailures(clock)
     for number in range(6):
-        failures.take_told(f"g{number}", {"e1": (0, 1)})
+        failures.apply_reported(f"g{number}", {"e1": (0, 1)})
     before = failures.get_rate("e1")
     for number in range(6):
-        failures.take_told(f"g{number}", {"e1": (1, 0)})
+        failures.apply_reported(f"g{number}", {"e1": (1, 0)})
     assert failures.get_rate("e1") < before / 2
 
 
 def test_each_result_is_reported_once(clock):
     failures = ServerFailures(clock)
-    failures.note_own("e1", failed=True)
-    failures.note_own("e1", failed=False)
-    failures.note_own("e2", failed=False)
-    assert failures.pop_untold() == {"e1": (1, 1), "e2": (1, 0)}
-    assert failures.pop_untold() == {}
+    failures.record_own("e1", failed=True)
+    failures.record_own("e1", failed=False)
+    failures.record_own("e2", failed=False)
+    assert failures.pop_unreported() == {"e1": (1, 1), "e2": (1, 0)}
+    assert failures.pop_unreported() == {}
 
 
 def test_the_rates_of_a_removed_server_are_discarded(clock):
     failures = ServerFailures(clock)
-    failures.note_own("e1", failed=True)
-    failures.take_told("g1", {"e1": (0, MOST_TOLD_FAILURES)})
-    failures.forget("e1")
+    failures.record_own("e1", failed=True)
+    failures.apply_reported("g1", {"e1": (0, MAX_REPORTED_FAILURES)})
+    failures.evict("e1")
     assert failures.get_rate("e1") == 0.0
-    assert failures.pop_untold() == {}
+    assert failures.pop_unreported() == {}
 
 
 class GreyFleet:
@@ -98,10 +98,10 @@
         failed = server.name in self.grey and self.rng.random() < 0.5
         gateway.note_result(server.name, failed)
         if self.tells:
-            results = gateway.failures.pop_untold()
+            results = gateway.failures.pop_unreported()
             for other in self.gateways:
                 if other is not gateway:
-                    other.failures.take_told(str(id(gateway)), results)
+                    other.failures.apply_reported(str(id(gateway)), results)
         return failed
 
 
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -13,14 +13,14 @@
 from hemlockswitch.core.errors import ErrorKind, HistoryGoneError, PlatformError
 from hemlockswitch.process.gateway.follower import ObjectFollower
 from hemlockswitch.process.gateway.freshness import (
-    STALE_MS,
-    START_MS,
-    AskTurn,
+    STALE_VIEW_MS,
+    START_DELAY_MS,
     ConfirmationExchange,
-    FreshnessKeeper,
+    QueryScope,
+    ViewRefresher,
 )
 from hemlockswitch.process.gateway.messages import VersionConfirmation, WatchedPage
-from hemlockswitch.process.gateway.reachability import MOST_CONNECT_MS
+from hemlockswitch.process.gateway.reachability import MAX_CONNECT_TIMEOUT_MS
 from hemlockswitch.process.gateway.relayed_watch import RelayedWatch
 from hemlockswitch.process.gateway.transit import TransitTimes
 
@@ -66,20 +66,20 @@
 
 
 class Fixture:
-    def __init__(self, turn=AskTurn.FLEET):
+    def __init__(self, turn=QueryScope.FLEET):
         self.clock = ManualClock(now_ms=100_000)
         self.store, self.consumer, self.told = Store(), Consumer(), []
         self.watch = RelayedWatch(self.store, Directory(), lambda page: None, self.clock)
         self.follower = ObjectFollower(self.watch, "servers", self.consumer, self.clock)
-        self.keeper = FreshnessKeeper(
+        self.keeper = ViewRefresher(
             self.follower,
             lambda: turn,
             lambda one: self.told.append((one.changed_version, one.version)),
             self.clock,
             random.Random(1),
         )
-        self.clock.advance(START_MS)
-        self.follower.take_step()
+        self.clock.advance(START_DELAY_MS)
+        self.follower.run_step()
 
     def age(self):
         return self.follower.measure_age_ms()
@@ -87,15 +87,18 @@
 
 def test_the_times_of_a_leaving_server_add_up_to_less_than_the_strictest_bound():
     answer_ms = 100.0
-    assert max(turn.value[1] for turn in AskTurn) + answer_ms + MOST_CONNECT_MS < STRICTEST_BOUND_MS
-    assert max(turn.value[1] for turn in AskTurn) < STALE_MS
+    assert (
+        max(turn.value[1] for turn in QueryScope) + answer_ms + MAX_CONNECT_TIMEOUT_MS
+        < STRICTEST_BOUND_MS
+    )
+    assert max(turn.value[1] for turn in QueryScope) < STALE_VIEW_MS
 
 
-@pytest.mark.parametrize("turn", AskTurn)
+@pytest.mark.parametrize("turn", QueryScope)
 def test_the_service_is_queried_before_the_view_is_too_old(turn):
     fixture = Fixture(turn)
-    fixture.keeper.take_step()
-    passed_ms = fixture.clock.now_ms() - 100_000 - START_MS
+    fixture.keeper.run_step()
+    passed_ms = fixture.clock.now_ms() - 100_000 - START_DELAY_MS
     assert turn.value[0] <= passed_ms <= turn.value[1]
     assert fixture.store.asked == [5]
     assert fixture.age() == 0
@@ -105,7 +108,7 @@
 def test_a_change_that_no_watch_returned_is_found_by_a_query():
     fixture = Fixture()
     fixture.store.answers = [ObjectPage((StoredObject("servers", "a", 8, "leaving"),), 9)]
-    fixture.keeper.take_step()
+    fixture.keeper.run_step()
     assert fixture.consumer.known == {"a": "leaving"}
     assert fixture.told == [(8, 9)]
 
@@ -113,7 +116,7 @@
 def test_a_confirmation_of_the_recorded_version_replaces_a_query():
     fixture = Fixture()
     fixture.clock.advance(600)
-    fixture.follower.take_confirmation(5, 12, fixture.clock.now_ms() - 20)
+    fixture.follower.apply_confirmation(5, 12, fixture.clock.now_ms() - 20)
     assert fixture.age() == 20
     assert fixture.follower.version == 12, "the next watch starts at the confirmed version"
     fixture.clock.advance(300)
@@ -123,11 +126,11 @@
 def test_a_confirmation_of_a_change_that_is_missing_waits_for_it():
     fixture = Fixture()
     fixture.clock.advance(600)
-    fixture.follower.take_confirmation(8, 12, fixture.clock.now_ms())
+    fixture.follower.apply_confirmation(8, 12, fixture.clock.now_ms())
     assert fixture.age() == 600
     fixture.clock.advance(100)
-    fixture.watch.take_page(WatchedPage("servers", 5, 9, [("a", 8, "leaving", False, None, 0)]))
-    fixture.follower.take_step()
+    fixture.watch.queue_page(WatchedPage("servers", 5, 9, [("a", 8, "leaving", False, None, 0)]))
+    fixture.follower.run_step()
     assert fixture.consumer.known == {"a": "leaving"}
     assert fixture.follower.version == 12
     assert fixture.age() == 100
@@ -169,8 +172,8 @@
     fixture = Fixture()
     fixture.store.answers = [AWAY] * 20
     for _ in range(10):
-        fixture.keeper.take_step()
-    assert fixture.age() >= STALE_MS
+        fixture.keeper.run_step()
+    assert fixture.age() >= STALE_VIEW_MS
     assert fixture.told == []
     assert fixture.consumer.known == {"a": "live"}, "the last state stays in use"
     assert fixture.follower.live_version == 0, "other gateways must not rely on this watch"
@@ -179,17 +182,17 @@
 def test_a_query_beyond_the_history_leads_to_a_list():
     fixture = Fixture()
     fixture.store.answers = [HistoryGoneError(5)]
-    fixture.keeper.take_step()
+    fixture.keeper.run_step()
     assert not fixture.follower.is_synced
-    fixture.follower.take_step()
+    fixture.follower.run_step()
     assert fixture.follower.is_synced
 
 
 def test_a_call_that_fails_after_a_confirmation_is_not_an_outage():
     fixture = Fixture()
     fixture.store.answers = [AWAY]
-    fixture.keeper.take_step()
-    fixture.follower.take_confirmation(5, 12, fixture.clock.now_ms())
-    fixture.keeper.take_step()
+    fixture.keeper.run_step()
+    fixture.follower.apply_confirmation(5, 12, fixture.clock.now_ms())
+    fixture.keeper.run_step()
     assert not fixture.follower.is_lost
     assert fixture.follower.recovered_ms == float("-inf")
--- a/tests/test_gateway_fleet.py
+++ b/tests/test_gateway_fleet.py
@@ -7,7 +7,7 @@
 from hemlockswitch.connection.stored_objects import Conflict, ObjectPage, StoredObject, Written
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
-from hemlockswitch.process.gateway.fleet import GONE_MS, Fleet
+from hemlockswitch.process.gateway.fleet import GATEWAY_REMOVAL_DELAY_MS, Fleet
 from hemlockswitch.process.gateway.messages import GatewayReport
 from hemlockswitch.process.gateway.registrations import GATEWAY_KIND
 from hemlockswitch.process.gateway.watch_guard import StoreView
@@ -74,7 +74,7 @@
     live(fleet, clock, "g2", for_ms=5_000)
     fleet.remove_gone(store)
     assert fleet.get_share() == pytest.approx(2 / 3), "in a partition it keeps its share"
-    live(fleet, clock, "g2", for_ms=int(GONE_MS))
+    live(fleet, clock, "g2", for_ms=int(GATEWAY_REMOVAL_DELAY_MS))
     fleet.remove_gone(store)
     assert sorted(store.versions) == ["g1", "g2"]
     assert fleet.get_share() == 1
@@ -83,7 +83,7 @@
 def test_a_vm_that_never_reported_is_removed_as_well(fleet, clock):
     store = Store("g1", "old")
     fleet.refresh(store)
-    live(fleet, clock, for_ms=int(GONE_MS) + 1_000)
+    live(fleet, clock, for_ms=int(GATEWAY_REMOVAL_DELAY_MS) + 1_000)
     fleet.remove_gone(store)
     assert sorted(store.versions) == ["g1"]
 
@@ -91,7 +91,7 @@
 def test_a_registration_that_was_written_again_stays(fleet, clock):
     store = Store("g1", "g2")
     fleet.refresh(store)
-    live(fleet, clock, for_ms=int(GONE_MS) + 1_000)
+    live(fleet, clock, for_ms=int(GATEWAY_REMOVAL_DELAY_MS) + 1_000)
     store.versions["g2"] = 5
     fleet.remove_gone(store)
     assert "g2" in store.versions
@@ -114,7 +114,7 @@
 def test_a_store_that_is_down_changes_nothing(fleet, clock):
     store = Store("g1", "g2")
     fleet.refresh(store)
-    live(fleet, clock, for_ms=int(GONE_MS) + 1_000)
+    live(fleet, clock, for_ms=int(GATEWAY_REMOVAL_DELAY_MS) + 1_000)
     store.is_down = True
     fleet.remove_gone(store)
     fleet.refresh(store)
--- a/tests/test_gateway_registry.py
+++ b/tests/test_gateway_registry.py
@@ -15,10 +15,10 @@
 from hemlockswitch.process.gateway.configuration import TableHolder
 from hemlockswitch.process.gateway.follower import ObjectFollower
 from hemlockswitch.process.gateway.registry import (
-    FILLS_MS,
-    HOLD_MS,
-    LONGEST_FILL_MS,
-    MISDIRECTED_MS,
+    MAX_FILL_MS,
+    MAX_LAPSED_RETENTION_MS,
+    MIN_FILL_MS,
+    MISDIRECTED_EXCLUSION_MS,
     ServerRegistry,
 )
 from hemlockswitch.version.backend import BackendServer, BackendState
@@ -72,7 +72,7 @@
     fixture.registry.apply_changes(page(entry("a", deleted=True), entry("b", deleted=True)))
     assert fixture.names() == ["a", "b"]
     fixture.registry.apply_changes(page(entry("a")))
-    fixture.clock.advance(HOLD_MS + 1)
+    fixture.clock.advance(MAX_LAPSED_RETENTION_MS + 1)
     assert fixture.names() == ["a"], "b did not register again"
 
 
@@ -101,7 +101,7 @@
     assert not fixture.registry.is_complete(None)
     synced_ms = fixture.clock.now_ms()
     fixture.registry.replace_all(page(entry("a"), entry("b")))
-    fixture.clock.advance(FILLS_MS)
+    fixture.clock.advance(MIN_FILL_MS)
     assert fixture.registry.is_complete(synced_ms)
     fixture.registry.apply_changes(page(entry("c")))
     assert fixture.registry.is_complete(synced_ms), "it stays complete"
@@ -110,7 +110,7 @@
 def test_servers_that_register_all_the_time_do_not_delay_orders():
     fixture = Fixture()
     synced_ms = fixture.clock.now_ms()
-    for number in range(int(LONGEST_FILL_MS / 500)):
+    for number in range(int(MAX_FILL_MS / 500)):
         fixture.registry.apply_changes(page(entry(f"s{number}")))
         fixture.clock.advance(500)
     assert fixture.registry.is_complete(synced_ms)
@@ -140,7 +140,7 @@
     fixture.registry.apply_changes(page(*(entry(name, deleted=True) for name in names)))
     assert fixture.names() == names
     fixture.registry.apply_changes(page(*map(entry, names[:5])))
-    fixture.clock.advance(HOLD_MS + 1)
+    fixture.clock.advance(MAX_LAPSED_RETENTION_MS + 1)
     assert fixture.names() == names[:5], "servers that are still missing are removed"
 
 
@@ -153,7 +153,7 @@
     fixture.registry.measure_age_ms = lambda: 1_300.0
     fixture.registry.apply_changes(page(*(entry(name, deleted=True) for name in names)))
     assert fixture.names() == names
-    fixture.clock.advance(HOLD_MS - 1_300 + 1)
+    fixture.clock.advance(MAX_LAPSED_RETENTION_MS - 1_300 + 1)
     assert fixture.names() == []
 
 
@@ -188,7 +188,7 @@
     fixture.registry.replace_all(page(entry("a"), entry("b")))
     fixture.registry.note_misdirected("a")
     assert fixture.names() == ["b"]
-    fixture.clock.advance(MISDIRECTED_MS + 1)
+    fixture.clock.advance(MISDIRECTED_EXCLUSION_MS + 1)
     assert fixture.names() == ["a", "b"]
 
 
@@ -261,7 +261,7 @@
     store, consumer, clock = Store(*answers), Consumer(), ManualClock(now_ms=50_000)
     follower = ObjectFollower(store, "servers", consumer, clock)
     for _ in answers:
-        follower.take_step()
+        follower.run_step()
     return store, consumer, follower
 
 
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -10,16 +10,16 @@
 
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.process.gateway.reachability import (
-    LEAST_CONNECT_MS,
-    LOOK_MS,
-    MOST_CONNECT_MS,
-    MOST_PROBES,
-    PROBE_MS,
-    RETURN_MS,
-    SILENT_MS,
+    MAX_CONNECT_TIMEOUT_MS,
+    MAX_PROBES_PER_ZONE,
+    MIN_CONNECT_TIMEOUT_MS,
+    MIN_ZONE_TIMEOUT_MS,
+    PROBE_INTERVAL_MS,
+    ZONE_POLL_INTERVAL_MS,
+    ZONE_RETURN_GRACE_MS,
     Reachability,
 )
-from hemlockswitch.process.gateway.report_period import LEAST_TOLD_MS, ReportPeriod
+from hemlockswitch.process.gateway.report_period import MIN_SUSPICION_OVERRULE_MS, ReportPeriod
 from hemlockswitch.version.backend import BackendServer
 
 REPORT_MS = 200.0
@@ -41,15 +41,15 @@
         self.lost = []
         self.reach = Reachability("z1", ReportPeriod, self.clock, self.lost.append)
         for zone in ZONES:
-            self.reach.note_heard(zone)
+            self.reach.record_received(zone)
 
-    def run(self, duration_ms, heard=ZONES, step_ms=LOOK_MS):
+    def run(self, duration_ms, heard=ZONES, step_ms=ZONE_POLL_INTERVAL_MS):
         for step in range(round(duration_ms / step_ms)):
             self.clock.advance(step_ms)
             if step % 2 == 0:
                 for zone in heard:
-                    self.reach.note_report(zone, f"g-{zone}", REPORT_MS)
-            self.reach.look()
+                    self.reach.record_report(zone, f"g-{zone}", REPORT_MS)
+            self.reach.check_zones()
 
     def names(self):
         return [server.name for server in self.reach.select_reachable(SERVERS)]
@@ -63,15 +63,15 @@
 def test_an_unresponsive_zone_is_suspected_until_a_connection_opens(site):
     site.run(3_000)
     assert site.lost == []
-    site.run(SILENT_MS + 2 * LOOK_MS, heard=("z1", "z3"))
+    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, heard=("z1", "z3"))
     assert site.lost == ["z2"]
     assert site.names() == ["z1-1", "z1-2", "z3-1", "z3-2"]
-    site.reach.note_connected(SERVERS[2], took_ms=4)
+    site.reach.record_connected(SERVERS[2], took_ms=4)
     assert site.names() == [server.name for server in SERVERS]
 
 
 def test_a_gateway_that_is_cut_off_uses_the_servers_of_its_own_zone(site):
-    site.run(SILENT_MS + 2 * LOOK_MS, heard=("z1",))
+    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, heard=("z1",))
     assert sorted(site.lost) == ["z2", "z3"]
     assert site.names() == ["z1-1", "z1-2"]
 
@@ -84,28 +84,28 @@
 def test_a_zone_with_killed_gateways_is_not_suspected_while_its_servers_answer(site):
     for _ in range(20):
         site.run(REPORT_MS, heard=("z1", "z3"))
-        site.reach.note_answer(SERVERS[2])
+        site.reach.record_answer(SERVERS[2])
     assert site.lost == []
 
 
 def test_two_servers_that_time_out_make_their_zone_suspected(site):
-    site.reach.note_unreachable(SERVERS[2], is_silent=True)
+    site.reach.record_unreachable(SERVERS[2], is_silent=True)
     assert site.lost == []
     assert "z2-1" not in site.names() and "z2-2" in site.names()
-    site.reach.note_unreachable(SERVERS[3], is_silent=True)
+    site.reach.record_unreachable(SERVERS[3], is_silent=True)
     assert site.lost == ["z2"]
 
 
 def test_two_servers_that_time_out_with_an_answer_between_do_not_concern_the_zone(site):
-    site.reach.note_unreachable(SERVERS[2], is_silent=True)
-    site.reach.note_answer(make_server("z2-3", "z2"))
-    site.reach.note_unreachable(SERVERS[3], is_silent=True)
+    site.reach.record_unreachable(SERVERS[2], is_silent=True)
+    site.reach.record_answer(make_server("z2-3", "z2"))
+    site.reach.record_unreachable(SERVERS[3], is_silent=True)
     assert site.lost == []
 
 
 def test_a_refused_connection_concerns_one_server(site):
     for server in SERVERS[2:4]:
-        site.reach.note_unreachable(server, is_silent=False)
+        site.reach.record_unreachable(server, is_silent=False)
     assert site.lost == []
     assert site.names() == ["z1-1", "z1-2", "z3-1", "z3-2"]
 
@@ -113,74 +113,74 @@
 def test_a_restarted_server_is_not_suspected(site):
     before = BackendServer("r", "z2", "10.0.0.1:80", "llm", started_unix_ms=1)
     after = BackendServer("r", "z2", "10.0.0.1:80", "llm", started_unix_ms=2)
-    site.reach.note_unreachable(before, is_silent=True)
+    site.reach.record_unreachable(before, is_silent=True)
     assert site.reach.is_suspect(before)
     assert not site.reach.is_suspect(after)
 
 
 def test_all_servers_are_used_if_all_are_suspected(site):
     for server in SERVERS:
-        site.reach.note_unreachable(server, is_silent=False)
+        site.reach.record_unreachable(server, is_silent=False)
     assert site.names() == [server.name for server in SERVERS]
 
 
 def test_a_stalled_process_suspects_no_zone(site):
     site.run(1_000)
     site.clock.advance(5_000)
-    site.reach.look()
+    site.reach.check_zones()
     assert site.lost == []
     site.run(1_000)
     assert site.lost == []
 
 
 def test_missing_reports_right_after_a_return_are_ignored(site):
-    site.run(SILENT_MS + 2 * LOOK_MS, heard=("z1", "z3"))
-    site.reach.note_connected(SERVERS[2], took_ms=4)
-    site.run(RETURN_MS, heard=("z1", "z3"))
+    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, heard=("z1", "z3"))
+    site.reach.record_connected(SERVERS[2], took_ms=4)
+    site.run(ZONE_RETURN_GRACE_MS, heard=("z1", "z3"))
     assert site.lost == ["z2"]
-    site.run(SILENT_MS + 2 * LOOK_MS, heard=("z1", "z3"))
+    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, heard=("z1", "z3"))
     assert site.lost == ["z2", "z2"]
 
 
 def test_a_suspicion_in_the_own_zone_is_adopted_until_the_server_answers(site):
-    site.reach.note_answer(SERVERS[4])
-    site.reach.take_unreachable("z1", ["z3-1", "z3-2"], SERVERS)
+    site.reach.record_answer(SERVERS[4])
+    site.reach.apply_unreachable("z1", ["z3-1", "z3-2"], SERVERS)
     assert site.names() == ["z1-1", "z1-2", "z2-1", "z2-2", "z3-1"], "z3-1 has just answered"
-    site.clock.advance(LEAST_TOLD_MS + 1)
-    site.reach.take_unreachable("z1", ["z3-1"], SERVERS)
+    site.clock.advance(MIN_SUSPICION_OVERRULE_MS + 1)
+    site.reach.apply_unreachable("z1", ["z3-1"], SERVERS)
     assert site.reach.describe_unreachable() == ["z3-1", "z3-2"]
-    site.reach.note_answer(SERVERS[5])
+    site.reach.record_answer(SERVERS[5])
     assert site.reach.describe_unreachable() == ["z3-1"]
 
 
 def test_a_suspicion_in_another_zone_is_ignored(site):
     """The other zone may be on the other side of the partition."""
-    site.reach.take_unreachable("z2", ["z1-1", "z3-1"], SERVERS)
+    site.reach.apply_unreachable("z2", ["z1-1", "z3-1"], SERVERS)
     assert site.reach.describe_unreachable() == []
 
 
 def test_the_connection_timeout_follows_the_usual_connection_time(site):
-    assert site.reach.find_connect_timeout_ms() == MOST_CONNECT_MS
+    assert site.reach.find_connect_timeout_ms() == MAX_CONNECT_TIMEOUT_MS
     for _ in range(50):
-        site.reach.note_connected(SERVERS[0], took_ms=3)
-    assert site.reach.find_connect_timeout_ms() == LEAST_CONNECT_MS
+        site.reach.record_connected(SERVERS[0], took_ms=3)
+    assert site.reach.find_connect_timeout_ms() == MIN_CONNECT_TIMEOUT_MS
     for _ in range(50):
-        site.reach.note_connected(SERVERS[0], took_ms=30)
+        site.reach.record_connected(SERVERS[0], took_ms=30)
     assert site.reach.find_connect_timeout_ms() == pytest.approx(300, rel=0.01)
 
 
 def test_suspects_are_probed_a_few_at_a_time(site):
     servers = [make_server(f"z2-{number}", "z2") for number in range(20)]
     for server in servers:
-        site.reach.note_unreachable(server, is_silent=False)
-    assert len(site.reach.list_probes(servers)) == MOST_PROBES
+        site.reach.record_unreachable(server, is_silent=False)
+    assert len(site.reach.list_probes(servers)) == MAX_PROBES_PER_ZONE
     assert site.reach.list_probes(servers) == []
-    site.clock.advance(PROBE_MS)
-    assert len(site.reach.list_probes(servers)) == MOST_PROBES
+    site.clock.advance(PROBE_INTERVAL_MS)
+    assert len(site.reach.list_probes(servers)) == MAX_PROBES_PER_ZONE
     assert site.reach.list_probes(SERVERS[:2]) == []
 
 
 def test_the_state_of_a_removed_server_is_discarded(site):
-    site.reach.note_unreachable(SERVERS[2], is_silent=True)
+    site.reach.record_unreachable(SERVERS[2], is_silent=True)
     site.reach.forget(SERVERS[2])
     assert site.reach.describe_unreachable() == []
--- a/tests/test_relayed_watch.py
+++ b/tests/test_relayed_watch.py
@@ -15,7 +15,7 @@
 from hemlockswitch.process.gateway.messages import WatchedPage
 from hemlockswitch.process.gateway.relayed_watch import (
     CATCH_UP_WAIT_MS,
-    MOST_RELAYED_BYTES,
+    MAX_RELAYED_PAGE_BYTES,
     RelayedWatch,
 )
 from tests.gateway_site import Site, make_manifest
@@ -87,7 +87,7 @@
 
 def test_a_gateway_that_gets_a_page_makes_no_call(fixture):
     fixture.directory.relayed = 5
-    gevent.spawn_later(0.05, fixture.watch.take_page, make_page(5, 6))
+    gevent.spawn_later(0.05, fixture.watch.queue_page, make_page(5, 6))
     assert fixture.take(5) == ["from-watcher"]
     assert fixture.store.asked == []
     assert fixture.sent == []
@@ -95,9 +95,9 @@
 
 def test_a_change_that_a_second_watcher_relays_is_ignored(fixture):
     fixture.directory.relayed = 5
-    fixture.watch.take_page(make_page(5, 6, "first"))
-    fixture.watch.take_page(make_page(5, 6, "again"))
-    fixture.watch.take_page(make_page(5, 7, "later"))
+    fixture.watch.queue_page(make_page(5, 6, "first"))
+    fixture.watch.queue_page(make_page(5, 6, "again"))
+    fixture.watch.queue_page(make_page(5, 7, "later"))
     assert fixture.take(5) == ["first"]
     assert fixture.take(6) == ["later"]
     assert fixture.store.asked == []
@@ -105,7 +105,7 @@
 
 def test_a_gap_between_pages_is_queried_once(fixture):
     fixture.directory.relayed = 5
-    fixture.watch.take_page(make_page(7, 8))
+    fixture.watch.queue_page(make_page(7, 8))
     assert fixture.take(5) == ["from-store"]
     assert fixture.store.asked == [(5, CATCH_UP_WAIT_MS)]
 
@@ -114,7 +114,7 @@
     fixture.directory.relayed = 9
     assert fixture.take(5) == ["from-store"]
     assert fixture.store.asked == [(5, CATCH_UP_WAIT_MS)]
-    fixture.watch.take_page(make_page(9, 10))
+    fixture.watch.queue_page(make_page(9, 10))
     assert fixture.take(9) == ["from-watcher"]
 
 
@@ -134,8 +134,8 @@
 
 def test_a_page_of_an_own_query_counts_as_watched(fixture):
     fixture.directory.relayed = 6
-    assert fixture.watch.ask(KIND, 5).source is PageSource.WATCH
-    fixture.watch.take_page(make_page(6, 7))
+    assert fixture.watch.query(KIND, 5).source is PageSource.WATCH
+    fixture.watch.queue_page(make_page(6, 7))
     assert fixture.watch.watch(KIND, 6, WAIT_MS).source is PageSource.RELAY
 
 
@@ -156,7 +156,7 @@
     (message,) = fixture.sent
     other = Fixture()
     other.directory.relayed = 9
-    other.watch.take_page(message)
+    other.watch.queue_page(message)
     page = other.watch.watch(KIND, 5, WAIT_MS)
     assert page.is_whole and page.version == 9
     assert other.store.asked == []
@@ -164,7 +164,7 @@
 
 def test_for_a_page_that_is_too_large_only_a_notice_is_sent(fixture):
     fixture.directory.watches = True
-    value = {"routes": "x" * MOST_RELAYED_BYTES}
+    value = {"routes": "x" * MAX_RELAYED_PAGE_BYTES}
     fixture.store.watch = lambda kind, since, wait_ms, prefix: ObjectPage(
         (StoredObject(kind, "main", since + 1, value),), since + 1
     )
@@ -173,7 +173,7 @@
     assert message.items == []
     other = Fixture()
     other.directory.relayed = 5
-    other.watch.take_page(message)
+    other.watch.queue_page(message)
     assert other.take(5) == ["from-store"]
     assert other.store.asked == [(5, CATCH_UP_WAIT_MS)]
 
@@ -292,7 +292,7 @@
     )
     gevent.spawn_later(0.05, setattr, fixture.directory, "watches", False)
     gevent.spawn_later(0.05, setattr, fixture.directory, "relayed", 9)
-    gevent.spawn_later(0.1, fixture.watch.take_page, make_page(9, 10))
+    gevent.spawn_later(0.1, fixture.watch.queue_page, make_page(9, 10))
     assert fixture.take(9) == ["from-watcher"]
     assert fixture.store.asked == []
 
@@ -312,8 +312,8 @@
             return ObjectPage((), since)
 
     follower = ObjectFollower(QuietStore(), KIND, Consumer(), SystemClock(), wait_ms=15_000)
-    follower.take_step()
-    follower.take_step()
+    follower.run_step()
+    follower.run_step()
     assert asked == [15_000]
 
 
--- a/tests/test_report_period.py
+++ b/tests/test_report_period.py
@@ -13,12 +13,12 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.messages import GatewayReport
-from hemlockswitch.process.gateway.reachability import LOOK_MS, Reachability
+from hemlockswitch.process.gateway.reachability import ZONE_POLL_INTERVAL_MS, Reachability
 from hemlockswitch.process.gateway.report_period import (
+    MAX_REPORTS_PER_S,
+    MAX_USAGE_REPORTS_PER_S,
     MESH_GATEWAYS,
-    REPORTS_PER_S,
-    SILENT_GAPS,
-    USAGE_REPORTS_PER_S,
+    UNRESPONSIVE_ZONE_GAPS,
     ReportPeriod,
     UsagePeriod,
 )
@@ -32,11 +32,11 @@
 def test_no_time_that_judges_a_report_is_shorter_than_two_periods(gateways):
     period = ReportPeriod.from_peers(gateways - 1)
     for time_ms in (
-        period.life_ms,
-        period.out_of_touch_ms,
-        period.covered_ms,
+        period.load_lifetime_ms,
+        period.disconnected_ms,
+        period.reliance_ms,
         period.difference_ms,
-        period.told_ms,
+        period.suspicion_overrule_ms,
     ):
         assert time_ms >= 2 * period.ms
 
@@ -44,14 +44,14 @@
 @pytest.mark.parametrize("gateways", SIZES)
 def test_a_gateway_sends_a_bounded_number_of_reports(gateways):
     period = ReportPeriod.from_peers(gateways - 1)
-    assert (gateways - 1) / period.ms * 1_000 <= REPORTS_PER_S
-    assert period.early_gap_ms <= period.ms
+    assert (gateways - 1) / period.ms * 1_000 <= MAX_REPORTS_PER_S
+    assert period.urgent_gap_ms <= period.ms
 
 
 @pytest.mark.parametrize("gateways", SIZES)
 def test_a_window_of_usage_waits_for_two_reports_of_each_gateway(gateways):
     usage = UsagePeriod.from_gateways(gateways)
-    assert gateways / usage.ms * 1_000 <= USAGE_REPORTS_PER_S
+    assert gateways / usage.ms * 1_000 <= MAX_USAGE_REPORTS_PER_S
     assert usage.settle_ms >= 2 * usage.ms
     assert usage.takeover_ms > usage.ms
 
@@ -116,13 +116,13 @@
     reach = Reachability("z0", ReportPeriod, clock, lost.append)
     period = ReportPeriod.from_peers(gateways - 1)
     in_zone = max(gateways // 6, 1)
-    for step in range(round(3 * period.ms / LOOK_MS)):
+    for step in range(round(3 * period.ms / ZONE_POLL_INTERVAL_MS)):
         for number in range(in_zone):
-            due_step = round(number / in_zone * period.ms / LOOK_MS)
-            if step % round(period.ms / LOOK_MS) == due_step:
-                reach.note_report("z1", f"g{number}", period.ms)
-        reach.look()
-        clock.advance(LOOK_MS)
+            due_step = round(number / in_zone * period.ms / ZONE_POLL_INTERVAL_MS)
+            if step % round(period.ms / ZONE_POLL_INTERVAL_MS) == due_step:
+                reach.record_report("z1", f"g{number}", period.ms)
+        reach.check_zones()
+        clock.advance(ZONE_POLL_INTERVAL_MS)
     assert lost == []
 
 
@@ -131,12 +131,12 @@
     lost = []
     reach = Reachability("z0", ReportPeriod, clock, lost.append)
     for number in range(32):
-        reach.note_report("z1", f"g{number}", 1_940.0)
+        reach.record_report("z1", f"g{number}", 1_940.0)
         clock.advance(60)
-        reach.look()
+        reach.check_zones()
     for _ in range(8):
-        clock.advance(LOOK_MS)
-        reach.look()
+        clock.advance(ZONE_POLL_INTERVAL_MS)
+        reach.check_zones()
     assert lost == ["z1"], "each gateway alone would time out after 4,850 ms"
 
 
@@ -190,4 +190,4 @@
             schedule.send_far()
         at_ms += sent.at_ms
     pauses = [after - before for before, after in pairwise(sorted(at_ms))]
-    assert max(pauses) < SILENT_GAPS * 3_000 / 30
+    assert max(pauses) < UNRESPONSIVE_ZONE_GAPS * 3_000 / 30
--- a/tests/test_suspect_exchange.py
+++ b/tests/test_suspect_exchange.py
@@ -7,8 +7,8 @@
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.messages import GatewayReport
 from hemlockswitch.process.gateway.suspect_exchange import (
-    MOST_TOLD,
-    REPAIR_MS,
+    MAX_RECORDS_PER_MESSAGE,
+    REPAIR_INTERVAL_MS,
     SuspectExchange,
     SuspectReport,
 )
@@ -99,7 +99,7 @@
     for _ in range(3):
         gateways[0].exchange.repair()
     assert len(network.sent) == IN_ZONE - 1
-    gateways[0].clock.advance(REPAIR_MS)
+    gateways[0].clock.advance(REPAIR_INTERVAL_MS)
     gateways[0].exchange.repair()
     assert len(network.sent) == 2 * (IN_ZONE - 1)
 
@@ -112,15 +112,17 @@
 
 
 def test_many_contents_are_sent_in_messages_of_bounded_size(network, gateways):
-    for number in range(MOST_TOLD + 1):
+    for number in range(MAX_RECORDS_PER_MESSAGE + 1):
         gateways[0].quarantine.note_end(f"content-{number}", "s1")
     gateways[0].exchange.tell()
     sizes = {len(message.suspects) for _, _, message in network.sent}
-    assert max(sizes) == MOST_TOLD
-    assert len(gateways[5].quarantine.describe()) == MOST_TOLD + 1
+    assert max(sizes) == MAX_RECORDS_PER_MESSAGE
+    assert len(gateways[5].quarantine.describe()) == MAX_RECORDS_PER_MESSAGE + 1
 
 
 def test_the_excess_records_of_a_message_are_ignored(gateways):
-    fields = [(f"content-{number}", ["s1"], [], 0) for number in range(MOST_TOLD + 50)]
-    gateways[0].exchange.take("", SuspectReport("other", fields, is_relayed=True))
-    assert len(gateways[0].quarantine.describe()) == MOST_TOLD
+    fields = [
+        (f"content-{number}", ["s1"], [], 0) for number in range(MAX_RECORDS_PER_MESSAGE + 50)
+    ]
+    gateways[0].exchange.apply_report("", SuspectReport("other", fields, is_relayed=True))
+    assert len(gateways[0].quarantine.describe()) == MAX_RECORDS_PER_MESSAGE
--- a/tests/test_zone_watchers.py
+++ b/tests/test_zone_watchers.py
@@ -6,9 +6,9 @@
 
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.process.gateway.fleet import Fleet
-from hemlockswitch.process.gateway.freshness import STALE_MS, AskTurn
+from hemlockswitch.process.gateway.freshness import STALE_VIEW_MS, QueryScope
 from hemlockswitch.process.gateway.messages import GatewayReport
-from hemlockswitch.process.gateway.report_period import LEAST_COVERED_MS
+from hemlockswitch.process.gateway.report_period import MIN_RELIANCE_MS
 from hemlockswitch.process.gateway.watch_guard import StoreView
 from hemlockswitch.process.gateway.zone_watchers import ZoneWatchers
 
@@ -61,7 +61,7 @@
 def test_an_unresponsive_watcher_is_replaced_by_the_next_gateway(fleet, watchers, clock):
     receive_report(fleet, "g1", "z1")
     receive_report(fleet, "g2", "z1")
-    clock.advance(int(LEAST_COVERED_MS) + 1)
+    clock.advance(int(MIN_RELIANCE_MS) + 1)
     receive_report(fleet, "g2", "z1")
     assert watchers.is_watcher()
 
@@ -82,8 +82,8 @@
 
 
 def test_gateways_with_a_stale_view_are_not_watchers(fleet, watchers):
-    receive_age(fleet, "g1", "z1", STALE_MS + 1)
-    receive_age(fleet, "g2", "z1", STALE_MS + 1)
+    receive_age(fleet, "g1", "z1", STALE_VIEW_MS + 1)
+    receive_age(fleet, "g2", "z1", STALE_VIEW_MS + 1)
     assert watchers.is_watcher()
     assert watchers.find_relayed_version("servers") == 0
     receive_age(fleet, "g4", "z1", 300.0)
@@ -91,17 +91,17 @@
 
 
 def test_the_watchers_stay_the_same_if_all_views_are_stale(fleet, clock):
-    watchers = ZoneWatchers(fleet, clock, lambda: STALE_MS + 1)
-    receive_age(fleet, "g1", "z1", STALE_MS + 1)
-    receive_age(fleet, "g2", "z1", STALE_MS + 1)
+    watchers = ZoneWatchers(fleet, clock, lambda: STALE_VIEW_MS + 1)
+    receive_age(fleet, "g1", "z1", STALE_VIEW_MS + 1)
+    receive_age(fleet, "g2", "z1", STALE_VIEW_MS + 1)
     assert not watchers.is_watcher()
 
 
 def test_the_first_gateway_with_a_current_view_queries_for_the_fleet(fleet, watchers):
-    assert watchers.find_ask_turn() is AskTurn.FLEET, "alone"
+    assert watchers.find_query_scope() is QueryScope.FLEET, "alone"
     receive_age(fleet, "g0", "z2", 300.0)
-    assert watchers.find_ask_turn() is AskTurn.ZONE
+    assert watchers.find_query_scope() is QueryScope.ZONE
     receive_age(fleet, "g1", "z1", 300.0)
-    assert watchers.find_ask_turn() is AskTurn.SELF
-    receive_age(fleet, "g1", "z1", STALE_MS + 1)
-    assert watchers.find_ask_turn() is AskTurn.ZONE
+    assert watchers.find_query_scope() is QueryScope.SELF
+    receive_age(fleet, "g1", "z1", STALE_VIEW_MS + 1)
+    assert watchers.find_query_scope() is QueryScope.ZONE
