--- a/tests/freshness_fleet.py
+++ b/tests/freshness_fleet.py
@@ -30,9 +30,9 @@
 CONFIG = "config"
 ANSWER_MS = 4.0
 MESSAGE_MS = 2.0
-IN_TOUCH_MS = 4_000.0
+CONNECTED_MS = 4_000.0
 """A gateway counts as connected if it has not been disturbed for this long."""
-LOOK_MS = 25.0
+POLL_INTERVAL_MS = 25.0
 
 
 class SimulatedClock:
@@ -80,14 +80,14 @@
     def put(self, kind, name, value):
         self.version += 1
         self.objects[kind][name] = StoredObject(kind, name, self.version, value)
-        self._tell(self.objects[kind][name])
+        self._record_change(self.objects[kind][name])
 
     def remove(self, kind, name):
         self.version += 1
         del self.objects[kind][name]
-        self._tell(StoredObject(kind, name, self.version, None, True))
+        self._record_change(StoredObject(kind, name, self.version, None, True))
 
-    def _tell(self, change):
+    def _record_change(self, change):
         self.changes.append(change)
         waiting, self._waiting = self._waiting, []
         for signal in waiting:
@@ -184,7 +184,7 @@
 
     def __init__(self, zones, in_zone, seed=1, lost=0.0):
         random.seed(seed)  # Relays are drawn from the module's own source.
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.clock = SimulatedClock()
         self.store = SimulatedStore(self.clock)
         self.gateways = {}
@@ -210,10 +210,10 @@
         followed = FollowedObjects(
             adapter, tables, registry, None, port, fleet, lambda: 0, self.clock
         )
-        for keeper in followed.keepers.values():
-            keeper._rng = self.chance
+        for refresher in followed.keepers.values():
+            refresher._rng = self.rng
         for watch in followed._watches.values():
-            watch._wait = lambda: self.clock.sleep_ms(LOOK_MS)
+            watch._wait = lambda: self.clock.sleep_ms(POLL_INTERVAL_MS)
         self.gateways[name] = SimulatedGateway(name, zone, port, fleet, registry, followed)
 
     def start(self):
@@ -225,7 +225,7 @@
             runs = [one.run for one in gateway.followed.followers]
             runs += [one.run for one in gateway.followed.keepers.values()]
             runs += [lambda one=gateway: self._send_reports(one)]
-            delay_ms = self.chance.uniform(0, 300)
+            delay_ms = self.rng.uniform(0, 300)
             for run in runs:
                 gateway.tasks.append(gevent.spawn(self._start, delay_ms, run))
 
@@ -240,7 +240,7 @@
 
     def deliver(self, sender, target, message):
         """Deliver a message after the time in transit, unless it is lost."""
-        if self.chance.random() >= self._lost:
+        if self.rng.random() >= self._lost:
             gevent.spawn(self._hand_over, sender, target, message)
 
     def _hand_over(self, sender, target, message):
@@ -250,16 +250,16 @@
 
     def _send_reports(self, gateway):
         """Report to the near gateways at the near period, and to all at the far period."""
-        told_far_ms = self.clock.now_ms()
+        reported_far_ms = self.clock.now_ms()
         while True:
             self.clock.sleep_ms(gateway.fleet.get_near_period().ms)
             others = gateway.fleet.list_near()
-            if self.clock.now_ms() - told_far_ms >= gateway.fleet.get_far_period().ms:
-                told_far_ms = self.clock.now_ms()
+            if self.clock.now_ms() - reported_far_ms >= gateway.fleet.get_far_period().ms:
+                reported_far_ms = self.clock.now_ms()
                 others = gateway.fleet.list_peers()
             view = gateway.followed.view()
             for peer in others:
-                if self.gateways[peer.name].lives and self.chance.random() >= self._lost:
+                if self.gateways[peer.name].lives and self.rng.random() >= self._lost:
                     self._report(gateway, self.gateways[peer.name], view)
             gateway.followed.guard.compare([one.view for one in gateway.fleet.list_heard()])
 
@@ -286,9 +286,9 @@
             self.gateways[name].disturbed_ms = self.clock.now_ms()
         self.store.silent_to.clear()
 
-    def list_in_touch(self):
-        """Return the gateways that have not been disturbed for `IN_TOUCH_MS`."""
-        oldest_ms = self.clock.now_ms() - IN_TOUCH_MS
+    def list_connected(self):
+        """Return the gateways that have not been disturbed for `CONNECTED_MS`."""
+        oldest_ms = self.clock.now_ms() - CONNECTED_MS
         return [one for one in self.gateways.values() if one.lives and one.disturbed_ms < oldest_ms]
 
     def run(self, duration_ms):
@@ -301,20 +301,20 @@
 
     def _keep_changing(self, names, pause_ms):
         while True:
-            name = self.chance.choice(names)
+            name = self.rng.choice(names)
             known = self.store.objects[SERVERS].get(name)
             if known is None or known.value == "draining":
                 self.store.put(SERVERS, name, "ready")
-            elif self.chance.random() < 0.5:
+            elif self.rng.random() < 0.5:
                 self.store.put(SERVERS, name, "draining")
             else:
                 self.store.remove(SERVERS, name)
-            self.clock.sleep_ms(self.chance.uniform(0.5, 1.5) * pause_ms)
+            self.clock.sleep_ms(self.rng.uniform(0.5, 1.5) * pause_ms)
 
     def find_unaware(self, name):
         """Return the connected gateways that would send requests to a server."""
         return [
             one.name
-            for one in self.list_in_touch()
+            for one in self.list_connected()
             if any(server.name == name for server in one.registry.list_ready(SERVICE))
         ]
--- a/tests/test_change_relay.py
+++ b/tests/test_change_relay.py
@@ -208,7 +208,7 @@
     down = next(one.address for one in gateways if one.zone == "z1")
     network.down.add(down)
     listeners = [one for one in gateways if one.zone == "z1" and one.address != down]
-    heard = 0
+    received = 0
     lost = 0
     for number in range(1, 41):
         network.sent.clear()
@@ -216,8 +216,8 @@
         relay_all(gateways)
         is_lost = any(receiver == down for _, receiver, _ in network.sent[:ZONES])
         lost += is_lost
-        heard = heard if is_lost else number
-        assert {one.count_running() for one in listeners} == {heard}
+        received = received if is_lost else number
+        assert {one.count_running() for one in listeners} == {received}
     assert 0 < lost < 40, "both relays were drawn"
 
 
--- a/tests/test_deaf_watchers.py
+++ b/tests/test_deaf_watchers.py
@@ -24,7 +24,7 @@
     one.wait(lambda: all(gateway.followed.knows_all_servers() for gateway in one.gateways))
     one.wait(lambda: len(find_watchers(one)) == 2)
     change_everything(one)
-    one.wait(lambda: all(map(relies, find_others(one))))
+    one.wait(lambda: all(map(uses_watchers, find_other_gateways(one))))
     yield one
     one.close()
 
@@ -33,11 +33,11 @@
     return [gateway for gateway in site.gateways if gateway.followed.watchers.is_watcher()]
 
 
-def find_others(site):
+def find_other_gateways(site):
     return [gateway for gateway in site.gateways if gateway not in find_watchers(site)]
 
 
-def relies(gateway):
+def uses_watchers(gateway):
     """Return whether a gateway uses the zone's watchers for every kind of objects."""
     return all(watch._uses_watchers for watch in gateway.followed._watches.values())
 
@@ -47,7 +47,7 @@
     site.store.put("config", "main", make_manifest(version=2))
     site.runners[0].write("ready", cold_left_ms=1)
     put_order(site, "v2")
-    site.wait(lambda: all(knows_order(gateway, "v2") for gateway in site.gateways))
+    site.wait(lambda: all(has_order(gateway, "v2") for gateway in site.gateways))
     site.wait(lambda: all(gateway.tables.current.revision == 2 for gateway in site.gateways))
 
 
@@ -56,7 +56,7 @@
     site.store.put("rollouts", "app", order)
 
 
-def knows_order(gateway, target):
+def has_order(gateway, target):
     return any(one.order.target == target for one in gateway.rollouts.list_open())
 
 
@@ -82,30 +82,30 @@
 
 
 def test_a_leaving_server_is_detected_while_the_watchers_are_stalled(site):
-    in_touch = silence_watchers(site)
+    connected = silence_watchers(site)
     site.runners[0].write("draining")
-    site.wait(lambda: not any(lists(gateway, site.runners[0]) for gateway in in_touch))
+    site.wait(lambda: not any(lists(gateway, site.runners[0]) for gateway in connected))
 
 
 # Guards against requests to servers that left, where a zone relies on stalled watchers and the list is
 # never stable for long enough to compare complete lists.
 def test_a_leaving_server_is_detected_though_the_list_changes_all_the_time(site):
-    in_touch = silence_watchers(site)
+    connected = silence_watchers(site)
     task = gevent.spawn(flap, site.runners[1])
     site.runners[0].write("draining")
     try:
-        site.wait(lambda: not any(lists(gateway, site.runners[0]) for gateway in in_touch))
+        site.wait(lambda: not any(lists(gateway, site.runners[0]) for gateway in connected))
     finally:
         task.kill()
 
 
 def test_a_configuration_is_received_while_the_watchers_are_stalled(site):
-    in_touch = silence_watchers(site)
+    connected = silence_watchers(site)
     site.store.put("config", "main", make_manifest(version=3))
-    site.wait(lambda: all(gateway.tables.current.revision == 3 for gateway in in_touch))
+    site.wait(lambda: all(gateway.tables.current.revision == 3 for gateway in connected))
 
 
 def test_a_rollout_order_is_received_while_the_watchers_are_stalled(site):
-    in_touch = silence_watchers(site)
+    connected = silence_watchers(site)
     put_order(site, "v3")
-    site.wait(lambda: all(knows_order(gateway, "v3") for gateway in in_touch))
+    site.wait(lambda: all(has_order(gateway, "v3") for gateway in connected))
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -25,7 +25,7 @@
 from hemlockswitch.process.gateway.transit import TransitTimes
 
 STRICTEST_BOUND_MS = 2_000.0
-AWAY = PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "away")
+UNAVAILABLE = PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "away")
 
 
 class Store:
@@ -33,13 +33,13 @@
 
     def __init__(self):
         self.answers = []
-        self.asked = []
+        self.calls = []
 
     def list(self, kind, prefix=""):
         return ObjectPage((StoredObject(kind, "a", 5, "live"),), 5)
 
     def watch(self, kind, since, wait_ms, prefix=""):
-        self.asked.append(since)
+        self.calls.append(since)
         answer = self.answers.pop(0) if self.answers else ObjectPage((), since)
         if isinstance(answer, Exception):
             raise answer
@@ -56,25 +56,25 @@
 
 class Consumer:
     def __init__(self):
-        self.known = {}
+        self.objects = {}
 
     def replace_all(self, page):
-        self.known = {item.name: item.value for item in page.items}
+        self.objects = {item.name: item.value for item in page.items}
 
     def apply_changes(self, page):
-        self.known |= {item.name: item.value for item in page.items}
+        self.objects |= {item.name: item.value for item in page.items}
 
 
 class Fixture:
     def __init__(self, turn=QueryScope.FLEET):
         self.clock = ManualClock(now_ms=100_000)
-        self.store, self.consumer, self.told = Store(), Consumer(), []
+        self.store, self.consumer, self.sent = Store(), Consumer(), []
         self.watch = RelayedWatch(self.store, Directory(), lambda page: None, self.clock)
         self.follower = ObjectFollower(self.watch, "servers", self.consumer, self.clock)
-        self.keeper = ViewRefresher(
+        self.refresher = ViewRefresher(
             self.follower,
             lambda: turn,
-            lambda one: self.told.append((one.changed_version, one.version)),
+            lambda one: self.sent.append((one.changed_version, one.version)),
             self.clock,
             random.Random(1),
         )
@@ -97,20 +97,20 @@
 @pytest.mark.parametrize("turn", QueryScope)
 def test_the_service_is_queried_before_the_view_is_too_old(turn):
     fixture = Fixture(turn)
-    fixture.keeper.run_step()
+    fixture.refresher.run_step()
     passed_ms = fixture.clock.now_ms() - 100_000 - START_DELAY_MS
     assert turn.value[0] <= passed_ms <= turn.value[1]
-    assert fixture.store.asked == [5]
+    assert fixture.store.calls == [5]
     assert fixture.age() == 0
-    assert fixture.told == [(5, 5)]
+    assert fixture.sent == [(5, 5)]
 
 
 def test_a_change_that_no_watch_returned_is_found_by_a_query():
     fixture = Fixture()
     fixture.store.answers = [ObjectPage((StoredObject("servers", "a", 8, "leaving"),), 9)]
-    fixture.keeper.run_step()
-    assert fixture.consumer.known == {"a": "leaving"}
-    assert fixture.told == [(8, 9)]
+    fixture.refresher.run_step()
+    assert fixture.consumer.objects == {"a": "leaving"}
+    assert fixture.sent == [(8, 9)]
 
 
 def test_a_confirmation_of_the_recorded_version_replaces_a_query():
@@ -120,7 +120,7 @@
     assert fixture.age() == 20
     assert fixture.follower.version == 12, "the next watch starts at the confirmed version"
     fixture.clock.advance(300)
-    assert fixture.store.asked == []
+    assert fixture.store.calls == []
 
 
 def test_a_confirmation_of_a_change_that_is_missing_waits_for_it():
@@ -131,7 +131,7 @@
     fixture.clock.advance(100)
     fixture.watch.queue_page(WatchedPage("servers", 5, 9, [("a", 8, "leaving", False, None, 0)]))
     fixture.follower.run_step()
-    assert fixture.consumer.known == {"a": "leaving"}
+    assert fixture.consumer.objects == {"a": "leaving"}
     assert fixture.follower.version == 12
     assert fixture.age() == 100
 
@@ -170,19 +170,19 @@
 
 def test_the_view_ages_while_the_service_does_not_answer():
     fixture = Fixture()
-    fixture.store.answers = [AWAY] * 20
+    fixture.store.answers = [UNAVAILABLE] * 20
     for _ in range(10):
-        fixture.keeper.run_step()
+        fixture.refresher.run_step()
     assert fixture.age() >= STALE_VIEW_MS
-    assert fixture.told == []
-    assert fixture.consumer.known == {"a": "live"}, "the last state stays in use"
+    assert fixture.sent == []
+    assert fixture.consumer.objects == {"a": "live"}, "the last state stays in use"
     assert fixture.follower.live_version == 0, "other gateways must not rely on this watch"
 
 
 def test_a_query_beyond_the_history_leads_to_a_list():
     fixture = Fixture()
     fixture.store.answers = [HistoryGoneError(5)]
-    fixture.keeper.run_step()
+    fixture.refresher.run_step()
     assert not fixture.follower.is_synced
     fixture.follower.run_step()
     assert fixture.follower.is_synced
@@ -190,9 +190,9 @@
 
 def test_a_call_that_fails_after_a_confirmation_is_not_an_outage():
     fixture = Fixture()
-    fixture.store.answers = [AWAY]
-    fixture.keeper.run_step()
+    fixture.store.answers = [UNAVAILABLE]
+    fixture.refresher.run_step()
     fixture.follower.apply_confirmation(5, 12, fixture.clock.now_ms())
-    fixture.keeper.run_step()
+    fixture.refresher.run_step()
     assert not fixture.follower.is_lost
     assert fixture.follower.recovered_ms == float("-inf")
--- a/tests/test_freshness_replay.py
+++ b/tests/test_freshness_replay.py
@@ -10,7 +10,7 @@
 
 from tests.freshness_fleet import CONFIG, SERVERS, FreshnessFleet
 
-LEARNED_MS = 1_500.0
+DETECTION_MS = 1_500.0
 STABLE = [f"s{number}" for number in range(8)]
 CHANGING = [f"c{number}" for number in range(12)]
 SIZES = [(1, 2), (4, 2), (5, 12)]
@@ -31,9 +31,9 @@
     return fleet
 
 
-def assert_learned(fleet, name):
+def assert_detected(fleet, name):
     """Check that every connected gateway detects in time that a server leaves."""
-    fleet.run(LEARNED_MS)
+    fleet.run(DETECTION_MS)
     assert fleet.find_unaware(name) == []
 
 
@@ -69,7 +69,7 @@
     fleet = make_fleet(zones, in_zone)
     fleet.silence(list_zone(fleet, "z0")[:2])
     fleet.run(2_000)
-    assert_learned(fleet, leave(fleet, 0))
+    assert_detected(fleet, leave(fleet, 0))
     fleet.close()
 
 
@@ -83,26 +83,26 @@
 
 def play_faults(fleet):
     """Let servers leave one after another, with a random fault before each."""
-    chance = fleet.chance
-    task = fleet.keep_changing(CHANGING, chance.choice([150.0, 400.0, 1_500.0]))
+    rng = fleet.rng
+    task = fleet.keep_changing(CHANGING, rng.choice([150.0, 400.0, 1_500.0]))
     for number in range(len(STABLE)):
         draw_fault(fleet)
-        fleet.run(chance.uniform(200, 2_500))
-        assert_learned(fleet, leave(fleet, number))
+        fleet.run(rng.uniform(200, 2_500))
+        assert_detected(fleet, leave(fleet, number))
     task.kill()
 
 
 def draw_fault(fleet):
     """Cut gateways off from the service, connect them again, or kill a gateway."""
-    chance = fleet.chance
+    rng = fleet.rng
     living = [one for one in fleet.gateways.values() if one.lives]
-    fault = chance.choice(["silence", "watchers", "heal", "kill"])
+    fault = rng.choice(["silence", "watchers", "heal", "kill"])
     if fault == "silence":
-        fleet.silence(chance.sample(living, len(living) // 2))
+        fleet.silence(rng.sample(living, len(living) // 2))
     elif fault == "watchers":
-        zone = chance.choice(living).zone
+        zone = rng.choice(living).zone
         fleet.silence([one for one in living if one.zone == zone][:2])
     elif fault == "heal":
         fleet.heal()
     elif len(living) > 2:
-        fleet.kill(chance.choice(living))
+        fleet.kill(rng.choice(living))
--- a/tests/test_gateway_registry.py
+++ b/tests/test_gateway_registry.py
@@ -42,8 +42,10 @@
 class Fixture:
     def __init__(self):
         self.clock = ManualClock(now_ms=1_000_000)
-        self.gone = []
-        self.registry = ServerRegistry(decode, self.clock, lambda one: self.gone.append(one.name))
+        self.removed = []
+        self.registry = ServerRegistry(
+            decode, self.clock, lambda one: self.removed.append(one.name)
+        )
 
     def names(self):
         return sorted(server.name for server in self.registry.list_ready("s"))
@@ -54,7 +56,7 @@
     fixture.registry.replace_all(page(entry("a"), entry("b"), entry("c")))
     fixture.registry.apply_changes(page(entry("a", "leaving"), entry("b", deleted=True)))
     assert fixture.names() == ["c"]
-    assert fixture.gone == ["a", "b"]
+    assert fixture.removed == ["a", "b"]
 
 
 def test_a_new_list_removes_servers_that_it_does_not_contain():
@@ -248,13 +250,13 @@
 
 class Consumer:
     def __init__(self):
-        self.heard = []
+        self.received = []
 
     def replace_all(self, page):
-        self.heard.append(("all", len(page.items)))
+        self.received.append(("all", len(page.items)))
 
     def apply_changes(self, page):
-        self.heard.append(("changes", len(page.items)))
+        self.received.append(("changes", len(page.items)))
 
 
 def follow(*answers):
@@ -265,7 +267,7 @@
     return store, consumer, follower
 
 
-AWAY = PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "away")
+UNAVAILABLE = PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "away")
 
 
 def test_a_follower_lists_once_and_watches_on():
@@ -273,11 +275,13 @@
         page(entry("a"), version=5), page(entry("b"), version=8), page(version=8)
     )
     assert store.calls == ["list", ("watch", 5), ("watch", 8)]
-    assert consumer.heard == [("all", 1), ("changes", 1)]
+    assert consumer.received == [("all", 1), ("changes", 1)]
 
 
 def test_a_watch_after_an_outage_starts_at_the_last_version():
-    store, _, follower = follow(page(version=5), AWAY, AWAY, page(entry("b"), version=9))
+    store, _, follower = follow(
+        page(version=5), UNAVAILABLE, UNAVAILABLE, page(entry("b"), version=9)
+    )
     assert store.calls[-1] == ("watch", 5)
     assert follower.recovered_ms > 50_000
     assert not follower.is_lost
@@ -285,10 +289,15 @@
 
 def test_a_failed_watch_is_followed_by_a_list_and_a_failed_list_by_a_watch():
     store, consumer, _ = follow(
-        page(version=5), AWAY, page(entry("a"), version=9), AWAY, AWAY, page(version=9)
+        page(version=5),
+        UNAVAILABLE,
+        page(entry("a"), version=9),
+        UNAVAILABLE,
+        UNAVAILABLE,
+        page(version=9),
     )
     assert store.calls == ["list", ("watch", 5), "list", ("watch", 9), "list", ("watch", 9)]
-    assert consumer.heard == [("all", 0), ("all", 1)]
+    assert consumer.received == [("all", 0), ("all", 1)]
 
 
 class SlowStore:
@@ -324,7 +333,7 @@
 def test_a_lost_history_is_followed_by_a_new_list():
     store, consumer, _ = follow(page(version=5), HistoryGoneError(5), page(entry("a"), version=9))
     assert store.calls == ["list", ("watch", 5), "list"]
-    assert consumer.heard[-1] == ("all", 1)
+    assert consumer.received[-1] == ("all", 1)
 
 
 def test_an_answer_of_an_older_state_does_not_move_the_watch_back():
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -34,7 +34,7 @@
 
 
 class Site:
-    """A gateway of z1 that gets reports from the zones in `heard`."""
+    """A gateway of z1 that gets reports from the zones in `reporting`."""
 
     def __init__(self):
         self.clock = ManualClock(now_ms=1_000_000)
@@ -43,11 +43,11 @@
         for zone in ZONES:
             self.reach.record_received(zone)
 
-    def run(self, duration_ms, heard=ZONES, step_ms=ZONE_POLL_INTERVAL_MS):
+    def run(self, duration_ms, reporting=ZONES, step_ms=ZONE_POLL_INTERVAL_MS):
         for step in range(round(duration_ms / step_ms)):
             self.clock.advance(step_ms)
             if step % 2 == 0:
-                for zone in heard:
+                for zone in reporting:
                     self.reach.record_report(zone, f"g-{zone}", REPORT_MS)
             self.reach.check_zones()
 
@@ -63,7 +63,7 @@
 def test_an_unresponsive_zone_is_suspected_until_a_connection_opens(site):
     site.run(3_000)
     assert site.lost == []
-    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, heard=("z1", "z3"))
+    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, reporting=("z1", "z3"))
     assert site.lost == ["z2"]
     assert site.names() == ["z1-1", "z1-2", "z3-1", "z3-2"]
     site.reach.record_connected(SERVERS[2], took_ms=4)
@@ -71,19 +71,19 @@
 
 
 def test_a_gateway_that_is_cut_off_uses_the_servers_of_its_own_zone(site):
-    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, heard=("z1",))
+    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, reporting=("z1",))
     assert sorted(site.lost) == ["z2", "z3"]
     assert site.names() == ["z1-1", "z1-2"]
 
 
 def test_the_own_zone_is_not_suspected_without_reports_of_its_gateways(site):
-    site.run(5_000, heard=("z2", "z3"))
+    site.run(5_000, reporting=("z2", "z3"))
     assert site.lost == []
 
 
 def test_a_zone_with_killed_gateways_is_not_suspected_while_its_servers_answer(site):
     for _ in range(20):
-        site.run(REPORT_MS, heard=("z1", "z3"))
+        site.run(REPORT_MS, reporting=("z1", "z3"))
         site.reach.record_answer(SERVERS[2])
     assert site.lost == []
 
@@ -134,11 +134,11 @@
 
 
 def test_missing_reports_right_after_a_return_are_ignored(site):
-    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, heard=("z1", "z3"))
+    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, reporting=("z1", "z3"))
     site.reach.record_connected(SERVERS[2], took_ms=4)
-    site.run(ZONE_RETURN_GRACE_MS, heard=("z1", "z3"))
+    site.run(ZONE_RETURN_GRACE_MS, reporting=("z1", "z3"))
     assert site.lost == ["z2"]
-    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, heard=("z1", "z3"))
+    site.run(MIN_ZONE_TIMEOUT_MS + 2 * ZONE_POLL_INTERVAL_MS, reporting=("z1", "z3"))
     assert site.lost == ["z2", "z2"]
 
 
--- a/tests/test_relayed_watch.py
+++ b/tests/test_relayed_watch.py
@@ -29,14 +29,14 @@
     """Answers every watch at once and records the calls."""
 
     def __init__(self):
-        self.asked = []
+        self.calls = []
         self.error = None
 
     def list(self, kind, prefix=""):
         return ObjectPage((StoredObject(kind, "listed", 9, {}),), 9)
 
     def watch(self, kind, since, wait_ms, prefix=""):
-        self.asked.append((since, wait_ms))
+        self.calls.append((since, wait_ms))
         if self.error is not None:
             raise self.error
         return ObjectPage((StoredObject(kind, "from-store", since + 1, {}),), since + 1)
@@ -81,7 +81,7 @@
 def test_a_watcher_sends_the_pages_of_its_watch(fixture):
     fixture.directory.watches = True
     assert fixture.take(5) == ["from-store"]
-    assert fixture.store.asked == [(5, WAIT_MS)]
+    assert fixture.store.calls == [(5, WAIT_MS)]
     assert fixture.sent == [WatchedPage(KIND, 5, 6, [("from-store", 6, {}, False, None, 0)])]
 
 
@@ -89,7 +89,7 @@
     fixture.directory.relayed = 5
     gevent.spawn_later(0.05, fixture.watch.queue_page, make_page(5, 6))
     assert fixture.take(5) == ["from-watcher"]
-    assert fixture.store.asked == []
+    assert fixture.store.calls == []
     assert fixture.sent == []
 
 
@@ -100,27 +100,27 @@
     fixture.watch.queue_page(make_page(5, 7, "later"))
     assert fixture.take(5) == ["first"]
     assert fixture.take(6) == ["later"]
-    assert fixture.store.asked == []
+    assert fixture.store.calls == []
 
 
 def test_a_gap_between_pages_is_queried_once(fixture):
     fixture.directory.relayed = 5
     fixture.watch.queue_page(make_page(7, 8))
     assert fixture.take(5) == ["from-store"]
-    assert fixture.store.asked == [(5, CATCH_UP_WAIT_MS)]
+    assert fixture.store.calls == [(5, CATCH_UP_WAIT_MS)]
 
 
 def test_a_lost_page_is_detected_by_reports_and_queried_once(fixture):
     fixture.directory.relayed = 9
     assert fixture.take(5) == ["from-store"]
-    assert fixture.store.asked == [(5, CATCH_UP_WAIT_MS)]
+    assert fixture.store.calls == [(5, CATCH_UP_WAIT_MS)]
     fixture.watch.queue_page(make_page(9, 10))
     assert fixture.take(9) == ["from-watcher"]
 
 
 def test_a_gateway_without_a_live_watcher_watches_for_itself(fixture):
     assert fixture.take(5) == ["from-store"]
-    assert fixture.store.asked == [(5, WAIT_MS)]
+    assert fixture.store.calls == [(5, WAIT_MS)]
     assert fixture.sent == [], "it is not a watcher of its zone"
 
 
@@ -129,7 +129,7 @@
     fixture.directory.relayed = 5
     gevent.spawn_later(0.05, setattr, fixture.directory, *change)
     assert fixture.take(5) == ["from-store"]
-    assert fixture.store.asked == [(5, WAIT_MS)]
+    assert fixture.store.calls == [(5, WAIT_MS)]
 
 
 def test_a_page_of_an_own_query_counts_as_watched(fixture):
@@ -146,7 +146,7 @@
         fixture.take(5)
     fixture.store.error = None
     assert fixture.take(5) == ["from-store"]
-    assert len(fixture.store.asked) == 2
+    assert len(fixture.store.calls) == 2
 
 
 def test_a_list_of_a_watcher_replaces_the_lists_of_other_gateways(fixture):
@@ -159,7 +159,7 @@
     other.watch.queue_page(message)
     page = other.watch.watch(KIND, 5, WAIT_MS)
     assert page.is_whole and page.version == 9
-    assert other.store.asked == []
+    assert other.store.calls == []
 
 
 def test_for_a_page_that_is_too_large_only_a_notice_is_sent(fixture):
@@ -175,7 +175,7 @@
     other.directory.relayed = 5
     other.watch.queue_page(message)
     assert other.take(5) == ["from-store"]
-    assert other.store.asked == [(5, CATCH_UP_WAIT_MS)]
+    assert other.store.calls == [(5, CATCH_UP_WAIT_MS)]
 
 
 GATEWAYS = 6
@@ -196,7 +196,7 @@
     return [gateway for gateway in site.gateways if gateway.followed.watchers.is_watcher()]
 
 
-def knows(gateway, sequence):
+def has_recorded(gateway, sequence):
     """Return whether a gateway has recorded the runner's latest state."""
     wanted = "leaving" if sequence % 2 else "live"
     return [one.state.value for one in gateway.registry.list_all()] == [wanted]
@@ -209,35 +209,35 @@
 def test_each_change_reaches_all_gateways_of_a_zone_through_two_watchers(site):
     assert len(find_watchers(site)) == 2
     change_runner(site, 1)  # It ends the pending watches of the other gateways.
-    site.wait(lambda: all(knows(gateway, 1) for gateway in site.gateways))
+    site.wait(lambda: all(has_recorded(gateway, 1) for gateway in site.gateways))
     before = site.store.watch_calls[KIND]
     for sequence in range(2, CHANGES + 2):
         change_runner(site, sequence)
-        site.wait(lambda number=sequence: all(knows(one, number) for one in site.gateways))
+        site.wait(lambda number=sequence: all(has_recorded(one, number) for one in site.gateways))
     calls = site.store.watch_calls[KIND] - before
     assert calls <= 2 * (CHANGES + 2), f"{calls} calls, {GATEWAYS * CHANGES} when each one watches"
 
 
 def test_changes_are_received_after_both_watchers_stopped(site):
     change_runner(site, 1)
-    site.wait(lambda: all(knows(gateway, 1) for gateway in site.gateways))
+    site.wait(lambda: all(has_recorded(gateway, 1) for gateway in site.gateways))
     for watcher in find_watchers(site):
         site.gateways.remove(watcher)
         watcher.callers.stop_accepting()
         watcher._close()
     change_runner(site, 2)
-    site.wait(lambda: all(knows(gateway, 2) for gateway in site.gateways))
+    site.wait(lambda: all(has_recorded(gateway, 2) for gateway in site.gateways))
     site.wait(lambda: len(find_watchers(site)) == 2)
 
 
 def test_changes_are_received_though_the_watchers_relay_no_page(site):
     """The reports show which version a lost page had."""
     change_runner(site, 1)
-    site.wait(lambda: all(knows(gateway, 1) for gateway in site.gateways))
+    site.wait(lambda: all(has_recorded(gateway, 1) for gateway in site.gateways))
     for watcher in find_watchers(site):
         watcher.followed.watchers.list_relay_addresses = list
     change_runner(site, 2)
-    site.wait(lambda: all(knows(gateway, 2) for gateway in site.gateways))
+    site.wait(lambda: all(has_recorded(gateway, 2) for gateway in site.gateways))
 
 
 def change_configuration(site, version, routes=0):
@@ -277,9 +277,9 @@
     change_configuration(site, 3)
 
 
-def list_and_wait(fixture, patience_ms):
+def list_and_wait(fixture, wait_ms):
     fixture.watch = RelayedWatch(
-        fixture.store, fixture.directory, fixture.sent.append, SystemClock(), patience_ms
+        fixture.store, fixture.directory, fixture.sent.append, SystemClock(), wait_ms
     )
     fixture.watch.list(KIND)
     fixture.sent.clear()
@@ -294,27 +294,27 @@
     gevent.spawn_later(0.05, setattr, fixture.directory, "relayed", 9)
     gevent.spawn_later(0.1, fixture.watch.queue_page, make_page(9, 10))
     assert fixture.take(9) == ["from-watcher"]
-    assert fixture.store.asked == []
+    assert fixture.store.calls == []
 
 
 def test_without_a_watcher_the_wait_ends(fixture):
     list_and_wait(fixture, 100)
     assert fixture.take(9) == ["from-store"]
-    assert fixture.store.asked == [(9, WAIT_MS)]
+    assert fixture.store.calls == [(9, WAIT_MS)]
 
 
 def test_a_watch_of_rare_objects_ends_before_its_history_is_lost():
-    asked = []
+    waits_ms = []
 
     class QuietStore(Store):
         def watch(self, kind, since, wait_ms, prefix=""):
-            asked.append(wait_ms)
+            waits_ms.append(wait_ms)
             return ObjectPage((), since)
 
     follower = ObjectFollower(QuietStore(), KIND, Consumer(), SystemClock(), wait_ms=15_000)
     follower.run_step()
     follower.run_step()
-    assert asked == [15_000]
+    assert waits_ms == [15_000]
 
 
 class Consumer:
--- a/tests/test_view_age.py
+++ b/tests/test_view_age.py
@@ -48,7 +48,7 @@
     """Write the runner's state and wait until every gateway has recorded it."""
     wanted = "leaving" if state == "draining" else "live"
     site.runners[0].write(state)
-    site.wait(lambda: all(knows(gateway, wanted) for gateway in site.gateways))
+    site.wait(lambda: all(has_recorded(gateway, wanted) for gateway in site.gateways))
 
 
 def stop_own_queries(site):
@@ -58,9 +58,9 @@
     """
     for gateway in site.gateways:
         if not gateway.followed.watchers.is_watcher():
-            for keeper in gateway.followed.keepers.values():
-                keeper._started_ms += LIMIT_S * 1_000
+            for refresher in gateway.followed.keepers.values():
+                refresher._started_ms += LIMIT_S * 1_000
 
 
-def knows(gateway, wanted):
+def has_recorded(gateway, wanted):
     return [one.state.value for one in gateway.registry.list_all()] == [wanted]
