--- a/hemlockswitch/process/gateway/accounts.py
+++ b/hemlockswitch/process/gateway/accounts.py
@@ -22,8 +22,8 @@
 """Below this fraction of its capacity a bucket counts as contended: spending from it is reported to the
 peers at once instead of with the next report, since each of them could spend the remaining amount
 again."""
-SHORTEST_WAIT_MS = 100.0
-LONGEST_WAIT_MS = 4_000.0
+MIN_WAIT_MS = 100.0
+MAX_WAIT_MS = 4_000.0
 """Limits of the retry delay sent to a refused caller."""
 
 
@@ -76,9 +76,9 @@
             return None
         rate = max(self._rate_per_s * share, 1.0)
         wait_ms = (needed - self._level) / rate * MS_PER_SECOND
-        return min(max(wait_ms, SHORTEST_WAIT_MS), LONGEST_WAIT_MS)
+        return min(max(wait_ms, MIN_WAIT_MS), MAX_WAIT_MS)
 
-    def spend(self, now_ms: float, amount: float, share: float) -> None:
+    def deduct(self, now_ms: float, amount: float, share: float) -> None:
         """Deduct an amount that another daemon has spent, whatever the level."""
         self._refill(now_ms, share)
         self._level -= amount
@@ -122,13 +122,13 @@
         self._get_share = get_share
         self._on_contended = on_contended
         self._get_period = get_period
-        self._untold: set[str] = set()
-        self._start = slack * START_SLACK_SHARE
+        self._unreported: set[str] = set()
+        self._start_level = slack * START_SLACK_SHARE
         self._buckets: dict[str, AccountBucket] = {}
         self._limits: dict[str, tuple[float, float]] = {}
         self._spent_ms: dict[str, float] = {}
-        self._begun_ms = clock.now_ms()
-        self._seen: dict[tuple[str, str], float] = {}
+        self._started_ms = clock.now_ms()
+        self._received: dict[tuple[str, str], float] = {}
 
     def take(self, account: ForwardedAccount, amount: float) -> float | None:
         """Spend `amount` of an account and return None, or return the ms to wait."""
@@ -139,7 +139,7 @@
             return wait_ms
         self.spent[account.name] += amount
         self._spent_ms[account.name] = self._clock.now_ms()
-        self._untold.add(account.name)
+        self._unreported.add(account.name)
         if bucket.is_contended(share):
             self._on_contended()
         return None
@@ -158,8 +158,8 @@
 
     def pop_changed(self) -> dict[str, float]:
         """Return the sums of the accounts that have spent here since the last call."""
-        changed = {account: self.spent[account] for account in self._untold}
-        self._untold.clear()
+        changed = {account: self.spent[account] for account in self._unreported}
+        self._unreported.clear()
         return changed
 
     def take_report(self, daemon: str, spent: Mapping[str, float]) -> None:
@@ -171,11 +171,11 @@
             return
         share = self._get_share()
         for account, total in spent.items():
-            before = self._seen.get((daemon, account))
-            self._seen[daemon, account] = total if before is None else max(total, before)
+            before = self._received.get((daemon, account))
+            self._received[daemon, account] = total if before is None else max(total, before)
             bucket = self._buckets.get(account)
             if before is not None and bucket is not None and total > before:
-                bucket.spend(self._clock.now_ms(), total - before, share)
+                bucket.deduct(self._clock.now_ms(), total - before, share)
 
     def _find_bucket(self, account: ForwardedAccount) -> AccountBucket:
         """Return the account's bucket; a new bucket has been filling since the process started."""
@@ -184,7 +184,7 @@
         bucket = self._buckets.get(account.name)
         if bucket is None:
             bucket = self._buckets[account.name] = AccountBucket(
-                self._begun_ms, *limit, self._start
+                self._started_ms, *limit, self._start_level
             )
         elif self._limits[account.name] != limit:
             bucket.set_limit(now_ms, *limit, self._get_share())
--- a/hemlockswitch/process/gateway/configuration.py
+++ b/hemlockswitch/process/gateway/configuration.py
@@ -39,9 +39,9 @@
         """Apply the configuration object if it is among the changed objects."""
         for item in page.items:
             if item.name == self._name and not item.deleted:
-                self._take(item)
+                self._apply(item)
 
-    def _take(self, item: StoredObject) -> None:
+    def _apply(self, item: StoredObject) -> None:
         try:
             table = self._decode(item)
         except ConfigurationError as error:
--- a/hemlockswitch/process/gateway/copies_plan.py
+++ b/hemlockswitch/process/gateway/copies_plan.py
@@ -44,8 +44,8 @@
 
     zones : the availability zones of the site.
     live : number of copies by pool that serve and are not leaving.
-    dry : pools that recently had no copies to offer.
-    fewest : minimum number of copies, whatever the measured demand.
+    unavailable : pools that recently had no copies to offer.
+    min_copies : minimum number of copies, whatever the measured demand.
     tokens_per_ms : observed prefill rate of an engine.
     """
 
@@ -53,8 +53,8 @@
     zones: tuple[str, ...]
     live: Mapping[Pool, int]
     demand: Demand = Demand()
-    dry: frozenset[Pool] = frozenset()
-    fewest: int = 0
+    unavailable: frozenset[Pool] = frozenset()
+    min_copies: int = 0
     tokens_per_ms: float = PRIOR.tokens_per_ms
 
 
@@ -64,31 +64,31 @@
 rate, which includes the decode steps of the batch."""
 TARGET_SLOT_SHARE = 0.6
 """Planned utilization of the batch slots: decode steps slow down as batches fill."""
-FEWEST_COPIES = 3
+MIN_COPIES = 3
 """Minimum number of copies, whatever the measured demand. The remaining copies must prefill again what a
 lost copy had cached, and the measured demand shows this only afterwards."""
 FOUND_SHARE = 0.85
 """Fraction of the on-demand copies found at a takeover that counts as needed until the demand is
 measured: operators size their fleets for the peak, and cold caches need more prefill than the demand
 shows."""
-KEPT_SHARE = 0.4
+RETAINED_SHARE = 0.4
 """Fraction of all copies found at a takeover that counts as needed until the demand is measured.
 Reclaimable copies were ordered by an earlier holder at twice the need, so a larger fraction would raise
 the orders at each takeover."""
-PRIOR_MS = 12_000.0
+PRIOR_LIFETIME_MS = 12_000.0
 """Time after the first requests in which the copies found at a takeover still count as needed: three
 times the time constant of the measured demand, in which the shared prompt parts are prefilled once."""
 RESERVE_FACTOR = 1.25
 """If the reclaimable copies that serve are this multiple of the need, on-demand copies are released
 without delay: after a first start they are most of the cost until the first request."""
-CHEAP_PRICE = 0.35
+MAX_CHEAP_PRICE = 0.35
 """Up to this fraction of the full price, reclaimable copies that cover the loss of a second zone cost
 less than the on-demand copies that a wave of reclaims requires, which boot too late."""
 
 
 def count_needed(situation: CopiesSituation) -> int:
     """Return how many copies are needed, without a reserve for losses."""
-    return max(_count_by_demand(situation), situation.fewest)
+    return max(_count_by_demand(situation), situation.min_copies)
 
 
 def _count_by_demand(situation: CopiesSituation) -> int:
@@ -98,7 +98,7 @@
     demand = situation.demand
     by_prefill = demand.prefill_tokens_per_ms / (situation.tokens_per_ms * TARGET_PREFILL_SHARE)
     by_slots = demand.running / (slots * TARGET_SLOT_SHARE)
-    return max(math.ceil(by_prefill), math.ceil(by_slots), FEWEST_COPIES)
+    return max(math.ceil(by_prefill), math.ceil(by_slots), MIN_COPIES)
 
 
 def plan_copies(situation: CopiesSituation) -> dict[Pool, int]:
@@ -120,9 +120,9 @@
     wanted = _plan_reclaimable(situation, needed)
     present = _count_present(situation, wanted)
     missing = max(needed - present, 0)
-    if situation.dry:
-        left = present - _count_largest_zone(situation, wanted)
-        missing = max(missing, _count_by_demand(situation) - left)
+    if situation.unavailable:
+        remaining = present - _count_largest_zone(situation, wanted)
+        missing = max(missing, _count_by_demand(situation) - remaining)
     return wanted | _plan_on_demand(situation, missing, wanted)
 
 
@@ -137,7 +137,7 @@
     """Return whether the serving reclaimable copies of a plan exceed the need by the reserve factor.
 
     On-demand copies may leave no room for that many. In that case it is enough that all planned
-    reclaimable copies serve and cover the need, as long as no pool is dry.
+    reclaimable copies serve and cover the need, as long as no pool is unavailable.
     """
     reclaimable = {
         pool: count
@@ -145,7 +145,7 @@
         if pool.machine_class is MachineClass.RECLAIMABLE
     }
     present, needed = _count_present(situation, reclaimable), count_needed(situation)
-    fills_room = present == sum(reclaimable.values()) and not situation.dry
+    fills_room = present == sum(reclaimable.values()) and not situation.unavailable
     return present >= (needed if fills_room else RESERVE_FACTOR * needed)
 
 
@@ -155,10 +155,10 @@
 
 
 def _plan_reclaimable(situation: CopiesSituation, needed: int) -> dict[Pool, int]:
-    """Return the planned reclaimable copies by pool; a dry pool gets none beyond the present ones."""
+    """Return the planned reclaimable copies by pool; an unavailable pool gets none beyond the present ones."""
     scaling = situation.service.scaling
     assert scaling is not None
-    lost_zones = 2 if scaling.reclaimable_price <= CHEAP_PRICE else 1
+    lost_zones = 2 if scaling.reclaimable_price <= MAX_CHEAP_PRICE else 1
     per_zone = math.ceil(needed / max(len(situation.zones) - lost_zones, 1))
     # Leave room in each zone for one on-demand copy.
     per_zone = min(per_zone, max(scaling.max_copies - 1, 1))
@@ -168,8 +168,8 @@
         present = situation.live.get(pool, 0)
         # The limit applies to both classes together; copies without room now are ordered later.
         room = scaling.max_copies - situation.live.get(Pool(zone, MachineClass.ON_DEMAND), 0)
-        most = present if pool in situation.dry else max(room, present)
-        wanted[pool] = min(per_zone, most)
+        max_count = present if pool in situation.unavailable else max(room, present)
+        wanted[pool] = min(per_zone, max_count)
     return wanted
 
 
@@ -198,4 +198,4 @@
     found = sum(
         number for pool, number in live.items() if pool.machine_class is MachineClass.ON_DEMAND
     )
-    return math.ceil(max(FOUND_SHARE * found, KEPT_SHARE * sum(live.values())))
+    return math.ceil(max(FOUND_SHARE * found, RETAINED_SHARE * sum(live.values())))
--- a/hemlockswitch/process/gateway/daemon.py
+++ b/hemlockswitch/process/gateway/daemon.py
@@ -45,14 +45,14 @@
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.gateway_settings import GatewaySettings
 
-SWEEP_MS = 1_000.0
+SWEEP_INTERVAL_MS = 1_000.0
 LISTEN_ON_STOP_MS = 2_500.0
 """How long to accept connections after a stop signal. Balancers check readiness once a second and remove
 a daemon after two answers, so new connections arrive for up to two seconds. Requests that arrive after
 three seconds might not finish in the remaining time."""
 FORCE_MARGIN_MS = 500.0
 """The process exits this long before the platform kills it."""
-STOP_STEP_MS = 50.0
+STOP_POLL_INTERVAL_MS = 50.0
 
 
 class GatewayDaemon:
@@ -72,12 +72,12 @@
         self._clock = clock
         self._tasks = Tasks(clock)
         self._readiness = Readiness(lambda: self.followed.is_synced and self.guard.is_ready, clock)
-        self._build_knowledge()
+        self._build_state()
         self._build_forwarding()
         self._build_duties()
         self._build_servers()
 
-    def _build_knowledge(self) -> None:
+    def _build_state(self) -> None:
         """Build the local state of the daemon: configuration, backend servers, other gateways."""
         adapter, clock = self._adapter, self._clock
         self.true_time = TrueTime()
@@ -87,7 +87,7 @@
         self.tables = TableHolder(adapter.config_name, adapter.decode_table)
         self.models = ServiceModels(clock)
         self.pool = BackendPool(clock, self._count_connection)
-        self.registry = ServerRegistry(adapter.decode_server, clock, self._forget_server)
+        self.registry = ServerRegistry(adapter.decode_server, clock, self._evict_server)
         self.network = PeerNetwork(
             self.settings.cluster, self.settings.name, self.settings.peer_listen, clock=clock
         )
@@ -242,8 +242,8 @@
         page_addresses = self.pages.start()
         for follower in self.followed.followers:
             self._tasks.spawn(follower.kind, follower.run)
-        for kind, keeper in self.followed.keepers.items():
-            self._tasks.spawn(f"freshness of {kind}", keeper.run)
+        for kind, refresher in self.followed.keepers.items():
+            self._tasks.spawn(f"freshness of {kind}", refresher.run)
         for name, run in self._list_tasks().items():
             self._tasks.spawn(name, run)
         return {"listen": listen_address, "peer": peer_address, **page_addresses}
@@ -286,14 +286,14 @@
         if self.duties is not None:
             self.duties.release()
         while self._clock.now_ms() < listen_until_ms:
-            self._clock.sleep_ms(STOP_STEP_MS)
+            self._clock.sleep_ms(STOP_POLL_INTERVAL_MS)
         self.forwarder.stop_admitting()
         self.callers.stop_accepting()
         while self.callers.active and self._clock.now_ms() < end_ms:
-            self._clock.sleep_ms(STOP_STEP_MS)
+            self._clock.sleep_ms(STOP_POLL_INTERVAL_MS)
             self.callers.close_idle()
         self.reports.send_usage()
-        self._clock.sleep_ms(STOP_STEP_MS)
+        self._clock.sleep_ms(STOP_POLL_INTERVAL_MS)
         self._close()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
@@ -326,7 +326,7 @@
 
     def _sweep(self) -> None:
         while True:
-            self._clock.sleep_ms(SWEEP_MS)
+            self._clock.sleep_ms(SWEEP_INTERVAL_MS)
             self.pool.sweep()
             self.true_time.hear(self.fleet.list_opinions())
 
@@ -335,7 +335,7 @@
             self._clock.sleep_ms(FIT_MS)
             self.models.fit()
 
-    def _forget_server(self, server: BackendServer) -> None:
+    def _evict_server(self, server: BackendServer) -> None:
         self.pool.forget(server.address)
         self.reachability.forget(server)
         self.loads.forget(server.incarnation)
--- a/hemlockswitch/process/gateway/meters.py
+++ b/hemlockswitch/process/gateway/meters.py
@@ -2,7 +2,7 @@
 
 import math
 
-DEMAND_MS = 4_000.0
+DEMAND_TIME_CONSTANT_MS = 4_000.0
 """Time constant of the measured demand. It equals the boot time of a copy, so that orders for copies
 neither lag behind the demand nor react to single prompts."""
 
@@ -25,12 +25,12 @@
 
     def add(self, now_ms: float, amount: float) -> None:
         """Add `amount` of work at `now_ms`."""
-        self._rate = self.get(now_ms) + amount / DEMAND_MS
+        self._rate = self.get(now_ms) + amount / DEMAND_TIME_CONSTANT_MS
         self._updated_ms = now_ms
 
     def get(self, now_ms: float) -> float:
         """Return the rate of work per millisecond."""
-        return self._rate * math.exp(-(now_ms - self._updated_ms) / DEMAND_MS)
+        return self._rate * math.exp(-(now_ms - self._updated_ms) / DEMAND_TIME_CONSTANT_MS)
 
 
 class LevelMeter:
@@ -60,7 +60,7 @@
         """Add a reading and return the smoothed level."""
         if self._level is None:
             self._level = value
-        weight = 1.0 - math.exp(-(now_ms - self._read_ms) / DEMAND_MS)
+        weight = 1.0 - math.exp(-(now_ms - self._read_ms) / DEMAND_TIME_CONSTANT_MS)
         self._level += weight * (value - self._level)
         self._read_ms = now_ms
         return self._level
--- a/hemlockswitch/process/gateway/metrics.py
+++ b/hemlockswitch/process/gateway/metrics.py
@@ -20,13 +20,13 @@
 FIRST_EVENT_BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.83, 1.2, 2.0, 4.0, 8.0)
 
 
-class Timings:
+class DurationHistogram:
     """Histogram of durations.
 
     Examples
     ========
 
-    >>> timings = Timings()
+    >>> timings = DurationHistogram()
     >>> timings.observe(30.0)
     >>> timings.observe(90_000.0)
     >>> timings.list_buckets()[1], timings.list_buckets()[-1]
@@ -83,7 +83,7 @@
         self.requests: Counter[tuple[str, str]] = Counter()
         self.failures: Counter[str] = Counter()
         self.connections = 0
-        self.begun: dict[str, Timings] = defaultdict(Timings)
+        self.begun: dict[str, DurationHistogram] = defaultdict(DurationHistogram)
         self.guard = GuardCounts()
         self.measure_ages: Callable[[], Mapping[str, float]] = dict
         self.describe_rollouts: Callable[[], Mapping[tuple[str, str, str], int]] = dict
--- a/hemlockswitch/process/gateway/observation.py
+++ b/hemlockswitch/process/gateway/observation.py
@@ -9,18 +9,18 @@
 from hemlockswitch.request.progress import Progress
 from hemlockswitch.request.send_states import SendFailure
 
-LINES_PER_SECOND = 100
+MAX_LINES_PER_SECOND = 100
 """Maximum rate of request log lines; at this rate they use half a percent of a core."""
 
 
-class LinePace:
+class LineRateLimiter:
     """Rate limiter for request log lines, which counts the suppressed lines."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._second = 0
         self._written = 0
-        self._left_out = 0
+        self._suppressed = 0
 
     def allow(self) -> bool:
         """Return whether a line may be written now, and count it."""
@@ -30,15 +30,15 @@
             self._second = second
             self._written = 0
         self._written += 1
-        if self._written > LINES_PER_SECOND:
-            self._left_out += 1
+        if self._written > MAX_LINES_PER_SECOND:
+            self._suppressed += 1
             return False
         return True
 
     def _report(self) -> None:
-        if self._left_out:
-            log_event(Event.LINES_SUPPRESSED, "warning", lines=self._left_out)
-            self._left_out = 0
+        if self._suppressed:
+            log_event(Event.LINES_SUPPRESSED, "warning", lines=self._suppressed)
+            self._suppressed = 0
 
 
 class GatewayObserver:
@@ -57,12 +57,12 @@
         self._usage = usage
         self._true_time = true_time
         self._clock = clock
-        self._pace = LinePace(clock)
+        self._line_limiter = LineRateLimiter(clock)
 
     def attempt_failed(self, progress: Progress, failure: SendFailure, detail: str) -> None:
         """Count and log a failed send attempt."""
         self.metrics.failures[failure.value] += 1
-        if self._pace.allow():
+        if self._line_limiter.allow():
             log_event(
                 Event.ATTEMPT_FAILED,
                 request_id=progress.facts.request_id if progress.facts else "",
@@ -87,7 +87,7 @@
         admitted = progress.admitted
         route = admitted.route.name if admitted else ""
         self.metrics.requests[route, progress.outcome] += 1
-        if not self._pace.allow():
+        if not self._line_limiter.allow():
             return
         now_ms = self._clock.now_ms()
         received_ms = progress.request.received_ms
--- a/hemlockswitch/process/gateway/readiness.py
+++ b/hemlockswitch/process/gateway/readiness.py
@@ -6,7 +6,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 
-LOOK_MS = 10.0
+SYNC_POLL_INTERVAL_MS = 10.0
 LONGEST_START_MS = 3_000.0
 """A gateway that has not received its initial state after this time is waiting for the end of an outage,
 not for a list in transit."""
@@ -28,7 +28,7 @@
     def __init__(self, is_synced: Callable[[], bool], clock: Clock) -> None:
         self._is_synced = is_synced
         self._clock = clock
-        self._starts_until_ms = clock.now_ms() + LONGEST_START_MS
+        self._start_deadline_ms = clock.now_ms() + LONGEST_START_MS
         self._was_synced = False
         self._is_stopping = False
         self._was_ready = False
@@ -45,11 +45,11 @@
         self._was_ready = ready
         return ready
 
-    def await_synced(self, most_ms: float) -> None:
-        """Wait until the initial state is complete, during the start phase and for at most `most_ms`."""
-        until_ms = min(self._clock.now_ms() + most_ms, self._starts_until_ms)
+    def await_synced(self, max_wait_ms: float) -> None:
+        """Wait until the initial state is complete, during the start phase and for at most `max_wait_ms`."""
+        until_ms = min(self._clock.now_ms() + max_wait_ms, self._start_deadline_ms)
         while not self._has_synced() and self._clock.now_ms() < until_ms:
-            self._clock.sleep_ms(LOOK_MS)
+            self._clock.sleep_ms(SYNC_POLL_INTERVAL_MS)
 
     def _has_synced(self) -> bool:
         self._was_synced = self._was_synced or self._is_synced()
--- a/hemlockswitch/process/gateway/scaling.py
+++ b/hemlockswitch/process/gateway/scaling.py
@@ -9,7 +9,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.gateway.copies_plan import (
-    PRIOR_MS,
+    PRIOR_LIFETIME_MS,
     CopiesSituation,
     Demand,
     Pool,
@@ -23,15 +23,15 @@
 from hemlockswitch.version.machine_class import MachineClass
 from hemlockswitch.version.serving_table import ForwardedService, ServingTable
 
-DRY_MS = 3_000.0
+UNAVAILABLE_RETRY_MS = 3_000.0
 """How long not to order from a pool that had no copies to offer. Reclaims leave a zone without copies
 for some ten seconds, and each call costs."""
 SHRINK_AFTER_MS = 4_000.0
 """How long fewer copies must suffice before some are released. A copy boots for some four seconds, so
 releasing one for a shorter time only costs."""
-REORDER_MS = 8_000.0
+REORDER_DELAY_MS = 8_000.0
 """When to repeat an order whose copies have not registered: twice the boot time of a copy."""
-REPEAT_MS = 20_000.0
+REPEAT_INTERVAL_MS = 20_000.0
 """An order is repeated after this time even if nothing changed, in case it was lost."""
 
 
@@ -68,9 +68,9 @@
     list_servers : returns the registered backend servers.
     measure_demand : returns the demand of a service over all gateways.
     find_tokens_per_ms : returns the prefill rate of a service's engines.
-    knows_all : returns whether the list of servers is complete. Until then only the first reclaimable
+    has_all_servers : returns whether the list of servers is complete. Until then only the first reclaimable
         copies are ordered, since an order also releases the copies above its count.
-    knows_most : returns whether live servers have had time to register.
+    has_most_servers : returns whether live servers have had time to register.
     clock : source of the current time.
     is_moving : returns whether a service moves to another version. No copies are released meanwhile,
         since an order does not name a version.
@@ -84,8 +84,8 @@
         list_servers: Callable[[], list[BackendServer]],
         measure_demand: Callable[[str], Demand],
         find_tokens_per_ms: Callable[[str], float],
-        knows_all: Callable[[], bool],
-        knows_most: Callable[[], bool],
+        has_all_servers: Callable[[], bool],
+        has_most_servers: Callable[[], bool],
         clock: Clock,
         is_moving: Callable[[str], bool] = lambda _: False,
     ) -> None:
@@ -96,12 +96,12 @@
         self._list_servers = list_servers
         self._measure_demand = measure_demand
         self._find_tokens_per_ms = find_tokens_per_ms
-        self._knows_all = knows_all
-        self._knows_most = knows_most
+        self._has_all_servers = has_all_servers
+        self._has_most_servers = has_most_servers
         self._clock = clock
         self._orders: dict[tuple[str, Pool], _Order] = {}
-        self._dry_until_ms: dict[tuple[str, Pool], float] = {}
-        self._enough_since_ms: dict[tuple[str, Pool], float] = {}
+        self._unavailable_until_ms: dict[tuple[str, Pool], float] = {}
+        self._surplus_since_ms: dict[tuple[str, Pool], float] = {}
         self._priors: dict[str, int] = {}
         self._demand_since_ms: dict[str, float] = {}
         self._running: dict[str, LevelMeter] = {}
@@ -113,7 +113,7 @@
         data does not release copies at once.
         """
         self._orders.clear()
-        self._enough_since_ms.clear()
+        self._surplus_since_ms.clear()
         self._priors.clear()
         self._demand_since_ms.clear()
         self._running.clear()
@@ -130,19 +130,19 @@
         table = self._get_table()
         if table is None:
             return
-        order = self._order_service if self._knows_all() else self._order_first
+        order = self._order_service if self._has_all_servers() else self._order_initial
         for service in table.services.values():
             if service.scaling is not None:
                 order(service, get_fencing)
 
-    def _order_first(self, service: ForwardedService, get_fencing: Callable[[], int]) -> None:
+    def _order_initial(self, service: ForwardedService, get_fencing: Callable[[], int]) -> None:
         """Order reclaimable copies if none is registered, before the list of servers is complete.
 
         An order also releases the copies above its count, so other orders wait for the complete list.
         At a first start the copies found run at the full price until reclaimable copies serve: each
         second saved saves one copy-second for each of them.
         """
-        if not self._knows_most():
+        if not self._has_most_servers():
             return
         situation = self._describe(service)
         wanted = plan_copies(situation)
@@ -154,7 +154,7 @@
         for pool, count in sorted(wanted.items()):
             last = self._orders.get((service.name, pool))
             is_more = last is None or count > last.count
-            is_wanted = is_more and pool not in situation.dry
+            is_wanted = is_more and pool not in situation.unavailable
             if is_wanted and pool.machine_class is MachineClass.RECLAIMABLE:
                 self._send(situation, pool, count, get_fencing())
 
@@ -183,16 +183,18 @@
                 live[pool] = live.get(pool, 0) + 1
             elif pool.machine_class is MachineClass.RECLAIMABLE:
                 # A zone whose copies are being reclaimed offers no new ones for a while.
-                self._dry_until_ms[service.name, pool] = now_ms + DRY_MS
-        dry = frozenset(
+                self._unavailable_until_ms[service.name, pool] = now_ms + UNAVAILABLE_RETRY_MS
+        unavailable = frozenset(
             pool
-            for (name, pool), until_ms in self._dry_until_ms.items()
+            for (name, pool), until_ms in self._unavailable_until_ms.items()
             if name == service.name and until_ms > now_ms
         )
         demand = self._measure(service.name)
-        fewest = self._find_prior(service.name, live, demand)
+        min_copies = self._find_prior(service.name, live, demand)
         tokens_per_ms = self._find_tokens_per_ms(service.name)
-        return CopiesSituation(service, self._zones, live, demand, dry, fewest, tokens_per_ms)
+        return CopiesSituation(
+            service, self._zones, live, demand, unavailable, min_copies, tokens_per_ms
+        )
 
     def _measure(self, service: str) -> Demand:
         measured = self._measure_demand(service)
@@ -203,27 +205,27 @@
         """Return how many of the copies found to retain; 0 once the demand has been measured."""
         now_ms = self._clock.now_ms()
         prior = self._priors.get(service, count_prior(live))
-        if self._knows_all():
+        if self._has_all_servers():
             self._priors[service] = prior
         if demand.running or demand.prefill_tokens_per_ms > 0:
             self._demand_since_ms.setdefault(service, now_ms)
         since_ms = self._demand_since_ms.get(service)
-        return prior if since_ms is None or now_ms - since_ms < PRIOR_MS else 0
+        return prior if since_ms is None or now_ms - since_ms < PRIOR_LIFETIME_MS else 0
 
     def _is_due(
         self, service: str, pool: Pool, count: int, live: int, shrink_after_ms: float
     ) -> bool:
         now_ms = self._clock.now_ms()
-        if self._dry_until_ms.get((service, pool), 0.0) > now_ms:
+        if self._unavailable_until_ms.get((service, pool), 0.0) > now_ms:
             return False
         last = self._orders[service, pool]
         if count >= last.count:
-            self._enough_since_ms.pop((service, pool), None)
-            period_ms = REORDER_MS if count > live else REPEAT_MS
+            self._surplus_since_ms.pop((service, pool), None)
+            period_ms = REORDER_DELAY_MS if count > live else REPEAT_INTERVAL_MS
             return count > last.count or now_ms - last.sent_ms > period_ms
         if self._is_moving(service):
             return False
-        since_ms = self._enough_since_ms.setdefault((service, pool), now_ms)
+        since_ms = self._surplus_since_ms.setdefault((service, pool), now_ms)
         return now_ms - since_ms >= shrink_after_ms
 
     def _send(self, situation: CopiesSituation, pool: Pool, count: int, fencing: int) -> None:
@@ -246,6 +248,6 @@
         now_ms = self._clock.now_ms()
         if outcome is OrderOutcome.TAKEN:
             self._orders[service, pool] = _Order(count, now_ms)
-            self._enough_since_ms.pop((service, pool), None)
+            self._surplus_since_ms.pop((service, pool), None)
             return
-        self._dry_until_ms[service, pool] = now_ms + DRY_MS
+        self._unavailable_until_ms[service, pool] = now_ms + UNAVAILABLE_RETRY_MS
--- a/tests/copies_market.py
+++ b/tests/copies_market.py
@@ -1,4 +1,4 @@
-"""A cloud API without a network, and the duty that orders copies from it, for tests of the plan."""
+"""Simulated cloud API and the duty that orders copies from it, for tests of copy orders."""
 
 from dataclasses import dataclass, field
 
@@ -24,16 +24,18 @@
 RECLAIMABLE, ON_DEMAND = MachineClass.RECLAIMABLE, MachineClass.ON_DEMAND
 
 
-def situation(live=None, tokens=0.0, running=0, dry=()):
-    return CopiesSituation(SERVICE, ZONES, live or {}, Demand(tokens, running), frozenset(dry))
+def situation(live=None, tokens=0.0, running=0, unavailable=()):
+    return CopiesSituation(
+        SERVICE, ZONES, live or {}, Demand(tokens, running), frozenset(unavailable)
+    )
 
 
 @dataclass
 class Market:
-    """A cloud API whose copies boot, are reclaimed by zone, and are not to be had for a while."""
+    """Simulated cloud API whose copies boot, are reclaimed by zone, and are unavailable for some time."""
 
     clock: ManualClock
-    dry_until_ms: float = 0.0
+    unavailable_until_ms: float = 0.0
     booting: list = field(default_factory=list)
     servers: dict = field(default_factory=dict)
     calls: int = 0
@@ -48,8 +50,8 @@
         held = [one for one in self.servers.values() if self.pool_of(one) == pool]
         coming = [entry for entry in self.booting if entry[1] == pool]
         missing = wanted - len(held) - len(coming)
-        dry = self.clock.now_ms() < self.dry_until_ms
-        if missing > 0 and dry and pool.machine_class is RECLAIMABLE:
+        is_unavailable = self.clock.now_ms() < self.unavailable_until_ms
+        if missing > 0 and is_unavailable and pool.machine_class is RECLAIMABLE:
             return OrderOutcome.NONE_AVAILABLE
         for _ in range(max(missing, 0)):
             self.booting.append((self.clock.now_ms() + BOOT_MS, pool))
@@ -75,8 +77,10 @@
             name, pool.zone, "127.0.0.1:1", "llm", machine_class, slots=128
         )
 
-    def reclaim(self, zone, dry_ms):
-        self.dry_until_ms = max(self.dry_until_ms, self.clock.now_ms() + dry_ms)
+    def reclaim(self, zone, unavailable_ms):
+        self.unavailable_until_ms = max(
+            self.unavailable_until_ms, self.clock.now_ms() + unavailable_ms
+        )
         pool = Pool(zone, RECLAIMABLE)
         for server in [one for one in self.servers.values() if self.pool_of(one) == pool]:
             del self.servers[server.name]
--- a/tests/test_first_copies.py
+++ b/tests/test_first_copies.py
@@ -1,7 +1,7 @@
-"""Which copies are ordered and given back at a first start and after a takeover.
+"""Orders and releases of copies at a first start and after a takeover.
 
-The load patterns are those of the sites' days: what is found runs at the full price, nobody asks for some
-seconds, and the list of the servers still fills.
+The load patterns are those of the sites: the copies found run at the full price, no requests arrive for
+some seconds, and the list of servers is still incomplete.
 """
 
 import math
@@ -35,17 +35,17 @@
     assert market.calls == 0
 
 
-def add_found(market, per_zone):
+def add_on_demand(market, per_zone):
     for zone in ZONES:
         for _ in range(per_zone):
             market.add(Pool(zone, ON_DEMAND))
 
 
-def test_reclaimable_copies_are_ordered_before_the_registry_is_complete():
-    """A first start: what was found runs at the full price until reclaimable ones serve."""
+def test_reclaimable_copies_are_ordered_once_most_servers_are_listed():
+    """At a first start, the copies found run at the full price until reclaimable copies serve."""
     market = Market(ManualClock(), is_listed=False)
     duty = make_duty(market, tokens=0)
-    add_found(market, per_zone=1)
+    add_on_demand(market, per_zone=1)
     play(market, duty, 1_000)
     assert market.calls == 0
     market.is_mostly_listed = True
@@ -54,19 +54,19 @@
     assert len(market.orders) == len(ZONES), "each pool once"
 
 
-def test_more_is_ordered_as_more_servers_register():
+def test_initial_orders_grow_as_servers_register():
     market = Market(ManualClock(), is_listed=False, is_mostly_listed=True)
     duty = make_duty(market, tokens=0)
-    add_found(market, per_zone=1)
+    add_on_demand(market, per_zone=1)
     play(market, duty, 500)
-    add_found(market, per_zone=1)
+    add_on_demand(market, per_zone=1)
     play(market, duty, 500)
     counts = [wanted for pool, wanted in market.orders if pool.zone == "z1"]
     assert counts == sorted(counts)
 
 
-def test_nothing_is_ordered_early_while_reclaimable_copies_are_known():
-    """After a restart of all there are some, and how many of them is not known yet."""
+def test_no_early_orders_if_reclaimable_copies_are_registered():
+    """After a restart of all gateways, the number of reclaimable copies is not known yet."""
     market = Market(ManualClock(), is_listed=False, is_mostly_listed=True)
     duty = make_duty(market, tokens=0)
     market.add(Pool("z1", RECLAIMABLE))
@@ -75,8 +75,8 @@
     assert market.calls == 0
 
 
-def test_a_full_zone_gets_reclaimable_copies_as_soon_as_it_has_room():
-    """Three copies a zone at the most: what was found fills it, and then goes."""
+def test_full_zone_gets_reclaimable_copies_as_soon_as_it_has_room():
+    """With at most three copies per zone, the copies found leave room only once they are released."""
     found = {Pool(zone, ON_DEMAND): 2 for zone in ZONES}
     wanted = plan_copies(situation(live=found, tokens=100))
     assert {wanted[Pool(zone, RECLAIMABLE)] for zone in ZONES} == {1}
@@ -85,8 +85,8 @@
     assert {wanted[Pool(zone, RECLAIMABLE)] for zone in ZONES} == {2}
 
 
-def test_a_large_fleet_is_kept_in_part_until_its_demand_is_known():
-    """The start of a day at the grown sites: 30 copies, no request yet, then 250 a second."""
+def test_most_of_a_large_fleet_is_retained_until_demand_is_measured():
+    """Start of a day at the grown sites: 30 copies, no requests yet, then 250 per second."""
     large = replace(SERVICE, scaling=replace(SERVICE.scaling, max_copies=15))
     live = {Pool(zone, ON_DEMAND): 8 for zone in ZONES}
     market = Market(ManualClock())
@@ -98,9 +98,9 @@
     assert len(market.servers) >= 0.85 * 32
 
 
-def test_copies_that_were_ordered_do_not_count_as_found():
-    """At a small site the prior rose from 3 to 4 with the ordered copies, and the
-    second copy of each zone was given back just as a wave of reclaims began."""
+def test_ordered_copies_do_not_count_as_found():
+    """At a small site the prior rose from 3 to 4 because it counted ordered copies, and the second copy
+    of each zone was released just as a wave of reclaims began."""
     market = Market(ManualClock())
     for zone in ("z1", "z2", "z3", "z4", "z1", "z3"):
         market.add(Pool(zone, ON_DEMAND))
@@ -108,11 +108,11 @@
     duty = make_duty(market, tokens=0, service=roomy)
     play(market, duty, 12_000)
     classes = [one.machine_class for one in market.list()]
-    assert classes.count("reclaimable") == 12, "for all of the six that were found"
+    assert classes.count("reclaimable") == 12, "enough for the six copies found"
 
 
-def test_a_takeover_in_the_middle_of_a_day_does_not_raise_the_orders():
-    """All gateways are killed; the new holder finds the copies that the one before it ordered."""
+def test_repeated_takeovers_do_not_raise_the_orders():
+    """When all gateways are killed, the new holder finds the copies that its predecessor ordered."""
     roomy = replace(SERVICE, scaling=replace(SERVICE.scaling, max_copies=6))
     market = Market(ManualClock())
     for zone in ZONES:
@@ -128,11 +128,11 @@
     assert classes.count("on_demand") == 0
 
 
-def test_found_copies_are_given_back_as_soon_as_all_that_fits_beside_them_serves():
-    """A first start finds half of the places taken by copies at the full price.
+def test_on_demand_copies_are_released_once_all_that_fit_beside_them_serve():
+    """At a first start, on-demand copies take up half of the places.
 
-    What may run beside them is less than the reserve that lets the found ones go at once, so each of
-    them was paid for four seconds longer.
+    Fewer copies fit beside them than the reserve that allows their immediate release, so each of them was
+    paid for four seconds longer than needed.
     """
     market = Market(ManualClock())
     for zone, found in zip(ZONES, (12, 11, 11, 11), strict=True):
@@ -149,11 +149,11 @@
     assert classes.count("on_demand") == 0
     assert classes.count("reclaimable") >= 39
     play(market, duty, BOOT_MS + 1_000)
-    assert len(market.servers) == 80, "the places of the others are used by reclaimable ones"
+    assert len(market.servers) == 80, "reclaimable copies use the released places"
 
 
-def test_a_new_holder_gives_no_copy_back_before_it_has_heard_of_the_demand():
-    """All gateways were killed in a wave of reclaims: copies at the full price carry the demand."""
+def test_new_holder_releases_no_copies_before_demand_is_measured():
+    """All gateways were killed during a wave of reclaims, while on-demand copies serve the demand."""
     market = Market(ManualClock())
     for zone in ZONES:
         for _ in range(3):
@@ -168,7 +168,7 @@
     assert len(market.servers) == before
 
 
-def test_found_copies_stay_while_a_zone_has_none_to_give():
+def test_found_copies_are_retained_while_a_zone_is_unavailable():
     market = Market(ManualClock())
     for zone in ZONES:
         for _ in range(11):
@@ -176,7 +176,7 @@
     scaling = replace(SERVICE.scaling, max_copies=23)
     service = replace(SERVICE, engine=EngineTraits(32, 600_000), scaling=scaling)
     duty = make_duty(market, tokens=0, service=service)
-    market.reclaim(ZONES[0], dry_ms=math.inf)
+    market.reclaim(ZONES[0], unavailable_ms=math.inf)
     play(market, duty, BOOT_MS + 1_000)
     classes = [one.machine_class for one in market.list()]
     assert len(classes) >= 38
