--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -1,4 +1,4 @@
-"""A site in one process: the stand-in store, stand-in runners and real gateway daemons."""
+"""Test site in one process: a stand-in store, stand-in runners and real gateway daemons."""
 
 import json
 import time
@@ -34,7 +34,7 @@
 
 
 def make_manifest(version=1, timeout_ms=5_000, tenants=None, services=(), **routes):
-    """Return a manifest with the routes of the tests."""
+    """Return a manifest with the default routes of the tests, updated with `routes`."""
     every = {**ROUTES, **routes}
     return {
         "version": version,
@@ -79,14 +79,14 @@
 
 
 def make_entry(service, address, state="ready", **fields):
-    """Return a runner's entry of the registry, with every field that the platform lists."""
+    """Return a registry entry of a runner, with every field that the platform lists."""
     entry = {"service": service, "address": address, "zone": "z1", "version": "v1", "slots": 8}
     return {**entry, "state": state, "cold_left_ms": 0, "sequence": 1, **fields}
 
 
 @dataclass
 class Reply:
-    """An answer as a caller sees it."""
+    """Answer as received by a caller."""
 
     status: int
     headers: dict
@@ -95,7 +95,7 @@
 
 
 class Runner:
-    """A stand-in runner that is served in this process."""
+    """Stand-in runner that is served in this process."""
 
     def __init__(self, name, service, store, version="v1", faults=None, **settings):
         self.name = name
@@ -118,19 +118,19 @@
         self.state.left = self.state.faults.count
 
     def count_runs(self, request_id):
-        """Return how often a request ran here."""
+        """Return how often a request ran on this runner."""
         return self.state.runs[request_id]
 
 
 def count_runs(runners, request_id):
-    """Return how often a request ran on some runners."""
+    """Return how often a request ran on the given runners in total."""
     return sum(runner.count_runs(request_id) for runner in runners)
 
 
 class SilencedCalls:
-    """The calls of one gateway to the object service, whose answers are lost while it is silenced.
+    """Calls of a gateway to the object service, whose answers are lost while it is silenced.
 
-    The caller waits for the answer as long as for one of a service that is silent.
+    The caller waits for the answer as long as for that of an unresponsive service.
     """
 
     def __init__(self, calls):
@@ -138,12 +138,12 @@
         self._calls = calls
 
     def call(self, backoff, method, path, body, headers, wait_ms=0):
-        """Make one call; its answer is lost if the gateway is silenced when it comes."""
+        """Make a call; its answer is lost if the gateway is silenced when the answer arrives."""
         began = time.monotonic()
         if backoff.get_pause_ms() > 0:
             return self._calls.call(backoff, method, path, body, headers, wait_ms)
         answer = None
-        seen = Backoff(SystemClock())  # What the caller does not hear of must not count for it.
+        seen = Backoff(SystemClock())  # a lost answer must not affect the caller's backoff
         try:
             if not self.is_silenced:
                 answer = self._calls.call(seen, method, path, body, headers, wait_ms)
@@ -165,12 +165,12 @@
             backoff.record_success()
 
     def close(self):
-        """Close the kept connections."""
+        """Close the open connections."""
         self._calls.close()
 
 
 class Site:
-    """The whole of a site; `close` ends it."""
+    """Complete test site; `close` stops all of its processes."""
 
     def __init__(self, gateways=1, manifest=None, is_configured=True, **settings):
         self.settings = settings
@@ -206,7 +206,7 @@
         return daemon
 
     def add_runner(self, service, **settings):
-        """Start a runner and wait until the gateways know it."""
+        """Start a runner and wait until it is ready at all gateways."""
         runner = Runner(f"runner-{len(self.runners) + 1}", service, self.store, **settings)
         self.runners.append(runner)
         self.wait(lambda: all(self._knows(one, runner) for one in self.gateways))
@@ -222,12 +222,12 @@
         """Wait until a condition holds."""
         deadline = time.monotonic() + LIMIT_S
         while not condition():
-            assert time.monotonic() < deadline, "the condition did not come"
+            assert time.monotonic() < deadline, "the condition was not met in time"
             gevent.sleep(0.01)
 
     @staticmethod
     def silence(gateway):
-        """Lose every answer of the object service to a gateway, also that of calls which wait."""
+        """Lose every answer of the object service to a gateway, including those of waiting calls."""
         gateway._adapter.store._calls.is_silenced = True
 
     def make_id(self):
@@ -236,19 +236,19 @@
         return f"request-{self._last}"
 
     def connect(self, gateway=0):
-        """Return a caller's connection."""
+        """Return a new connection of a caller to a gateway."""
         host, port = self.gateways[gateway].addresses["listen"].split(":")
         return socket.create_connection((host, int(port)), timeout=LIMIT_S)
 
     def ask(self, path, request_id=None, method="POST", key=KEY, body=b"{}", gateway=0, **headers):
-        """Send one request on a new connection and return its reply."""
+        """Send a request on a new connection and return its reply."""
         request_id = request_id or self.make_id()
         with self.connect(gateway) as connection:
             connection.sendall(make_request(path, request_id, method, key, body, **headers))
             return read_reply(connection)
 
     def close(self):
-        """End everything."""
+        """Stop all gateways, runners and the store."""
         for gateway in self.gateways:
             gateway.callers.stop_accepting()
             gateway._close()
@@ -273,7 +273,7 @@
 
 
 def read_reply(connection):
-    """Read one reply; whether it is whole follows from its framing."""
+    """Read one reply; its framing shows whether it is complete."""
     data = b""
     while b"\r\n\r\n" not in data:
         piece = connection.recv(65_536)
@@ -328,7 +328,7 @@
 
 
 def make_events(request_id, last, first=1):
-    """Return the events of a whole stream."""
+    """Return the events of a stream from number `first` to `last`."""
     return "".join(
         f"id: {number}\ndata: {request_id} {number}\n\n" for number in range(first, last + 1)
     ).encode()
@@ -344,7 +344,7 @@
 
 
 def is_genuine(reply, request_id):
-    """Return whether a reply bears the runner's mark for this request."""
+    """Return whether a reply has the runner's seal for this request."""
     return reply.headers.get("hemlockswitch-response-seal") == make_seal(request_id)
 
 
--- a/tests/test_gateway_accounts.py
+++ b/tests/test_gateway_accounts.py
@@ -1,8 +1,8 @@
-"""Limits of client accounts over all gateways: steady load, cuts, restarts, hot accounts.
+"""Limits of client accounts over all gateways: steady load, partitions, restarts and overload.
 
-The patterns are the sites' days: an account asks for up to eight times its usual amount, all
-gateways are killed and come back within a second, a zone is cut off; on the grown sites sixty
-gateways report only each 0.6 s, and one large request is a sixth of an account's burst.
+The patterns are those of the sites: an account requests up to eight times its usual amount, all gateways
+are killed and restart within a second, and a zone is cut off. On the grown sites, sixty gateways report
+only every 0.6 s, and one large request is a sixth of an account's burst.
 """
 
 import random
@@ -19,10 +19,10 @@
 )
 REQUEST_TOKENS = 18_000.0
 REPORT_MS = 200
-TELL_MS = 50
-"""How late a spending of a contended account is told: the pause between two such reports."""
+CONTENDED_REPORT_MS = 50
+"""Delay of reports on contended accounts: the interval between two such reports."""
 SLACK = 190_000.0
-"""The excess that both sites tolerate in a window of eight seconds, in tokens."""
+"""Excess in tokens that both sites tolerate in a window of eight seconds."""
 
 
 @pytest.fixture(autouse=True)
@@ -31,7 +31,7 @@
 
 
 class Group:
-    """Gateways that hear one another, with a part of the fleet."""
+    """Connected gateways with a share of the fleet."""
 
     def __init__(self, clock, names, share=1.0, slack=0.0):
         self.clock = clock
@@ -54,26 +54,26 @@
                     limits.take_report(other, spent)
 
     def pass_time(self, now_ms, report_ms):
-        """Exchange what is due at a moment."""
+        """Exchange the reports that are due at `now_ms`."""
         if now_ms % report_ms == 0:
             self.exchange()
-        elif now_ms % TELL_MS == 0:
+        elif now_ms % CONTENDED_REPORT_MS == 0:
             self.exchange(self.contended)
             self.contended.clear()
 
     def ask(self, tokens, account=ACCOUNT):
-        """Ask at one gateway after the other; return what was admitted."""
+        """Request tokens at one gateway after the other; return the admitted amount."""
         names = list(self.limits)
         name = names[self.turn % len(names)]
         self.turn += 1
         return tokens if self.limits[name].take(account, tokens) is None else 0.0
 
 
-def press(groups, clock, duration_ms, account=ACCOUNT, step_ms=25, report_ms=REPORT_MS):
-    """Ask for a large request at each step, at all gateways by turns; return what was admitted.
+def send_overload(groups, clock, duration_ms, account=ACCOUNT, step_ms=25, report_ms=REPORT_MS):
+    """Make a large request at each step, at all gateways in turn; return the admitted tokens.
 
-    With the steps of 25 ms that is seven times the limit; the hottest accounts of the sheets ask
-    for eight times their usual, which is about five times their limit.
+    With steps of 25 ms this is seven times the limit. The busiest accounts of the sites request eight
+    times their usual amount, which is about five times their limit.
     """
     admitted = 0.0
     for now_ms in range(0, duration_ms, step_ms):
@@ -85,18 +85,18 @@
 
 
 def find_bound(duration_ms):
-    """What may be used in a window: the limit, a tenth more, and the fixed slack."""
+    """Return the tokens that may be used in a window: the limit, a tenth more, and the fixed slack."""
     return (RATE * duration_ms / 1_000 + BURST) * 1.1 + SLACK
 
 
-def test_a_hot_account_is_held_to_its_limit_over_all_gateways():
+def test_overloaded_account_stays_within_limit_over_all_gateways():
     clock = ManualClock(now_ms=0)
     group = Group(clock, [f"g{number}" for number in range(8)])
     clock.advance(12_000)
-    assert press([group], clock, 8_000) <= find_bound(8_000)
+    assert send_overload([group], clock, 8_000) <= find_bound(8_000)
 
 
-def test_an_account_below_its_limit_is_never_refused():
+def test_account_below_its_limit_is_never_refused():
     clock = ManualClock()
     group = Group(clock, [f"g{number}" for number in range(8)])
     clock.advance(12_000)
@@ -109,20 +109,20 @@
     assert refused == 0, "90,000 tokens a second, at changing gateways"
 
 
-def test_a_hot_account_is_held_to_its_limit_over_sixty_gateways():
-    """The largest account of the grown sites: 462,000 tokens a second, asked for 3.9 times it."""
+def test_overloaded_account_stays_within_limit_over_sixty_gateways():
+    """Largest account of the grown sites: 462,000 tokens per second, with 3.9 times that requested."""
     clock = ManualClock(now_ms=0)
     group = Group(clock, [f"g{number}" for number in range(60)])
     large = ForwardedAccount("large", counts_tokens=True, rate_per_s=462_000, burst=462_000)
     clock.advance(12_000)
-    admitted = press([group], clock, 8_000, large, step_ms=10, report_ms=600)
+    admitted = send_overload([group], clock, 8_000, large, step_ms=10, report_ms=600)
     assert admitted <= (462_000 * 8 + 462_000) * 1.1 + SLACK
 
 
-def test_large_requests_of_an_account_within_its_limit_are_served_at_sixty_gateways():
-    """Four fifths of the limit in requests of a sixth of the burst, at random gateways and moments.
+def test_large_requests_within_the_limit_are_served_at_sixty_gateways():
+    """Four fifths of the limit, in requests of a sixth of the burst, at random gateways and times.
 
-    With each gateway kept to its part of a contended bucket, 9 in 100 of these were refused.
+    When each gateway was limited to its own share of a contended bucket, 9 in 100 of these were refused.
     """
     clock = ManualClock(now_ms=0)
     group = Group(clock, [f"g{number}" for number in range(60)])
@@ -139,41 +139,41 @@
     assert refused / asked < 0.03, (refused, asked)
 
 
-def test_a_cut_does_not_raise_the_limit():
+def test_partition_does_not_raise_the_limit():
     clock = ManualClock()
     sides = [Group(clock, ["a1", "a2", "a3"], 3 / 8), Group(clock, list("bcdef"), 5 / 8)]
     clock.advance(12_000)
-    assert press(sides, clock, 8_000) <= find_bound(8_000)
+    assert send_overload(sides, clock, 8_000) <= find_bound(8_000)
 
 
-def test_a_restart_of_all_gateways_gives_no_second_burst():
+def test_restart_of_all_gateways_grants_no_second_burst():
     clock = ManualClock()
     first = Group(clock, [f"g{number}" for number in range(8)])
     clock.advance(12_000)
-    admitted = press([first], clock, 4_000)
+    admitted = send_overload([first], clock, 4_000)
     second = Group(clock, [f"h{number}" for number in range(8)])
     clock.advance(1_000)
-    admitted += press([second], clock, 3_000)
+    admitted += send_overload([second], clock, 3_000)
     assert admitted <= find_bound(8_000)
 
 
 @pytest.mark.parametrize("restarts", [1, 2])
-def test_restarts_of_all_gateways_stay_in_the_tolerated_excess(restarts):
-    """All processes are killed while a hot account presses, once or twice within a window."""
+def test_restarts_of_all_gateways_stay_within_the_tolerated_excess(restarts):
+    """All processes are killed while an account exceeds its limit, once or twice within a window."""
     clock = ManualClock()
     names = [f"g{number}" for number in range(8)]
     group = Group(clock, names, slack=SLACK)
     clock.advance(12_000)
-    admitted = press([group], clock, 2_000)
+    admitted = send_overload([group], clock, 2_000)
     for _ in range(restarts):
         clock.advance(1_000)
         group = Group(clock, names, slack=SLACK)
-        admitted += press([group], clock, (6_000 - restarts * 1_000) // restarts)
+        admitted += send_overload([group], clock, (6_000 - restarts * 1_000) // restarts)
     assert admitted <= find_bound(8_000)
 
 
-def test_an_account_is_served_at_once_after_a_restart_of_all_gateways():
-    """The first seconds after a restart refused 71 of 116 requests."""
+def test_account_is_served_at_once_after_a_restart_of_all_gateways():
+    """Without an initial level, 71 of 116 requests were refused in the first seconds after a restart."""
     clock = ManualClock()
     names = [f"g{number}" for number in range(8)]
     refused = {}
@@ -188,7 +188,7 @@
     assert refused[SLACK] == 0 < refused[0.0], refused
 
 
-def test_a_process_that_started_long_ago_has_the_whole_burst_for_a_new_account():
+def test_new_account_gets_the_complete_burst_in_an_old_process():
     clock = ManualClock()
     limits = SharedLimits(clock, lambda: 1.0, lambda: 1)
     clock.advance(12_000)
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("asked", [1_000.0, 18_000.0, 400_000.0])
-def test_a_refusal_says_when_to_come_back(asked):
+def test_refusal_returns_a_sufficient_wait(asked):
     clock = ManualClock()
     limits = SharedLimits(clock, lambda: 1.0, lambda: 1)
     clock.advance(12_000)
@@ -206,7 +206,7 @@
     assert limits.take(ACCOUNT, asked) is None
 
 
-def test_a_lower_limit_is_used_at_once():
+def test_lower_limit_is_applied_at_once():
     clock = ManualClock()
     limits = SharedLimits(clock, lambda: 1.0, lambda: 1)
     clock.advance(12_000)
@@ -216,7 +216,7 @@
     assert admitted <= 2
 
 
-def test_a_report_of_a_restarted_gateway_is_not_a_spending():
+def test_first_report_of_a_restarted_gateway_is_not_deducted():
     clock = ManualClock()
     limits = SharedLimits(clock, lambda: 1.0, lambda: 1)
     clock.advance(12_000)
--- a/tests/test_gateway_duties.py
+++ b/tests/test_gateway_duties.py
@@ -1,4 +1,4 @@
-"""The duties of one gateway at a time: who acts, and what a failure of one of them stops."""
+"""Duties under the lease: only the holder acts, and a failed duty does not stop the remaining ones."""
 
 import pytest
 
@@ -63,7 +63,7 @@
         self.turns.append(get_fencing())
 
 
-class StubKeeper:
+class StubUsageStore:
     def take_over(self):
         pass
 
@@ -76,7 +76,7 @@
         pass
 
 
-class StubOthers:
+class StubPeers:
     def has_other_leader(self):
         return False
 
@@ -90,36 +90,36 @@
     lease, usage, scaling = parts
     clock = ManualClock()
     return DutyRunner(
-        lease, usage, scaling, StubKeeper(), StubRollouts(), StubOthers(), TrueTime(), clock
+        lease, usage, scaling, StubUsageStore(), StubRollouts(), StubPeers(), TrueTime(), clock
     )
 
 
-def test_the_holder_does_both_duties_under_its_number(parts):
+def test_holder_performs_duties_with_its_fencing_number(parts):
     make_runner(parts).take_turn()
     assert parts[1].reported == [(3, 7)]
     assert parts[2].turns == [7]
 
 
-def test_a_gateway_without_the_lease_does_nothing(parts):
+def test_gateway_without_the_lease_performs_no_duties(parts):
     parts[0].is_held = False
     make_runner(parts).take_turn()
     assert parts[1].reported == []
     assert parts[2].turns == []
 
 
-def test_a_lease_that_lapses_in_between_stops_every_duty(parts):
+def test_lease_expired_during_a_turn_stops_every_duty(parts):
     parts[0].lapses = True
     make_runner(parts).take_turn()
     assert parts[1].reported == []
 
 
-def test_a_duty_that_fails_does_not_stop_the_other(parts):
+def test_failed_duty_does_not_stop_the_next_one(parts):
     parts[2].error = AWAY
     make_runner(parts).take_turn()
     assert parts[1].reported == [(3, 7)]
 
 
-def test_every_takeover_begins_anew(parts):
+def test_every_takeover_resets_the_duties(parts):
     runner = make_runner(parts)
     runner.take_turn()
     runner.take_turn()
@@ -132,15 +132,15 @@
 
 
 @pytest.mark.parametrize("term_ms", [2_000, 4_000, 10_000])
-def test_the_lease_times_fit_together(term_ms):
+def test_lease_times_leave_room_for_two_renewals(term_ms):
     times = make_lease_times(term_ms)
     assert 2 * times.renew_ms <= times.term_ms - times.stop_before_ms
     assert times.margin_ms > 0
 
 
-def test_a_stopping_gateway_does_not_seek_the_lease_again(parts):
-    """A rolling restart while the store was away; the stopping
-    holder took the lease once more, and two usage reports came too late."""
+def test_stopping_gateway_does_not_acquire_the_lease_again(parts):
+    """During a rolling restart with the store unavailable, a stopping holder acquired the lease again,
+    and two usage reports were late."""
     lease = parts[0]
     runner = make_runner(parts)
     runner.release()
@@ -148,7 +148,7 @@
     assert (lease.released, lease.turns) == (1, 0)
 
 
-def test_a_lease_that_is_taken_while_the_gateway_begins_to_stop_is_given_back(parts):
+def test_lease_acquired_while_stopping_is_released(parts):
     lease = parts[0]
     runner = make_runner(parts)
 
--- a/tests/test_gateway_site.py
+++ b/tests/test_gateway_site.py
@@ -1,4 +1,4 @@
-"""Gateways beside a store that fails, changes and stops: what they know, and the duties."""
+"""Gateways with a store that changes and fails: configuration, duties and orderly stop."""
 
 import contextlib
 
@@ -18,42 +18,42 @@
     one.close()
 
 
-def ask_all(site, path, **other):
+def request_status_at_all(site, path, **other):
     return [site.ask(path, gateway=number, **other).status for number in (0, 1)]
 
 
-def test_a_new_revision_comes_into_force_everywhere(site):
+def test_new_revision_comes_into_force_at_all_gateways(site):
     site.store.put("config", "main", make_manifest(2, check=None))
-    site.wait(lambda: ask_all(site, "/check/x") == [404, 404])
-    assert ask_all(site, "/hold/x") == [200, 200]
+    site.wait(lambda: request_status_at_all(site, "/check/x") == [404, 404])
+    assert request_status_at_all(site, "/hold/x") == [200, 200]
 
 
-def test_a_key_that_is_taken_away_is_refused(site):
+def test_removed_key_is_refused(site):
     other = [{"name": "hall", "api_keys": ["other"]}]
     site.store.put("config", "main", make_manifest(2, tenants=other))
-    site.wait(lambda: ask_all(site, "/check/x") == [401, 401])
+    site.wait(lambda: request_status_at_all(site, "/check/x") == [401, 401])
 
 
-def test_an_older_revision_never_comes_back(site):
+def test_older_revision_is_never_applied(site):
     site.store.put("config", "main", make_manifest(5))
     site.wait(lambda: all(one.tables.current.revision == 5 for one in site.gateways))
     site.store.put("config", "main", make_manifest(4, check=None))
     site.store.put("config", "main", make_manifest(6, hold=None))
-    site.wait(lambda: ask_all(site, "/hold/x") == [404, 404])
-    assert ask_all(site, "/check/x") == [200, 200]
+    site.wait(lambda: request_status_at_all(site, "/hold/x") == [404, 404])
+    assert request_status_at_all(site, "/check/x") == [200, 200]
 
 
 @pytest.mark.parametrize("mode", ["busy", "silent", "many"])
-def test_serving_goes_on_without_the_store_and_what_changed_comes_after(site, mode):
+def test_gateways_serve_during_a_store_outage_and_apply_changes_afterwards(site, mode):
     site.store.faults = StoreFaults(mode=mode)
     site.store.put("config", "main", make_manifest(2, hold=None))
-    assert ask_all(site, "/check/x") == [200, 200]
+    assert request_status_at_all(site, "/check/x") == [200, 200]
     site.store.faults = StoreFaults()
-    site.wait(lambda: ask_all(site, "/hold/x") == [404, 404])
+    site.wait(lambda: request_status_at_all(site, "/hold/x") == [404, 404])
 
 
-def test_a_watch_that_the_store_swallowed_is_renewed_when_the_store_is_back(site):
-    """Without that it would wait for 25 s; the gateways hear of the outage from the lease's holder."""
+def test_watch_without_answer_is_renewed_after_a_store_outage(site):
+    """The watch would otherwise wait for 25 s; the lease holder reports the outage to the gateways."""
     site.wait(lambda: any(one.duties.leads for one in site.gateways))
     site.store.faults = StoreFaults(mode="swallow")
     for gateway in site.gateways:
@@ -65,15 +65,15 @@
     site.wait(lambda: all(one.tables.current.revision == 2 for one in site.gateways))
 
 
-def test_a_forgotten_history_is_listed_again(site):
+def test_objects_are_listed_again_after_the_store_lost_its_history(site):
     site.store.faults = StoreFaults(mode="busy")
     site.store.put("config", "main", make_manifest(2, hold=None))
     site.store.forget_history()
     site.store.faults = StoreFaults()
-    site.wait(lambda: ask_all(site, "/hold/x") == [404, 404])
+    site.wait(lambda: request_status_at_all(site, "/hold/x") == [404, 404])
 
 
-def test_a_gateway_that_starts_without_the_store_says_not_yet(site):
+def test_gateway_started_without_the_store_is_not_ready(site):
     site.store.faults = StoreFaults(mode="busy")
     late = site.add_gateway("gateway-3")
     assert not late.is_ready()
@@ -83,19 +83,19 @@
     site.wait(lambda: site.ask("/check/x", gateway=2).status == 200)
 
 
-def test_the_gateways_find_one_another(site):
+def test_gateways_discover_their_peers(site):
     site.wait(lambda: [one.fleet.count_in_touch() for one in site.gateways] == [2, 2])
     assert [one.fleet.get_share() for one in site.gateways] == [1.0, 1.0]
 
 
-def test_one_gateway_holds_the_duties_and_orders_copies(site):
+def test_only_one_gateway_orders_copies(site):
     site.wait(lambda: any(call["path"] == "/scale" for call in site.store.cloud_calls))
     holders = {call["holder"] for call in site.store.cloud_calls}
     assert len(holders) == 1
     assert all(call["fence"] > 0 for call in site.store.cloud_calls)
 
 
-def test_lost_answers_of_the_store_leave_one_holder(site):
+def test_lost_store_answers_leave_a_single_holder(site):
     site.wait(lambda: any(one.duties.leads for one in site.gateways))
     site.store.faults = StoreFaults(lose_answers=4)
     site.wait(lambda: site.store.lost_answers == 4)
@@ -103,7 +103,7 @@
     assert sum(one.duties.leads for one in site.gateways) == 1
 
 
-def test_a_stopping_gateway_finishes_what_it_has(site):
+def test_stopping_gateway_finishes_requests_in_progress(site):
     runner = site.add_runner("llm", event_ms=40)
     gateway = site.gateways[0]
     headers = {"Hemlockswitch_Token_Counts": "10,30", "Hemlockswitch_Prompt_Prefix": "a:10"}
@@ -111,14 +111,14 @@
     site.wait(lambda: runner.count_runs("id-1") == 1)
     stopping = gevent.spawn(gateway.stop)
     site.wait(lambda: not gateway.is_ready())
-    assert site.ask("/check/x").headers["connection"] == "close", "it still takes new callers"
+    assert site.ask("/check/x").headers["connection"] == "close", "still accepts new callers"
     assert request.get(timeout=10).is_whole
     stopping.join(timeout=10)
     assert stopping.successful()
 
 
-def test_a_connection_whose_answer_began_before_the_stop_takes_no_further_request(site):
-    """The next request came 7.7 s after SIGTERM and was cut off."""
+def test_connection_opened_before_the_stop_accepts_no_further_request(site):
+    """Without this, a further request arrived 7.7 s after SIGTERM and was cut off."""
     engine = site.add_runner("llm", event_ms=40)
     gateway = site.gateways[0]
     headers = {"Hemlockswitch_Token_Counts": "10,15", "Hemlockswitch_Prompt_Prefix": "a:10"}
@@ -135,7 +135,7 @@
     assert engine.count_runs("id-2") == 0
 
 
-def test_a_request_that_comes_too_late_for_a_stopping_gateway_is_refused_as_not_run(site):
+def test_request_too_late_for_a_stopping_gateway_is_refused_unexecuted(site):
     app = site.add_runner("app")
     gateway = site.gateways[0]
     late = make_request("/hold/x", "late")
@@ -152,6 +152,7 @@
     assert app.count_runs("late") == 0
 
 
-def test_a_stopping_gateway_listens_until_the_balancer_has_left_and_no_longer():
-    """The balancer leaves after two asks, a second apart; three seconds after the signal is late."""
+def test_stopping_gateway_listens_until_the_balancer_removed_it():
+    """The balancer removes a gateway after two checks, a second apart; a request that arrives three
+    seconds after the signal is too late."""
     assert 2_000 < LISTEN_ON_STOP_MS < 2_900
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -1,8 +1,8 @@
-"""What a gateway loads before it serves: every restart makes callers wait for it.
+"""Modules imported at the start of a gateway, and its command line.
 
-The pattern: all gateways are killed at once, or a zone's VMs are reclaimed, and each request of the
-next moments waits until one of them is back. Processor time of a start is measured by
-``tools/measure_start.py``; here stands what must not come back into it.
+Callers wait while a gateway restarts: when all gateways are killed at once, or a zone's VMs are reclaimed,
+every request waits until one of them has started again. ``tools/measure_start.py`` measures the processor
+time of a start; these tests check that expensive modules are not imported by it.
 """
 
 import subprocess
@@ -31,23 +31,23 @@
     "urllib.request",
     "wsgiref",
 )
-"""Modules that the gateway's path does not need; each takes some 5 to 60 ms to load."""
+"""Modules that a start of the gateway does not need; each takes some 5 to 60 ms to import."""
 
 
-def list_loaded(code):
-    """Return which heavy modules a fresh interpreter has after running `code`."""
+def list_heavy_imports(code):
+    """Return the heavy modules that a new interpreter has imported after running `code`."""
     command = [sys.executable, "-c", f"{code}\nimport sys\nprint(*sys.modules)"]
     done = subprocess.run(command, cwd=ROOT, check=True, capture_output=True, text=True)
     return sorted(set(HEAVY) & set(done.stdout.splitlines()[-1].split()))
 
 
-def test_a_start_loads_nothing_heavy():
-    # An editable installation's own finder loads some of them before any program runs.
-    before = list_loaded("")
-    assert list_loaded("import hemlockswitch.programs.gateway") == before
+def test_start_imports_no_heavy_modules():
+    # The import finder of an editable installation imports some of them before any program runs.
+    before = list_heavy_imports("")
+    assert list_heavy_imports("import hemlockswitch.programs.gateway") == before
 
 
-def test_a_line_of_the_log_loads_nothing_heavy():
+def test_logging_imports_no_heavy_modules():
     code = (
         "import io\n"
         "from hemlockswitch.core.events import Event\n"
@@ -56,7 +56,7 @@
         "set_log_writer(LineWriter('g', 'info', io.StringIO()))\n"
         "log_event(Event.PROCESS_READY)"
     )
-    assert list_loaded(code) == list_loaded("")
+    assert list_heavy_imports(code) == list_heavy_imports("")
 
 
 def run_gateway(*arguments):
@@ -74,7 +74,7 @@
         ('{"name": "\xff"}', "name"),
     ],
 )
-def test_a_settings_file_with_a_mistake_is_named(tmp_path, content, complaint):
+def test_error_names_an_invalid_settings_file(tmp_path, content, complaint):
     path = tmp_path / "gateway.json"
     path.write_bytes(content.encode("latin-1"))
     done = run_gateway("--settings", str(path))
@@ -83,13 +83,13 @@
     assert complaint in done.stderr or "UTF-8" in done.stderr
 
 
-def test_a_settings_file_that_is_missing_is_named(tmp_path):
+def test_error_names_a_missing_settings_file(tmp_path):
     done = run_gateway("--settings", str(tmp_path / "none.json"))
     assert done.returncode == 2
     assert "none.json" in done.stderr
 
 
-def test_help_and_checks_have_the_whole_command_line(tmp_path):
+def test_help_and_check_options_work(tmp_path):
     assert "--settings" in run_gateway("--help").stdout
     path = tmp_path / "gateway.json"
     path.write_text("{}")
--- a/tests/test_gateway_usage.py
+++ b/tests/test_gateway_usage.py
@@ -1,4 +1,4 @@
-"""Usage reports: each window once, with the same counts whoever reports, and in true time."""
+"""Usage reports: one set of counts per window, whichever gateway reports it, and estimated fleet time."""
 
 from hemlockswitch.connection.stored_objects import Conflict, StoredObject, Unknown, Written
 from hemlockswitch.process.gateway.report_period import LEAST_SETTLE_MS, LEAST_TAKEOVER_MS
@@ -11,20 +11,20 @@
 
 
 class Store:
-    """Keeps the decided counts; may lose the answer of a write."""
+    """Stores the final counts; can lose the answers to writes."""
 
     def __init__(self):
-        self.kept = {}
+        self.stored = {}
         self.loses_answer = False
 
     def create(self, kind, name, value):
-        if name in self.kept:
+        if name in self.stored:
             return Conflict(1)
-        self.kept[name] = value
+        self.stored[name] = value
         return Unknown("lost") if self.loses_answer else Written(1)
 
     def read(self, kind, name):
-        value = self.kept.get(name)
+        value = self.stored.get(name)
         return StoredObject(kind, name, 1, value) if value is not None else None
 
 
@@ -43,14 +43,14 @@
     return counts, UsageDuty(counts, store or Store(), api or Api())
 
 
-def test_a_window_is_due_once_its_reports_have_settled():
+def test_window_is_due_after_its_reports_have_settled():
     counts, duty = make_duty()
     assert 1_000 not in duty.list_due(NOW_MS)
     assert 1_000 not in duty.list_due(NOW_MS + WINDOW_MS + LEAST_SETTLE_MS - 1)
     assert 1_000 in duty.list_due(NOW_MS + WINDOW_MS + LEAST_SETTLE_MS)
 
 
-def test_a_new_holder_waits_for_the_others_counts_and_reports_the_two_windows_before_too():
+def test_new_holder_waits_for_peer_counts_and_also_reports_two_earlier_windows():
     counts, duty = make_duty()
     now_ms = NOW_MS + WINDOW_MS + LEAST_SETTLE_MS
     duty.take_over(now_ms)
@@ -59,7 +59,7 @@
     assert duty.list_due(now_ms + LEAST_TAKEOVER_MS) == [998, 999, 1_000]
 
 
-def test_the_counts_of_all_gateways_and_of_earlier_processes_are_added():
+def test_counts_of_all_gateways_and_earlier_processes_are_summed():
     counts, _ = make_duty()
     counts.count(NOW_MS, "a")
     counts.take_report("g2/1", {"1000": {"a": 2, "b": 1}})
@@ -68,7 +68,7 @@
     assert counts.sum_window(1_000) == {"a": 7, "b": 1}
 
 
-def test_two_holders_report_the_same_counts():
+def test_two_holders_report_identical_counts():
     store, api = Store(), Api()
     first_counts, first = make_duty(store, api)
     second_counts, second = make_duty(store, api)
@@ -79,7 +79,7 @@
     assert api.reports == [(1_000, {"a": 1}), (1_000, {"a": 1})]
 
 
-def test_a_lost_answer_of_the_store_changes_nothing():
+def test_lost_store_answer_does_not_change_the_reported_counts():
     store, api = Store(), Api()
     store.loses_answer = True
     counts, duty = make_duty(store, api)
@@ -90,7 +90,7 @@
     assert api.reports == [(1_000, {"a": 1}), (1_000, {"a": 1})]
 
 
-def test_a_refused_report_is_due_again():
+def test_refused_report_is_due_again():
     api = Api()
     api.accepts = False
     _, duty = make_duty(api=api)
@@ -103,7 +103,7 @@
     assert window not in duty.list_due(later_ms)
 
 
-def test_old_windows_are_forgotten():
+def test_old_windows_are_discarded():
     counts, _ = make_duty()
     for number in range(50):
         counts.count(NOW_MS + number * WINDOW_MS, "a")
@@ -116,21 +116,21 @@
         self.wall_ms = wall_ms
 
 
-def test_a_step_of_the_wall_clock_does_not_move_the_believed_time():
+def test_wall_clock_step_does_not_change_the_estimated_time():
     clocks = Clocks()
-    believed = TrueTime(lambda: clocks.boot_ms, lambda: clocks.wall_ms)
+    estimate = TrueTime(lambda: clocks.boot_ms, lambda: clocks.wall_ms)
     clocks.boot_ms, clocks.wall_ms = 2_000.0, 1_000_000.0 - 2_400.0
-    assert believed.now_ms() == 1_002_000.0
+    assert estimate.now_ms() == 1_002_000.0
 
 
-def test_a_process_that_starts_during_a_step_follows_the_others():
-    believed = TrueTime(lambda: 0.0, lambda: 1_000_000.0 - 2_400.0)
-    believed.hear({"a": 1_000_000.0, "b": 1_000_010.0, "c": 999_990.0})
-    assert believed.now_ms() == 1_000_000.0
+def test_process_started_during_a_clock_step_adopts_the_peers_time():
+    estimate = TrueTime(lambda: 0.0, lambda: 1_000_000.0 - 2_400.0)
+    estimate.hear({"a": 1_000_000.0, "b": 1_000_010.0, "c": 999_990.0})
+    assert estimate.now_ms() == 1_000_000.0
 
 
-def test_a_single_other_opinion_or_a_small_difference_changes_nothing():
-    believed = TrueTime(lambda: 0.0, lambda: 1_000_000.0)
-    believed.hear({"a": 1_009_000.0})
-    believed.hear({"a": 1_000_100.0, "b": 1_000_200.0})
-    assert believed.now_ms() == 1_000_000.0
+def test_single_peer_or_small_difference_does_not_change_the_estimate():
+    estimate = TrueTime(lambda: 0.0, lambda: 1_000_000.0)
+    estimate.hear({"a": 1_009_000.0})
+    estimate.hear({"a": 1_000_100.0, "b": 1_000_200.0})
+    assert estimate.now_ms() == 1_000_000.0
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,9 +1,9 @@
-"""Requests that come while a gateway starts.
+"""Requests that arrive while a gateway starts.
 
-The pattern: all gateways are killed at once and come back within a second, and their callers ask again
-before the first list of servers has come, which takes 0.7 s with a thousand servers on a link of
-10 Mbit/s. Each of them was told that no server was known. Such a caller asks once more, half a second
-later, and may meet another gateway that is not further.
+Failure guarded against: all gateways are killed at once and restart within a second, and callers retry
+before the first list of servers has been received, which takes 0.7 s with a thousand servers on a link of
+10 Mbit/s. Each caller got the answer that no server was known. Such a caller retries half a second later,
+possibly at another gateway that has not received the list either.
 """
 
 import gevent
@@ -30,20 +30,20 @@
     ("synced_after_ms", "least_ms", "most_ms"),
     [(0, 0, 0), (200, 200, 210), (10_000, 500, 510)],
 )
-def test_a_request_waits_until_what_it_needs_is_known(synced_after_ms, least_ms, most_ms):
+def test_request_waits_for_the_initial_state(synced_after_ms, least_ms, most_ms):
     readiness, clock = make_readiness(synced_after_ms)
     readiness.await_synced(500.0)
     assert least_ms <= clock.now_ms() - START_MS <= most_ms
 
 
-def test_nobody_waits_for_an_outage_of_the_store():
+def test_requests_do_not_wait_for_the_end_of_a_store_outage():
     readiness, clock = make_readiness(60_000)
     clock.advance(LONGEST_START_MS)
     readiness.await_synced(500.0)
     assert clock.now_ms() - START_MS == LONGEST_START_MS
 
 
-def test_nobody_waits_for_what_was_known_once():
+def test_requests_do_not_wait_after_the_initial_state_was_received():
     clock, answers = ManualClock(), [True, False]
     readiness = Readiness(lambda: answers.pop(0), clock)
     readiness.await_synced(500.0)
@@ -54,12 +54,12 @@
 @pytest.mark.parametrize(
     ("time_left_ms", "wait_ms"), [(None, COME_BACK_MS), (15_000, COME_BACK_MS), (800, 200)]
 )
-def test_the_wait_is_a_small_part_of_the_callers_time(time_left_ms, wait_ms):
+def test_wait_is_a_small_fraction_of_the_callers_deadline(time_left_ms, wait_ms):
     facts = RequestFacts(request_id="r", host="h", key=None, time_left_ms=time_left_ms)
     assert find_start_wait_ms(facts) == wait_ms
 
 
-def test_a_caller_of_a_gateway_that_starts_gets_its_answer(monkeypatch):
+def test_caller_of_a_starting_gateway_gets_its_answer(monkeypatch):
     monkeypatch.setattr(readiness_module, "LONGEST_START_MS", 15_000.0)
     monkeypatch.setattr(forwarding, "COME_BACK_MS", 10_000.0)
     monkeypatch.setattr(forwarding, "START_WAIT_SHARE", 1.0)
--- a/tests/test_usage_keeper.py
+++ b/tests/test_usage_keeper.py
@@ -1,9 +1,9 @@
-"""Usage counts that outlive the processes that counted them.
+"""Usage counts that survive the end of the processes that counted them.
 
-The pattern: the holder of the duties stands still for six seconds while the other gateways are
-restarted one after another; the next holder heard none of the processes that have ended, and a window
-of 258 requests was reported with 182 of them missing. When all are killed at once nobody is left to
-tell.
+Failure guarded against: the holder of the duties freezes for six seconds while the other gateways restart
+one after another. The next holder has received no counts from the processes that ended, and a window of
+258 requests was reported with 182 of them missing. If all gateways are killed at once, no process is left
+to report the counts.
 """
 
 import pytest
@@ -59,7 +59,7 @@
     def __init__(self, store, process):
         self.counts = UsageCounts(WINDOW_S, process)
         self.clock = ManualClock(now_ms=1_000)
-        self.keeper = UsageStore(self.counts, store, self.clock)
+        self.usage_store = UsageStore(self.counts, store, self.clock)
 
     def count(self, times, account="hall"):
         for _ in range(times):
@@ -67,7 +67,7 @@
 
     def save(self):
         self.clock.advance(int(SAVE_INTERVAL_MS))
-        self.keeper.save()
+        self.usage_store.save()
 
 
 @pytest.fixture
@@ -75,39 +75,39 @@
     return Store()
 
 
-def test_the_next_holder_has_the_counts_of_processes_that_ended(store):
+def test_next_holder_loads_counts_of_ended_processes(store):
     first = Holder(store, "g1/1")
     first.count(4)
     first.counts.take_report("g2/1", {str(WINDOW): {"hall": 7}})
     first.save()
     second = Holder(store, "g3/1")
     second.count(2)
-    second.keeper.load()
+    second.usage_store.load()
     assert second.counts.sum_window(WINDOW) == {"hall": 13}
 
 
-def test_a_process_that_still_runs_says_more_than_was_kept(store):
+def test_own_and_reported_counts_are_not_lowered_by_stored_ones(store):
     first = Holder(store, "g1/1")
     first.counts.take_report("g2/1", {str(WINDOW): {"hall": 7}})
     first.save()
     second = Holder(store, "g2/1")
     second.count(9)
     second.counts.take_report("g1/1", {str(WINDOW): {"hall": 1}})
-    second.keeper.load()
+    second.usage_store.load()
     assert second.counts.sum_window(WINDOW) == {"hall": 10}, "its own counts are not added twice"
 
 
-def test_a_report_after_the_kept_counts_replaces_them(store):
+def test_later_report_replaces_stored_counts(store):
     first = Holder(store, "g1/1")
     first.counts.take_report("g2/1", {str(WINDOW): {"hall": 7}})
     first.save()
     second = Holder(store, "g3/1")
-    second.keeper.load()
+    second.usage_store.load()
     second.counts.take_report("g2/1", {str(WINDOW): {"hall": 9}})
     assert second.counts.sum_window(WINDOW) == {"hall": 9}
 
 
-def test_what_has_not_changed_is_not_written_again(store):
+def test_unchanged_counts_are_not_written_again(store):
     holder = Holder(store, "g1/1")
     holder.count(1)
     for _ in range(5):
@@ -116,14 +116,14 @@
     holder.count(1)
     holder.save()
     holder.count(1)
-    holder.keeper.save()
+    holder.usage_store.save()
     assert store.writes == 2, "not due yet"
     holder.save()
     assert store.writes == 3
 
 
 @pytest.mark.parametrize("loses_answer", [False, True])
-def test_another_holders_counts_are_taken_in_before_the_next_write(store, loses_answer):
+def test_counts_of_another_holder_are_merged_before_the_next_write(store, loses_answer):
     first, second = Holder(store, "g1/1"), Holder(store, "g2/1")
     store.loses_answer = loses_answer
     first.count(3)
@@ -134,26 +134,26 @@
     for _ in range(3):
         first.save()
         second.save()
-    kept = store.value["processes"]
-    assert kept["g1/1"] == {str(WINDOW): {"hall": 4}}
-    assert kept["g2/1"] == {str(WINDOW): {"hall": 5}}
+    stored = store.value["processes"]
+    assert stored["g1/1"] == {str(WINDOW): {"hall": 4}}
+    assert stored["g2/1"] == {str(WINDOW): {"hall": 5}}
 
 
-def test_an_outage_of_the_store_is_left_for_the_next_time(store):
+def test_save_is_retried_after_a_store_outage(store):
     holder = Holder(store, "g1/1")
     holder.count(3)
     store.is_down = True
     holder.clock.advance(int(SAVE_INTERVAL_MS))
-    save_or_log(holder.keeper)
+    save_or_log(holder.usage_store)
     store.is_down = False
-    save_or_log(holder.keeper)
+    save_or_log(holder.usage_store)
     assert store.value["processes"] == {"g1/1": {str(WINDOW): {"hall": 3}}}
 
 
 @pytest.mark.parametrize(
     "value", [None, 7, {}, {"processes": []}, {"processes": {"g9/1": {"x": {"hall": 1}}}}]
 )
-def test_an_object_of_another_writer_costs_nothing(store, value):
+def test_unreadable_stored_object_is_replaced(store, value):
     store.value, store.version = value, 5
     holder = Holder(store, "g1/1")
     holder.count(3)
@@ -161,7 +161,7 @@
     assert store.value["processes"]["g1/1"] == {str(WINDOW): {"hall": 3}}
 
 
-def test_reported_windows_and_processes_without_counts_are_forgotten():
+def test_reported_windows_and_processes_without_counts_are_discarded():
     counts = UsageCounts(WINDOW_S, "g1/1")
     counts.take_report("g2/1", {str(WINDOW): {"hall": 7}})
     counts.count(NOW_MS, "hall")
