--- a/tests/rollout_fleet.py
+++ b/tests/rollout_fleet.py
@@ -1,4 +1,4 @@
-"""The versions, the store and the gateways of the replay of roll-outs; see `tests.rollout_replay`."""
+"""Versions, store and gateways of the rollout replay; see `tests.rollout_replay`."""
 
 import math
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 SERVICE = "llm"
 BOUND = ExposureBound(0.1, 50)
 ROUTES = {"draft": (0.40, 900.0, 0.01), "reply": (0.30, 500.0, 0.02), "note": (0.30, 1_300.0, 0.14)}
-"""Part of the requests, time of an answer in ms, and the part that fails whatever the version."""
+"""Share of the requests, duration of an answer in ms, and failure rate of every version, by route."""
 RESUMABLE = "reply"
 FIRST_MS = 250.0
 STEP_MS = 20.0
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True)
 class Version:
-    """What the new version does.
+    """Behaviour of the new version.
 
     Parameters
     ==========
 
-    failing : the part of its answers that fail.
-    slow : how many times as long its answers take.
-    from_ms : when it turns bad, after its start.
+    failing : fraction of its answers that fail.
+    slow : factor by which its answers take longer.
+    from_ms : time after its start at which it turns bad.
     route : the only route on which it is bad; empty for all.
     """
 
@@ -65,7 +65,7 @@
 
 @dataclass
 class Outcome:
-    """What one replay showed."""
+    """Result of a replay."""
 
     state: str = "running"
     closed_ms: float = math.inf
@@ -81,7 +81,7 @@
 
 
 class Store(MemoryStore):
-    """The order, and what the holder keeps; away for all or for some gateways."""
+    """Store with the rollout order and the records of the holder; it may be unavailable."""
 
     def __init__(self, replay, limit_s):
         super().__init__()
@@ -108,7 +108,7 @@
 
 @dataclass
 class Gateway:
-    """One process of a gateway."""
+    """A gateway process."""
 
     name: str
     rollouts: Rollouts
--- a/tests/rollout_plays.py
+++ b/tests/rollout_plays.py
@@ -1,4 +1,4 @@
-"""One order of a roll-out, played to its end; see `tests.rollout_replay`."""
+"""Replay of one rollout order to its end; see `tests.rollout_replay`."""
 
 import heapq
 import math
@@ -38,7 +38,7 @@
 
 
 class Replay:
-    """One order, played to its end."""
+    """Simulation of one rollout order to its end."""
 
     def __init__(self, gateways, seed, version, *, limit_s=12.0, rate=118.0, faults=True):
         self.rng = random.Random(seed)
@@ -73,7 +73,7 @@
         )
 
     def start(self, number):
-        """Return a new process of a gateway."""
+        """Return a new process of the gateway with this number."""
         self.starts[number] += 1
         rollouts = Rollouts(decode_rollout, BOUND, lambda: len(self.gateways), self.clock, self.rng)
         rollouts.replace_all(ObjectPage((), 1))
@@ -94,7 +94,7 @@
         return one
 
     def at(self, delay_ms, act):
-        """Do something later."""
+        """Schedule a call of `act` after a delay."""
         self.order_number += 1
         heapq.heappush(self.events, (self.clock.now_ms() + delay_ms, self.order_number, act))
 
@@ -102,7 +102,7 @@
         return self.store_away[0] <= self.clock.now_ms() < self.store_away[1]
 
     def note_state(self, state):
-        """Take what the holder writes."""
+        """Record a state that the holder has written."""
         outcome = self.outcome
         if outcome.state in ("completed", "rolled_back"):
             outcome.final_changes += 1
@@ -130,7 +130,7 @@
             self.at(self.rng.uniform(5, 60), lambda one=one: self.deliver_order(one))
 
     def deliver_order(self, gateway):
-        """Bring the order as it is now to a gateway, once the store answers it."""
+        """Deliver the current order to a gateway, once the store is available to it."""
         if self.is_away():
             wait_ms = self.store_away[1] - self.clock.now_ms() + self.rng.uniform(5, 300)
             self.at(wait_ms, lambda: self.deliver_order(gateway))
@@ -139,7 +139,7 @@
         gateway.knows_order = True
 
     def plan_faults(self):
-        """Draw what goes wrong."""
+        """Schedule random faults."""
         rng, limit = self.rng, self.limit_ms
         for _ in range(rng.randrange(3)):
             self.at(rng.uniform(0, limit), lambda: self.kill(self.holder))
@@ -188,7 +188,7 @@
         return self.holder
 
     def take_turn(self):
-        # A holder that was killed takes its lease again when it is back on its address.
+        # A holder that was killed acquires its lease again once it has restarted at its address.
         number = self.find_holder()
         if number < 0 or self.gateways[number].frozen_until > self.clock.now_ms():
             return
@@ -204,7 +204,7 @@
         return 7
 
     def tell(self, whole):
-        """Tell what has changed at each gateway, or everything, to all others."""
+        """Send the changed counts of each gateway, or the complete ones, to all other gateways."""
         now_ms = self.clock.now_ms()
         messages = []
         for number, one in enumerate(self.gateways):
@@ -228,7 +228,7 @@
                     one.rollouts.take_told(name, told)
 
     def arrive(self):
-        """Send what callers ask in a step."""
+        """Send the requests that arrive in one step."""
         swing = 1 + 0.42 * math.sin(self.clock.now_ms() / 40_000 * 2 * math.pi + self.rng.random())
         expected = self.rate * swing * STEP_MS / 1_000
         count = int(expected) + (self.rng.random() < expected % 1)
@@ -298,7 +298,7 @@
             gateway.servers = [*gateway.servers, *(s for s in self.new if s not in gateway.servers)]
 
     def play(self):
-        """Play until a while after the time limit; return what it showed."""
+        """Run the replay until `AFTER_MS` after the time limit; return its outcome."""
         if self.faults:
             self.plan_faults()
         for number in range(len(self.gateways)):
@@ -325,7 +325,7 @@
         return self.outcome
 
     def judge_bound(self):
-        """Note how far the sends to a version that was not judged lie over the bound."""
+        """Record by how much the requests sent to a version on trial exceed the bound."""
         outcome = self.outcome
         if outcome.state != "completed" and self.clock.now_ms() < self.limit_ms:
             over = outcome.sent - BOUND.share * outcome.asked - BOUND.slack
--- a/tests/rollout_replay.py
+++ b/tests/rollout_replay.py
@@ -1,9 +1,9 @@
-"""A fleet of gateways moves a service to a new version, replayed without a network.
+"""Replay without a network of rollouts in a fleet of gateways.
 
-Gateways, the holder of the duties, the store and the servers are driven by one clock. Messages are late
-and some are lost; gateways are killed and started again, the holder freezes or dies, the store is away
-for some or for all, and the demand swings. `python -m tests.rollout_replay --gateways 83 --seeds 20`
-prints what became of each kind of version.
+Gateways, the holder of the duties, the store and the servers are driven by one clock. Messages are
+delayed and some are lost, gateways are killed and restarted, the holder freezes or is killed, the store is
+unavailable to some or all gateways, and the demand varies. The command
+`python -m tests.rollout_replay --gateways 83 --seeds 20` prints the results for each kind of version.
 """
 
 import argparse
@@ -40,7 +40,7 @@
 
 
 def describe(name, played, limit_ms):
-    """Return one line on all plays of a version."""
+    """Return a line that summarizes all replays of a version."""
     states = Counter(one.state for one in played)
     bad = sorted(one.bad for one in played)
     late = sum(limit_ms < one.closed_ms < math.inf for one in played)
--- a/tests/test_rollout_duty.py
+++ b/tests/test_rollout_duty.py
@@ -1,4 +1,4 @@
-"""What the holder of the duties makes of an order, and what is left of that when it fails."""
+"""Handling of rollout orders by the holder of the duties, including failures and changes of the holder."""
 
 import random
 
@@ -33,7 +33,7 @@
 
 
 class RolloutStore(MemoryStore):
-    """Keeps the order apart from what the holder keeps, and shows every change of it at once."""
+    """Store with a single rollout order, which publishes every change of the order at once."""
 
     def __init__(self):
         super().__init__()
@@ -63,7 +63,7 @@
 
 
 class Holder:
-    """One gateway that may hold the duties."""
+    """Gateway that may hold the duties."""
 
     def __init__(self, store, clock, servers=(OLD, NEW)):
         self.store, self.clock = store, clock
@@ -94,7 +94,7 @@
         self.duty.take_turn(lambda: 7)
 
     def play(self, until_ms):
-        """Take turns until some time after the order."""
+        """Take turns until `until_ms` after the order."""
         while self.clock.now_ms() < until_ms:
             self.turn()
             self.clock.advance(250)
@@ -110,14 +110,14 @@
     return Holder(RolloutStore(), ManualClock())
 
 
-def test_an_order_is_taken_up_at_once(holder):
+def test_new_order_is_set_to_running_and_recorded_once(holder):
     holder.turn()
     holder.turn()
     assert holder.store.states == ["running"]
     assert holder.store.objects["llm"].kind == RECORD_KIND
 
 
-def test_a_good_version_is_moved_to_before_the_time_limit(holder):
+def test_good_version_is_completed_before_time_limit(holder):
     holder.turn()
     holder.count(60)
     holder.play(10_000)
@@ -127,8 +127,8 @@
     assert holder.store.states == ["running", "completed"]
 
 
-def test_a_late_move_does_not_wait_beyond_the_time_limit():
-    """A new holder found the version good 0.9 s before the time limit, and waited for old answers."""
+def test_late_move_does_not_wait_beyond_time_limit():
+    """A holder that takes over 0.9 s before the time limit must not wait for all old answers."""
     holder = Holder(RolloutStore(), ManualClock())
     holder.turn()
     holder.count(60)
@@ -138,10 +138,11 @@
     assert holder.store.states == ["running", "completed"]
 
 
-def test_a_version_that_was_found_good_is_moved_to_after_a_restart_of_all():
-    """All gateways were restarted during the move: nobody knew the answers any more.
+def test_good_verdict_survives_restart_of_all_gateways():
+    """A restart of all gateways during the move loses the answer counts.
 
-    The order was rolled back as not judged in time, though its version had been found good.
+    Without the stored verdict, the order of a version that was found good would be rolled back as not
+    judged in time.
     """
     store, clock = RolloutStore(), ManualClock()
     first = Holder(store, clock)
@@ -156,7 +157,7 @@
     assert clock.now_ms() <= LIMIT_MS
 
 
-def test_a_version_that_was_found_good_is_not_moved_to_once_its_answers_are_worse():
+def test_stored_good_verdict_does_not_override_bad_answers():
     store, clock = RolloutStore(), ManualClock()
     first = Holder(store, clock)
     first.turn()
@@ -169,7 +170,7 @@
     assert store.states == ["running", "rolled_back"]
 
 
-def test_what_another_order_was_found_does_not_count():
+def test_stored_verdict_of_another_order_is_ignored():
     store, clock = RolloutStore(), ManualClock()
     store.create(
         RECORD_KIND,
@@ -181,7 +182,7 @@
     assert store.states == ["running", "rolled_back"]
 
 
-def test_it_waits_a_moment_for_what_runs_on_the_old_servers(holder):
+def test_completion_waits_for_requests_on_old_servers(holder):
     holder.turn()
     holder.count(60)
     holder.running = 3
@@ -194,14 +195,14 @@
     assert holder.clock.now_ms() < LIMIT_MS
 
 
-def test_a_bad_version_is_rolled_back_at_once(holder):
+def test_bad_version_is_rolled_back_at_once(holder):
     holder.turn()
     holder.count(12, failures=6)
     holder.turn()
     assert holder.store.states == ["running", "rolled_back"]
 
 
-def test_one_that_turns_bad_during_the_move_is_rolled_back(holder):
+def test_version_that_turns_bad_during_the_move_is_rolled_back(holder):
     holder.turn()
     holder.count(60)
     holder.play(9_000)
@@ -211,17 +212,17 @@
     assert holder.store.states == ["running", "rolled_back"]
 
 
-def test_one_that_was_not_judged_in_time_is_rolled_back_and_says_so(holder):
+def test_version_not_judged_in_time_is_rolled_back_with_reason(holder):
     holder.turn()
     holder.count(5)
     progress = holder.progress
-    progress.has_seen_target = False  # No request of this gateway has met one.
+    progress.has_seen_target = False  # no request of this gateway has reached the target version
     holder.play(LIMIT_MS)
     assert holder.store.states == ["running", "rolled_back"]
     assert progress.stopped_for == "not judged within the time limit"
 
 
-def test_answers_that_come_late_still_decide(holder):
+def test_late_answers_still_decide(holder):
     holder.turn()
     holder.play(8_600)
     holder.count(60)
@@ -229,7 +230,7 @@
     assert holder.store.states == ["running", "completed"]
 
 
-def test_an_order_whose_servers_never_come_is_rolled_back(holder):
+def test_order_without_servers_of_the_version_is_rolled_back(holder):
     holder.servers = [OLD]
     progress = holder.progress
     holder.play(LIMIT_MS)
@@ -237,28 +238,28 @@
     assert progress.stopped_for == "no server of the new version registered"
 
 
-def test_an_order_for_the_version_in_force_is_completed():
+def test_order_for_version_in_force_is_completed():
     holder = Holder(RolloutStore(), ManualClock(), [NEW])
     holder.turn()
     holder.turn()
     assert holder.store.states == ["completed"]
 
 
-def test_the_loss_of_all_old_servers_does_not_put_the_new_version_in_force(holder):
+def test_loss_of_all_old_servers_does_not_complete_the_order(holder):
     holder.turn()
     holder.servers = [NEW]
     holder.play(5_000)
     assert holder.store.states == ["running"]
 
 
-def test_a_lost_answer_of_the_store_writes_nothing_twice(holder):
+def test_lost_store_answer_causes_no_second_write(holder):
     holder.store.loses = 1
     for _ in range(3):
         holder.turn()
     assert holder.store.states == ["running"]
 
 
-def test_an_outage_that_ends_in_time_costs_nothing(holder):
+def test_order_completes_after_store_outage_within_time_limit(holder):
     holder.turn()
     holder.count(60)
     holder.play(10_400)
@@ -272,7 +273,7 @@
     assert holder.store.states == ["running", "completed"]
 
 
-def test_a_new_holder_goes_on_from_what_is_told(holder):
+def test_new_holder_continues_from_reported_progress(holder):
     holder.turn()
     holder.count(60)
     holder.play(9_000)
@@ -284,7 +285,7 @@
     assert holder.store.states == ["running", "completed"]
 
 
-def test_a_holder_after_a_restart_of_all_knows_how_old_the_order_is(holder):
+def test_new_holder_reads_the_age_of_the_order(holder):
     holder.turn()
     holder.clock.advance(7_000)
     successor = Holder(holder.store, holder.clock)
@@ -292,7 +293,7 @@
     assert successor.progress.get_age_ms(holder.clock.now_ms()) == pytest.approx(7_000, abs=1)
 
 
-def test_a_final_state_is_never_written_over(holder):
+def test_final_state_is_never_overwritten(holder):
     successor = Holder(holder.store, holder.clock)
     holder.turn()
     holder.count(12, failures=6)
@@ -301,7 +302,7 @@
     assert holder.store.states == ["running", "rolled_back"]
 
 
-def test_a_holder_that_was_frozen_while_another_wrote_meets_a_conflict(holder):
+def test_stale_holder_cannot_overwrite_final_state(holder):
     holder.turn()
     holder.count(60)
     holder.play(9_000)
@@ -322,13 +323,13 @@
     assert holder.store.states == []
 
 
-def test_a_beginning_that_another_program_wrote_is_replaced(holder):
+def test_unreadable_record_is_replaced(holder):
     holder.store.create(RECORD_KIND, "llm", {"began": "?"})
     holder.turn()
     assert holder.store.objects["llm"].value["target"] == "v2"
 
 
-def test_a_good_version_is_moved_to_late_rather_than_given_up(holder):
+def test_good_version_is_completed_late_rather_than_rolled_back(holder):
     holder.turn()
     holder.count(60)
     holder.clock.advance(LIMIT_MS)
--- a/tests/test_rollout_protocol.py
+++ b/tests/test_rollout_protocol.py
@@ -1,8 +1,9 @@
-"""The protocol of roll-outs at three gateways, in any order of events: no play passes a bound.
+"""Stateful test of the rollout protocol at three gateways under random sequences of events.
 
-The pattern: gateways restart and read old states of the order, messages come late, twice or never, the
-duties change hands while the store is away and its answers are lost, and the version may be bad at any
-time. Broken variants of the protocol show that the model finds what it is for.
+Gateways restart and read outdated states of the order, messages are delayed, repeated or lost, the duties
+pass to another gateway while the store is unavailable and its answers are lost, and the version may turn
+bad at any time. The exposure bound must hold, and a final state must never change. Broken variants of the
+protocol show that the model detects violations.
 """
 
 import contextlib
@@ -35,9 +36,9 @@
 
 BOUND = ExposureBound(0.1, 50)
 GATEWAYS = 3
-MOST_RESTARTS = 6
-MOST_KNOWN_BAD = 50
-GAP_MS = 30.0
+MAX_RESTARTS = 6
+MAX_RECORDED_BAD = 50
+REQUEST_INTERVAL_MS = 30.0
 LIMIT_S = 20
 TURN_MS = 250.0
 ROUNDS_IN_TURN = 8
@@ -67,7 +68,7 @@
 
 @dataclass
 class Process:
-    """One start of a gateway."""
+    """A gateway process between its start and the next restart."""
 
     name: str
     rollouts: Rollouts
@@ -75,12 +76,12 @@
 
     @property
     def progress(self):
-        """The order as this process knows it; None before it has read it."""
+        """Progress of the order at this process; None before it has read the order."""
         return self.rollouts._progress.get("llm")
 
 
 class MovingService(RuleBasedStateMachine):
-    """An order, three gateways, and everything that may happen to them."""
+    """Model of an order and three gateways, with the events and faults that may occur."""
 
     def __init__(self):
         super().__init__()
@@ -119,7 +120,7 @@
 
     @rule(number=NUMBERS, age=st.integers(0, 3))
     def read_order(self, number, age):
-        """Read the order as it is, or as it was a few states ago."""
+        """Read the current state of the order, or an outdated one."""
         order = self.read_states[max(0, len(self.read_states) - 1 - age)]
         process = self.processes[number]
         was_final = process.progress is not None and process.progress.order.is_final
@@ -132,9 +133,9 @@
         bad_in_ten=st.sampled_from([0, 0, 2, 5, 10]),
     )
     def ask(self, numbers, rounds, bad_in_ten):
-        """Callers ask some gateways for answers."""
+        """Send requests to some gateways."""
         for turn in range(rounds):
-            self.clock.advance(GAP_MS)
+            self.clock.advance(REQUEST_INTERVAL_MS)
             for number in sorted(numbers):
                 self.ask_once(self.processes[number], turn, fails=turn % 10 < bad_in_ten)
 
@@ -148,7 +149,7 @@
 
     @rule(turns=st.sampled_from([4, 20, 40]), bad_in_ten=st.sampled_from([0, 0, 0, 2]))
     def serve(self, turns, bad_in_ten):
-        """Nothing goes wrong for a while."""
+        """Serve requests without faults for a number of turns."""
         for _ in range(turns):
             self.ask(set(range(GATEWAYS)), ROUNDS_IN_TURN, bad_in_ten)
             self.exchange()
@@ -172,7 +173,7 @@
         assert not progress.stopped_for, "a version that was stopped here"
         assert progress.order.state != "rolled_back", "a version that was rolled back"
         bad = sum(one.target.bad for one in progress.get_sums().values())
-        assert progress.order.is_final or bad < MOST_KNOWN_BAD, "a version known to be bad"
+        assert progress.order.is_final or bad < MAX_RECORDED_BAD, "a version known to be bad"
 
     @rule(number=NUMBERS)
     def tell(self, number):
@@ -182,7 +183,7 @@
 
     @rule()
     def exchange(self):
-        """All tell and hear one another."""
+        """Deliver a report of every gateway to every other gateway."""
         for number in range(GATEWAYS):
             self.tell(number)
         for number in range(GATEWAYS):
@@ -192,14 +193,14 @@
     @precondition(lambda self: self.messages)
     @rule(number=NUMBERS, which=st.integers(0, 40))
     def bring(self, number, which):
-        """Bring any message, also again; those that are never brought are lost."""
+        """Deliver any message, possibly again; messages that are never delivered are lost."""
         name, told = self.messages[-1 - which % len(self.messages)]
         if name != self.processes[number].name:
             self.processes[number].rollouts.take_told(name, told)
 
     @rule(turns=st.sampled_from([1, 4, 16]))
     def wait(self, turns):
-        """Let the holder take some turns."""
+        """Let the holder of the duties take some turns."""
         for _ in range(turns):
             self.clock.advance(TURN_MS)
             for process in self.processes:
@@ -208,7 +209,7 @@
 
     @rule(number=NUMBERS)
     def take_turn(self, number):
-        """The holder does its duties; one that lost them meanwhile is refused its number."""
+        """Perform the duties at a gateway; one that does not hold the lease gets no fencing number."""
 
         def get_fencing():
             if number != self.holder:
@@ -227,7 +228,7 @@
         self.holder = number
         self.processes[number].duty.take_over()
 
-    @precondition(lambda self: self.starts < GATEWAYS + MOST_RESTARTS)
+    @precondition(lambda self: self.starts < GATEWAYS + MAX_RESTARTS)
     @rule(number=NUMBERS, age=st.integers(0, 1))
     def restart(self, number, age):
         self.processes[number] = self.start()
@@ -239,11 +240,11 @@
         self.store.loses = loses
 
     @invariant()
-    def keeps_to_the_bound(self):
+    def stays_within_the_bound(self):
         assert self.sent <= BOUND.share * self.asked + BOUND.slack, "exposure"
 
     @invariant()
-    def ends_once(self):
+    def has_one_final_state(self):
         ended = [state for state in self.store.states if state in FINAL]
         assert self.store.states[-1:] == ended or not ended, "a state after the final one"
 
@@ -252,20 +253,20 @@
     settings = SETTINGS
 
 
-def test_the_model_finds_gateways_that_do_not_keep_to_their_share(monkeypatch):
+def test_model_detects_gateways_that_exceed_their_share(monkeypatch):
     monkeypatch.setattr(ExposureCredit, "may_try", lambda self, route: True)
-    check_that_it_fails("exposure")
+    check_model_fails("exposure")
 
 
-def test_the_model_finds_a_gateway_that_goes_back_from_a_final_state(monkeypatch):
+def test_model_detects_a_gateway_that_leaves_a_final_state(monkeypatch):
     def take_state(self, progress, order):
         progress.order = order
 
     monkeypatch.setattr(Rollouts, "_take_state", take_state)
-    check_that_it_fails("back from a final state")
+    check_model_fails("back from a final state")
 
 
-def test_the_model_finds_a_holder_that_writes_whatever_the_version(monkeypatch):
+def test_model_detects_a_holder_that_ignores_the_object_version(monkeypatch):
     write = RolloutStore.update_status
     monkeypatch.setattr(
         RolloutStore,
@@ -274,9 +275,9 @@
             self, kind, name, status, self.order.version
         ),
     )
-    check_that_it_fails("a state after the final one")
+    check_model_fails("a state after the final one")
 
 
-def check_that_it_fails(message):
+def check_model_fails(message):
     with pytest.raises(AssertionError, match=message):
         run_state_machine_as_test(MovingService, settings=SETTINGS)
--- a/tests/test_rollout_replay.py
+++ b/tests/test_rollout_replay.py
@@ -1,7 +1,7 @@
-"""A fleet that moves a service, under faults: the bound, the stop, and the end of each order.
+"""Replays of rollouts in a fleet under faults: the exposure bound, the stop and the final state.
 
-The pattern: gateways and the holder of the duties are killed and frozen, the store is away and messages
-are lost while a version is tried; none of it may let a bad version get more, or for longer.
+Gateways and the holder of the duties are killed and frozen, the store is unavailable and messages are lost
+while a version is on trial. No such fault may let a bad version get more requests, or for longer.
 """
 
 import pytest
@@ -35,34 +35,34 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_a_bad_version_is_rolled_back_under_faults(name):
+def test_bad_version_is_rolled_back_under_faults(name):
     outcomes = play(name)
     check(outcomes)
     assert {one.state for one in outcomes} == {"rolled_back"}
 
 
-def test_a_good_version_is_moved_to_in_time():
+def test_good_version_is_completed_in_time():
     outcomes = play("good", faults=False)
     check(outcomes)
     assert {one.state for one in outcomes} == {"completed"}
     assert all(one.closed_ms < 12_000 for one in outcomes)
 
 
-def test_a_good_version_keeps_to_the_bound_under_faults():
+def test_good_version_stays_within_the_bound_under_faults():
     check(play("good"))
 
 
 @pytest.mark.parametrize("gateways", [30])
-def test_a_larger_fleet_keeps_the_same_promises(gateways):
+def test_larger_fleet_stays_within_the_bound(gateways):
     check([Replay(gateways, 1, VERSIONS[name]).play() for name in ("good", "fails 0.5")])
 
 
-def test_the_replay_catches_gateways_that_do_not_keep_to_their_share(monkeypatch):
+def test_replay_detects_gateways_that_exceed_their_share(monkeypatch):
     monkeypatch.setattr(ExposureCredit, "may_try", lambda self, route: True)
     assert any(one.most_over > 0 for one in play("good", faults=False))
 
 
-def test_the_replay_catches_gateways_that_do_not_stop(monkeypatch):
+def test_replay_detects_gateways_that_do_not_stop(monkeypatch):
     monkeypatch.setattr(RolloutProgress, "is_open", True)
     monkeypatch.setattr(ExposureCredit, "may_try", lambda self, route: True)
     assert any(one.late_sends > 0 for one in play("fails 0.5", faults=False))
--- a/tests/test_rollout_site.py
+++ b/tests/test_rollout_site.py
@@ -1,8 +1,8 @@
-"""A whole site moves a service to a new version of its servers.
+"""Rollouts at a complete site with real gateway daemons.
 
-The incident that these stand for: an operator orders a move, the new servers register beside the old
-ones, and from then on half of all requests go to a version that nobody has judged; it fails a part of
-them, nobody says how the order ended, and the old servers are never stopped.
+Failure guarded against: an operator orders a move, the new servers register beside the old ones, and half
+of all requests go at once to a version that has not been judged. It fails some of them, the final state of
+the order is never written, and the old servers are never stopped.
 """
 
 import time
@@ -21,7 +21,7 @@
 
 
 class Traffic:
-    """Callers that ask without pause until they are told to end."""
+    """Callers that send requests continuously until `end` is called."""
 
     def __init__(self, site, gateways):
         self.site = site
@@ -46,7 +46,7 @@
 
 
 class Move:
-    """A site with two old servers, and an order that brings two new ones."""
+    """Site with two old servers, and an order that adds two new ones."""
 
     def __init__(self, gateways=2, **settings):
         self.site = Site(gateways=gateways, rollout_share=SHARE, rollout_slack=SLACK, **settings)
@@ -91,7 +91,7 @@
     one.close()
 
 
-def test_a_good_version_gets_few_requests_and_then_all(move):
+def test_good_version_gets_few_requests_and_then_all(move):
     move.order()
     move.wait_state("running")
     while move.get_status()["state"] == "running":
@@ -108,7 +108,7 @@
     assert move.traffic.failed == failed
 
 
-def test_a_failing_version_gets_nothing_more_and_is_rolled_back(move):
+def test_failing_version_gets_no_further_requests_and_is_rolled_back(move):
     move.order(fail=True, every=2)
     move.wait_state("rolled_back")
     gevent.sleep(0.3)
@@ -119,7 +119,7 @@
     assert move.count_new() == sent
 
 
-def test_a_slow_version_is_rolled_back(move):
+def test_slow_version_is_rolled_back(move):
     for runner in move.old:
         runner.fail(slow_factor=8)
     gevent.sleep(1.0)
@@ -128,7 +128,7 @@
     assert move.count_new() <= move.find_bound()
 
 
-def test_the_gateways_stop_by_themselves_while_nobody_holds_the_duties():
+def test_gateways_stop_a_bad_version_without_a_duty_holder():
     move = Move(gateways=3)
     try:
         for gateway in move.site.gateways:
@@ -144,7 +144,7 @@
         move.close()
 
 
-def test_an_order_that_cannot_be_read_changes_nothing(move):
+def test_unreadable_order_is_ignored(move):
     move.site.store.put("rollouts", "app", {"service": "app", "to": 7})
     gevent.sleep(0.3)
     failed = move.traffic.failed
@@ -153,7 +153,7 @@
     assert all(not one.rollouts.describe() for one in move.site.gateways)
 
 
-def test_a_gateway_that_starts_later_keeps_to_what_was_decided(move):
+def test_late_gateway_follows_the_final_state(move):
     move.order(fail=True)
     move.wait_state("rolled_back")
     move.site.add_gateway("gateway-9")
@@ -164,7 +164,7 @@
     assert move.count_new() == sent
 
 
-def test_an_order_whose_servers_never_come_is_rolled_back():
+def test_order_without_servers_of_the_version_is_rolled_back():
     move = Move(gateways=1)
     try:
         move.site.store.put("rollouts", "app", {**ORDER, "duration_s": 3})
@@ -174,7 +174,7 @@
         move.close()
 
 
-def test_an_order_for_the_version_in_force_is_completed_at_once(move):
+def test_order_for_version_in_force_is_completed_at_once(move):
     move.site.store.put("rollouts", "app", {**ORDER, "to": "v1"})
     move.wait_state("completed", 3.0)
     failed = move.traffic.failed
@@ -182,7 +182,7 @@
     assert move.traffic.failed == failed
 
 
-def test_a_withdrawn_order_leaves_the_old_version_in_force(move):
+def test_withdrawn_order_leaves_the_old_version_in_force(move):
     move.order()
     move.wait_state("running")
     move.site.store.remove("rollouts", "app")
@@ -192,7 +192,7 @@
     assert move.count_new() == sent
 
 
-def test_a_version_without_an_order_is_taken_once_the_orders_were_read_again(move):
+def test_version_without_order_serves_once_orders_are_listed_again(move):
     move.new = [move.site.add_runner("app", version="v1b")]
     gevent.sleep(0.5)
     assert move.count_new() > 0
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Which servers a request may go to while its service moves to another version."""
+"""Choice of servers for requests while their service moves to another version."""
 
 import random
 
@@ -31,12 +31,12 @@
     return StoredObject("rollouts", SERVICE, version, value, status=status, created=created)
 
 
-def make_gone(version=9):
+def make_deleted(version=9):
     return StoredObject("rollouts", SERVICE, version, None, deleted=True)
 
 
 class Gateway:
-    """The orders of one gateway, and its clock."""
+    """Rollout orders of a gateway, and its clock."""
 
     def __init__(self, gateways=8, seed=1):
         self.clock = ManualClock()
@@ -54,7 +54,7 @@
         self.rollouts.apply_changes(ObjectPage(items, 9))
 
     def ask(self, wish=FIRST, servers=(*OLD, *NEW), took_ms=10, failing="", expected_ms=10.0):
-        """Send one request to the first server that it may go to, and return that."""
+        """Send a request to the first server that it may go to, and return that server."""
         selected = self.rollouts.select(wish, list(servers))
         if not selected:
             return None
@@ -68,7 +68,7 @@
         return server
 
     def ask_many(self, count, **options):
-        """Return the versions that some requests went to."""
+        """Send `count` requests, and return the versions that answered them."""
         versions = []
         for _ in range(count):
             versions.append(self.ask(**options).version)
@@ -86,17 +86,17 @@
     return Gateway()
 
 
-def test_without_an_order_every_server_serves(gateway):
+def test_every_server_serves_without_an_order(gateway):
     assert gateway.rollouts.select(FIRST, OLD) == OLD
 
 
-def test_a_new_version_gets_its_share_and_the_old_one_the_rest(gateway):
+def test_new_version_gets_only_its_share(gateway):
     gateway.read(make_order())
     versions = gateway.ask_many(300)
     assert 10 <= versions.count("v2") <= 0.1 * 300 + 50 / 8
 
 
-def test_a_version_that_fails_gets_nothing_more(gateway):
+def test_failing_version_gets_no_further_requests(gateway):
     gateway.read(make_order())
     gateway.ask_many(400, failing="v2")
     assert (
@@ -104,74 +104,76 @@
         == "answers of the new version are worse than those of the old one"
     )
     assert gateway.ask_many(50).count("v2") == 0
-    assert gateway.ask(servers=NEW) is None, "it is not the way out if the old servers are gone"
+    assert (
+        gateway.ask(servers=NEW) is None
+    ), "the stopped version must not serve even if the old servers are removed"
 
 
 @pytest.mark.parametrize(
     ("state", "expected"),
     [("completed", {"v2"}), ("rolled_back", {"v1"}), ("running", {"v1", "v2"})],
 )
-def test_the_stored_state_decides(gateway, state, expected):
+def test_stored_state_decides_the_versions_in_use(gateway, state, expected):
     gateway.read(make_order(status={"state": state, "to": "v2"}))
     assert set(gateway.ask_many(100)) == expected
 
 
-def test_a_gateway_that_sees_only_new_servers_keeps_to_the_bound(gateway):
+def test_bound_holds_if_only_new_servers_are_listed(gateway):
     gateway.read(make_order(status={"state": "running", "to": "v2"}))
     asked = [gateway.ask(servers=NEW) for _ in range(100)]
     assert sum(one is not None for one in asked) <= 0.1 * 100 + 1
 
 
-def test_a_final_state_stays_whatever_is_read_later(gateway):
+def test_final_state_is_not_replaced_by_later_reads(gateway):
     gateway.read(make_order(status={"state": "rolled_back", "to": "v2"}))
     gateway.read(make_order(status={"state": "running", "to": "v2"}))
     gateway.read(make_order(status={"state": "completed", "to": "v2"}))
     assert gateway.ask_many(50).count("v2") == 0
 
 
-def test_after_the_move_the_old_servers_help_out_if_no_new_one_is_listed(gateway):
+def test_old_servers_serve_after_the_move_if_no_new_one_is_listed(gateway):
     gateway.read(make_order(status={"state": "completed", "to": "v2"}))
     assert gateway.ask(servers=OLD).version == "v1"
 
 
-def test_the_state_of_an_earlier_order_is_not_that_of_the_next(gateway):
+def test_state_of_an_earlier_order_is_ignored(gateway):
     gateway.read(make_order(status={"state": "completed", "to": "v1"}))
     assert gateway.progress.order.state is None
     assert "v1" in gateway.ask_many(20)
 
 
-def test_an_order_for_a_third_version_withholds_the_one_that_was_not_judged(gateway):
+def test_order_for_third_version_withholds_the_unjudged_one(gateway):
     gateway.read(make_order())
     gateway.read(make_order(7, target="v3"))
     assert set(gateway.ask_many(50)) == {"v1"}
 
 
-def test_a_withdrawn_order_withholds_its_version(gateway):
+def test_withdrawn_order_withholds_its_version(gateway):
     gateway.read(make_order())
     gateway.ask_many(5)
-    gateway.read(make_gone())
+    gateway.read(make_deleted())
     assert set(gateway.ask_many(100)) == {"v1"}
 
 
-def test_a_withdrawn_order_that_was_completed_leaves_its_version_in_force(gateway):
+def test_withdrawn_completed_order_leaves_its_version_in_force(gateway):
     gateway.read(make_order(status={"state": "completed", "to": "v2"}))
-    gateway.read(make_gone())
+    gateway.read(make_deleted())
     assert gateway.ask(servers=NEW).version == "v2"
 
 
-def test_a_list_without_the_order_withdraws_it(gateway):
+def test_list_without_the_order_withdraws_it(gateway):
     gateway.read(make_order())
     gateway.rollouts.replace_all(ObjectPage((), 9))
     assert set(gateway.ask_many(100)) == {"v1"}
 
 
 @pytest.mark.parametrize("fields", [{"duration_s": 0}, {"to": ""}, {"to": 3}, {"service": "other"}])
-def test_an_order_that_cannot_be_read_changes_nothing(gateway, fields):
+def test_unreadable_order_is_ignored(gateway, fields):
     gateway.read(make_order(), make_order(6, **fields))
     assert gateway.progress.order.target == "v2"
 
 
-def test_a_stream_goes_on_with_the_version_that_began_it(gateway):
+def test_stream_continues_on_the_version_that_began_it(gateway):
     gateway.read(make_order())
     gateway.ask_many(30)
     began_old = SendWish(SERVICE, ROUTE, is_first=False, begun_version="v1")
@@ -182,13 +184,13 @@
     assert {one.version for one in gateway.rollouts.select(began_new, [*OLD, *NEW])} == {"v1"}
 
 
-def test_a_repeat_does_not_try_the_new_version(gateway):
+def test_repeated_request_does_not_try_the_new_version(gateway):
     gateway.read(make_order())
     repeat = SendWish(SERVICE, ROUTE, is_first=False)
     assert set(gateway.ask_many(100, wish=repeat)) == {"v1"}
 
 
-def test_an_unknown_version_waits_until_the_orders_were_listed_again(gateway):
+def test_version_without_order_waits_for_a_new_list_of_orders(gateway):
     assert gateway.ask(servers=OLD).version == "v1"
     assert set(gateway.ask_many(10)) == {"v1"}
     assert gateway.refreshed == 1
@@ -196,7 +198,7 @@
     assert gateway.rollouts.select(FIRST, [*OLD, *NEW]) == [*OLD, *NEW]
 
 
-def test_the_version_of_an_order_that_is_read_late_got_nothing_before(gateway):
+def test_version_gets_no_requests_before_its_order_is_read(gateway):
     gateway.ask(servers=OLD)
     assert set(gateway.ask_many(5)) == {"v1"}
     gateway.rollouts.replace_all(ObjectPage((make_order(),), 9))
@@ -204,7 +206,7 @@
     assert gateway.ask_many(40).count("v2") <= 0.1 * 40 + 50 / 8
 
 
-def test_another_gateway_s_bad_answers_stop_it_here():
+def test_bad_answers_at_a_peer_stop_the_rollout():
     one, other = Gateway(seed=1), Gateway(seed=2)
     for gateway in (one, other):
         gateway.read(make_order())
@@ -215,7 +217,7 @@
     assert other.ask_many(50).count("v2") == 0
 
 
-def test_told_counts_are_not_counted_twice_or_taken_back():
+def test_reordered_reports_are_neither_counted_twice_nor_reverted():
     one, other = Gateway(seed=1), Gateway(seed=2)
     for gateway in (one, other):
         gateway.read(make_order())
@@ -228,7 +230,7 @@
     assert other.progress.get_sums() == one.progress.get_sums()
 
 
-def test_only_the_holder_s_word_begins_the_move():
+def test_only_a_report_of_the_holder_begins_the_move():
     one, other = Gateway(seed=1), Gateway(seed=2)
     for gateway in (one, other):
         gateway.read(make_order())
@@ -239,7 +241,7 @@
     assert other.progress.close_ms == other.clock.now_ms() + 300
 
 
-def test_what_would_outlast_the_old_version_moves(gateway):
+def test_requests_that_outlast_the_old_version_move(gateway):
     gateway.read(make_order())
     for route, took_ms in (("long", 2_000), ("short", 20)):
         for _ in range(5):
@@ -252,28 +254,28 @@
     assert sent == {"long": "v2", "short": "v1"}
 
 
-def test_what_may_go_on_elsewhere_leaves_the_move_to_the_others(gateway):
+def test_repeatable_requests_do_not_move_early(gateway):
     gateway.read(make_order())
     gateway.progress.begin_move(gateway.clock.now_ms())
     wish = SendWish(SERVICE, ROUTE, is_first=False, is_repeatable=True)
     assert gateway.ask(wish).version == "v1"
 
 
-def test_the_move_keeps_to_the_bound(gateway):
+def test_move_stays_within_the_bound(gateway):
     gateway.read(make_order())
     gateway.progress.begin_move(gateway.clock.now_ms())
     versions = [gateway.ask(took_ms=1).version for _ in range(400)]
     assert versions.count("v2") <= 0.1 * 400 + 50 / 8
 
 
-def test_an_order_that_nobody_closes_ends_here(gateway):
+def test_order_that_is_not_closed_in_time_is_abandoned(gateway):
     gateway.read(make_order())
     gateway.clock.advance(LIMIT_S * 1_000 + ABANDON_DELAY_MS + 1)
     gateway.rollouts.check_all()
     assert gateway.progress.stopped_for == "order not closed within its time limit"
 
 
-def test_a_silent_answer_counts_as_slow_before_it_ends(gateway):
+def test_overdue_answer_counts_as_slow_before_it_ends(gateway):
     gateway.read(make_order())
     gateway.ask_many(40)
     server = next(one for one in NEW)
@@ -286,7 +288,7 @@
     assert (target.slow, target.failures) == (1, 1)
 
 
-def test_connections_that_one_server_breaks_together_count_once(gateway):
+def test_simultaneous_broken_connections_of_a_server_count_once(gateway):
     gateway.read(make_order())
     sends = [gateway.rollouts.begin_send(ROUTE, NEW[0], 10.0) for _ in range(6)]
     for send in sends:
@@ -294,7 +296,7 @@
     assert gateway.progress.get_sums()[ROUTE].target.failures == 1
 
 
-def test_a_server_that_has_just_started_is_not_blamed_for_its_pace(gateway):
+def test_cold_server_answers_do_not_count_as_slow(gateway):
     gateway.read(make_order())
     cold = BackendServer("new-9", "z1", "127.0.0.2:9", SERVICE, version="v2", cold_left_ms=5_000)
     gateway.rollouts.select(FIRST, [*OLD, cold])
@@ -305,7 +307,7 @@
     assert gateway.progress.get_sums()[ROUTE].target.slow == 0
 
 
-def test_two_services_move_side_by_side():
+def test_two_services_can_move_at_the_same_time():
     gateway = Gateway()
     gateway.read(make_order())
     other = {"service": "app", "to": "v7", "duration_s": 9}
@@ -315,24 +317,24 @@
     assert {one.order.service for one in gateway.rollouts.list_open()} == {SERVICE, "app"}
 
 
-def test_nothing_is_told_while_there_is_no_order(gateway):
+def test_nothing_is_reported_without_an_open_order(gateway):
     assert gateway.rollouts.write_all(leads=True) == []
     gateway.read(make_order(status={"state": "completed", "to": "v2"}))
     assert gateway.rollouts.write_all(leads=True) == []
 
 
 @pytest.mark.parametrize("limit_s", [1, 5, 12, 60, 600])
-def test_the_steps_of_an_order_are_in_its_time(limit_s):
+def test_steps_of_an_order_are_within_its_time_limit(limit_s):
     times = RolloutTimes.from_limit(limit_s * 1_000)
     assert 0.5 * times.limit_ms < times.move_ms < times.close_ms < times.limit_ms
 
 
-def test_a_status_that_cannot_be_read_changes_nothing(gateway):
+def test_unreadable_status_is_ignored(gateway):
     gateway.read(make_order(), make_order(6, status={"state": "perhaps", "to": "v2"}))
     assert gateway.progress.order.state is None
 
 
-def test_a_completed_state_is_read_from_the_status():
+def test_completed_state_is_read_from_the_status():
     order = decode_rollout(make_order(status={"state": "completed", "to": "v2"}))
     assert order.state is RolloutState.COMPLETED
     assert order.is_final
