--- a/hemlockswitch/process/gateway/rollouts.py
+++ b/hemlockswitch/process/gateway/rollouts.py
@@ -183,23 +183,23 @@
             return not is_in_force
         return self.versions.is_withheld(server)
 
-    def select(self, wish: SendWish, servers: list[BackendServer]) -> list[BackendServer]:
+    def select(self, request: SendWish, servers: list[BackendServer]) -> list[BackendServer]:
         """Return the servers, out of a service's `servers`, that a request may be sent to."""
         if self._bound is None:
             return servers
-        progress = self._progress.get(wish.service)
+        progress = self._progress.get(request.service)
         if progress is None:
-            return self.versions.select(wish.service, servers)
+            return self.versions.select(request.service, servers)
         target, others = [], []
         for server in servers:
             if server.version == progress.order.target:
                 target.append(server)
             elif not self.versions.is_withheld(server):
                 others.append(server)
-        return self._select_by_order(progress, wish, _ServersByVersion(target, others))
+        return self._select_by_order(progress, request, _ServersByVersion(target, others))
 
     def _select_by_order(
-        self, progress: RolloutProgress, wish: SendWish, listed: _ServersByVersion
+        self, progress: RolloutProgress, request: SendWish, listed: _ServersByVersion
     ) -> list[BackendServer]:
         if progress.order.state is RolloutState.COMPLETED:
             return listed.target or listed.others
@@ -208,35 +208,35 @@
             return listed.target
         if not progress.is_open or not listed.target:
             return listed.others
-        chosen = self._select_open(progress, wish, listed)
+        chosen = self._select_open(progress, request, listed)
         if chosen and chosen[0].version == progress.order.target:
-            progress.charge(wish.route, self._clock.now_ms())
+            progress.charge(request.route, self._clock.now_ms())
         return chosen
 
     def _select_open(
-        self, progress: RolloutProgress, wish: SendWish, listed: _ServersByVersion
+        self, progress: RolloutProgress, request: SendWish, listed: _ServersByVersion
     ) -> list[BackendServer]:
         """Return the candidate servers of a request while the order is open."""
         now_ms = self._clock.now_ms()
-        if wish.begun_version:
-            is_target = wish.begun_version == progress.order.target
+        if request.begun_version:
+            is_target = request.begun_version == progress.order.target
             return (listed.target if is_target else listed.others) or listed.others
-        if not wish.is_repeatable and progress.must_move(wish.route, now_ms):
+        if not request.is_repeatable and progress.must_move(request.route, now_ms):
             return listed.target
-        if progress.may_try(wish.route, now_ms) and (wish.is_first or not listed.others):
-            return self._select_trial(progress, wish, listed.target)
+        if progress.may_try(request.route, now_ms) and (request.is_first or not listed.others):
+            return self._select_trial(progress, request, listed.target)
         return listed.others
 
     def _select_trial(
-        self, progress: RolloutProgress, wish: SendWish, target: list[BackendServer]
+        self, progress: RolloutProgress, request: SendWish, target: list[BackendServer]
     ) -> list[BackendServer]:
         """Return the candidate servers of a trial: the canary servers, or all so that their caches fill."""
         now_ms = self._clock.now_ms()
         warm = [one for one in target if not progress.is_cold(one, now_ms)] or target
-        if not wish.draws_canary:
+        if not request.draws_canary:
             return warm
         by_name = {one.incarnation: one for one in warm}
-        ranked = rank_rendezvous(f"{wish.service}:{progress.order.target}", by_name)
+        ranked = rank_rendezvous(f"{request.service}:{progress.order.target}", by_name)
         count = max(1, round(len(target) * CANARY_SHARE))
         return [by_name[name] for name in ranked[:count]]
 
--- a/hemlockswitch/process/gateway/usage.py
+++ b/hemlockswitch/process/gateway/usage.py
@@ -67,11 +67,11 @@
     def describe_processes(self) -> dict[str, ReportedCounts]:
         """Return the counts of this process and of the processes that have reported, by process."""
         own = {self._process: self.describe_own()}
-        others = {
+        peers = {
             process: {str(window): dict(accounts) for window, accounts in counts.items()}
             for process, counts in self._peers.items()
         }
-        return {process: counts for process, counts in (own | others).items() if counts}
+        return {process: counts for process, counts in (own | peers).items() if counts}
 
     def merge_stored(self, process: str, counts: ReportedCounts) -> None:
         """Merge stored counts of a process; a count that the process reported is never lowered."""
--- a/tests/copies_market.py
+++ b/tests/copies_market.py
@@ -24,7 +24,7 @@
 RECLAIMABLE, ON_DEMAND = MachineClass.RECLAIMABLE, MachineClass.ON_DEMAND
 
 
-def situation(live=None, tokens=0.0, running=0, unavailable=()):
+def make_situation(live=None, tokens=0.0, running=0, unavailable=()):
     return CopiesSituation(
         SERVICE, ZONES, live or {}, Demand(tokens, running), frozenset(unavailable)
     )
@@ -47,15 +47,15 @@
     def order_copies(self, service, pool, wanted, fencing):
         self.calls += 1
         self.orders.append((pool, wanted))
-        held = [one for one in self.servers.values() if self.pool_of(one) == pool]
+        present = [one for one in self.servers.values() if self.pool_of(one) == pool]
         coming = [entry for entry in self.booting if entry[1] == pool]
-        missing = wanted - len(held) - len(coming)
+        missing = wanted - len(present) - len(coming)
         is_unavailable = self.clock.now_ms() < self.unavailable_until_ms
         if missing > 0 and is_unavailable and pool.machine_class is RECLAIMABLE:
             return OrderOutcome.NONE_AVAILABLE
         for _ in range(max(missing, 0)):
             self.booting.append((self.clock.now_ms() + BOOT_MS, pool))
-        for server in held[: max(-missing, 0)]:
+        for server in present[: max(-missing, 0)]:
             del self.servers[server.name]
         return OrderOutcome.TAKEN
 
@@ -104,9 +104,9 @@
     )
 
 
-def play(market, duty, duration_ms, lowest=None):
+def simulate(market, duty, duration_ms, sizes=None):
     for _ in range(int(duration_ms / 250)):
         duty.take_turn(lambda: 7)
         market.advance(250)
-        if lowest is not None:
-            lowest.append(len(market.servers))
+        if sizes is not None:
+            sizes.append(len(market.servers))
--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -280,42 +280,42 @@
         if not piece:
             return Reply(0, {}, data, False)
         data += piece
-    head, _, rest = data.partition(b"\r\n\r\n")
+    head, _, remaining = data.partition(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines[1:])
     status = int(lines[0].split()[1])
     if "content-length" in headers:
-        body, is_whole = _read_length(connection, rest, int(headers["content-length"]))
+        body, is_whole = _read_length(connection, remaining, int(headers["content-length"]))
     else:
-        body, is_whole = _read_chunks(connection, rest)
+        body, is_whole = _read_chunks(connection, remaining)
     return Reply(status, headers, body, is_whole)
 
 
-def _read_length(connection, rest, length):
-    while len(rest) < length:
+def _read_length(connection, remaining, length):
+    while len(remaining) < length:
         piece = connection.recv(65_536)
         if not piece:
-            return rest, False
-        rest += piece
-    return rest, True
+            return remaining, False
+        remaining += piece
+    return remaining, True
 
 
-def _read_chunks(connection, rest):
+def _read_chunks(connection, remaining):
     body = b""
     while True:
-        while b"\r\n" not in rest:
+        while b"\r\n" not in remaining:
             piece = _receive(connection)
             if not piece:
                 return body, False
-            rest += piece
-        size, _, rest = rest.partition(b"\r\n")
+            remaining += piece
+        size, _, remaining = remaining.partition(b"\r\n")
         length = int(size, 16)
-        while len(rest) < length + 2:
+        while len(remaining) < length + 2:
             piece = _receive(connection)
             if not piece:
                 return body, False
-            rest += piece
-        body, rest = body + rest[:length], rest[length + 2 :]
+            remaining += piece
+        body, remaining = body + remaining[:length], remaining[length + 2 :]
         if length == 0:
             return body, True
 
--- a/tests/rollout_plays.py
+++ b/tests/rollout_plays.py
@@ -19,6 +19,7 @@
     BAD_ANSWERS,
     BOOT_MS,
     BOUND,
+    CHANGE_REPORT_MS,
     FIRST_MS,
     LEASE_MS,
     LOST_SHARE,
@@ -29,7 +30,6 @@
     SERVERS,
     SERVICE,
     STEP_MS,
-    TELL_MS,
     TURN_MS,
     Gateway,
     Outcome,
@@ -203,7 +203,7 @@
             raise LeaseError(ErrorKind.STALE_FENCING, "lapsed")
         return 7
 
-    def tell(self, whole):
+    def send_reports(self, complete):
         """Send the changed counts of each gateway, or the complete ones, to all other gateways."""
         now_ms = self.clock.now_ms()
         messages = []
@@ -211,21 +211,21 @@
             if one.frozen_until > now_ms:
                 continue
             leads = number == self.holder
-            told = one.rollouts.write_all(leads=leads) if whole else None
-            told = one.rollouts.pop_changed(leads=leads) if told is None else told
-            if told:
-                messages.append((number, one.name, told))
+            reports = one.rollouts.write_all(leads=leads) if complete else None
+            reports = one.rollouts.pop_changed(leads=leads) if reports is None else reports
+            if reports:
+                messages.append((number, one.name, reports))
         if messages:
-            self.at(self.rng.uniform(30, 200), lambda: self.hear(messages))
+            self.at(self.rng.uniform(30, 200), lambda: self.deliver_reports(messages))
 
-    def hear(self, messages):
+    def deliver_reports(self, messages):
         now_ms = self.clock.now_ms()
         for receiver, one in enumerate(self.gateways):
             if one.frozen_until > now_ms:
                 continue
-            for sender, name, told in messages:
+            for sender, name, reports in messages:
                 if sender != receiver and self.rng.random() >= LOST_SHARE:
-                    one.rollouts.take_told(name, told)
+                    one.rollouts.take_told(name, reports)
 
     def arrive(self):
         """Send the requests that arrive in one step."""
@@ -276,7 +276,7 @@
             moment = self.clock.now_ms() + FIRST_MS * factor
             self.at(FIRST_MS * factor, lambda: self.bad_moments.append(moment))
         first_ms = FIRST_MS * factor * rng.lognormvariate(0, 0.35)
-        whole_ms = (
+        complete_ms = (
             first_ms if fails else first_ms + ROUTES[route][1] * factor * rng.uniform(0.6, 1.4)
         )
 
@@ -291,13 +291,13 @@
                 send.end(fails)
 
         self.at(first_ms, begin)
-        self.at(whole_ms, end)
+        self.at(complete_ms, end)
 
     def list_new(self, gateway):
         if not self.stopped_old:
             gateway.servers = [*gateway.servers, *(s for s in self.new if s not in gateway.servers)]
 
-    def play(self):
+    def run(self):
         """Run the replay until `AFTER_MS` after the time limit; return its outcome."""
         if self.faults:
             self.plan_faults()
@@ -309,10 +309,10 @@
             while self.events and self.events[0][0] <= self.clock.now_ms():
                 heapq.heappop(self.events)[2]()
             self.arrive()
-            if step % int(TELL_MS / STEP_MS) == 0:
-                self.tell(whole=False)
+            if step % int(CHANGE_REPORT_MS / STEP_MS) == 0:
+                self.send_reports(complete=False)
             if step % int(REPORT_MS / STEP_MS) == 0:
-                self.tell(whole=True)
+                self.send_reports(complete=True)
             if step % int(TURN_MS / STEP_MS) == 0:
                 self.take_turn()
             if step % 10 == 0:
--- a/tests/rollout_replay.py
+++ b/tests/rollout_replay.py
@@ -33,7 +33,7 @@
                 VERSIONS[name],
                 limit_s=options.limit,
                 faults=not options.calm,
-            ).play()
+            ).run()
             for seed in range(options.first, options.first + options.seeds)
         ]
         print(describe(name, played, options.limit * 1_000), flush=True)
--- a/tests/test_first_copies.py
+++ b/tests/test_first_copies.py
@@ -23,15 +23,15 @@
     ZONES,
     Market,
     make_duty,
-    play,
-    situation,
+    make_situation,
+    simulate,
 )
 
 
 def test_nothing_is_ordered_before_the_registry_is_complete():
     market = Market(ManualClock(), is_listed=False)
     duty = make_duty(market, tokens=0)
-    play(market, duty, 2_000)
+    simulate(market, duty, 2_000)
     assert market.calls == 0
 
 
@@ -46,10 +46,10 @@
     market = Market(ManualClock(), is_listed=False)
     duty = make_duty(market, tokens=0)
     add_on_demand(market, per_zone=1)
-    play(market, duty, 1_000)
+    simulate(market, duty, 1_000)
     assert market.calls == 0
     market.is_mostly_listed = True
-    play(market, duty, 1_000)
+    simulate(market, duty, 1_000)
     assert {pool.machine_class for pool, _ in market.orders} == {RECLAIMABLE}
     assert len(market.orders) == len(ZONES), "each pool once"
 
@@ -58,9 +58,9 @@
     market = Market(ManualClock(), is_listed=False, is_mostly_listed=True)
     duty = make_duty(market, tokens=0)
     add_on_demand(market, per_zone=1)
-    play(market, duty, 500)
+    simulate(market, duty, 500)
     add_on_demand(market, per_zone=1)
-    play(market, duty, 500)
+    simulate(market, duty, 500)
     counts = [wanted for pool, wanted in market.orders if pool.zone == "z1"]
     assert counts == sorted(counts)
 
@@ -71,17 +71,17 @@
     duty = make_duty(market, tokens=0)
     market.add(Pool("z1", RECLAIMABLE))
     market.add(Pool("z2", ON_DEMAND))
-    play(market, duty, 2_000)
+    simulate(market, duty, 2_000)
     assert market.calls == 0
 
 
 def test_full_zone_gets_reclaimable_copies_as_soon_as_it_has_room():
     """With at most three copies per zone, the copies found leave room only once they are released."""
     found = {Pool(zone, ON_DEMAND): 2 for zone in ZONES}
-    wanted = plan_copies(situation(live=found, tokens=100))
+    wanted = plan_copies(make_situation(live=found, tokens=100))
     assert {wanted[Pool(zone, RECLAIMABLE)] for zone in ZONES} == {1}
     fewer = {Pool(zone, ON_DEMAND): 1 for zone in ZONES}
-    wanted = plan_copies(situation(live=fewer, tokens=100))
+    wanted = plan_copies(make_situation(live=fewer, tokens=100))
     assert {wanted[Pool(zone, RECLAIMABLE)] for zone in ZONES} == {2}
 
 
@@ -94,7 +94,7 @@
         for _ in range(number):
             market.add(pool)
     duty = make_duty(market, tokens=0, service=large)
-    play(market, duty, 20_000)
+    simulate(market, duty, 20_000)
     assert len(market.servers) >= 0.85 * 32
 
 
@@ -106,7 +106,7 @@
         market.add(Pool(zone, ON_DEMAND))
     roomy = replace(SERVICE, scaling=replace(SERVICE.scaling, max_copies=6))
     duty = make_duty(market, tokens=0, service=roomy)
-    play(market, duty, 12_000)
+    simulate(market, duty, 12_000)
     classes = [one.machine_class for one in market.list()]
     assert classes.count("reclaimable") == 12, "enough for the six copies found"
 
@@ -122,7 +122,7 @@
     duty = make_duty(market, tokens=0, service=roomy)
     for _ in range(3):
         duty.take_over()
-        play(market, duty, 6_000)
+        simulate(market, duty, 6_000)
     classes = [one.machine_class for one in market.list()]
     assert classes.count("reclaimable") == 8
     assert classes.count("on_demand") == 0
@@ -142,13 +142,13 @@
     service = replace(SERVICE, engine=EngineTraits(32, 600_000), scaling=scaling)
     duty = make_duty(market, tokens=0, service=service)
     market.is_listed, market.is_mostly_listed = False, True
-    play(market, duty, 2 * BOOT_MS)
+    simulate(market, duty, 2 * BOOT_MS)
     market.is_listed = True
-    play(market, duty, 500)
+    simulate(market, duty, 500)
     classes = [one.machine_class for one in market.list()]
     assert classes.count("on_demand") == 0
     assert classes.count("reclaimable") >= 39
-    play(market, duty, BOOT_MS + 1_000)
+    simulate(market, duty, BOOT_MS + 1_000)
     assert len(market.servers) == 80, "reclaimable copies use the released places"
 
 
@@ -161,10 +161,10 @@
         market.add(Pool(zone, RECLAIMABLE))
     scaling = replace(SERVICE.scaling, max_copies=15)
     duty = make_duty(market, 0, replace(SERVICE, scaling=scaling))
-    play(market, duty, 10_000)
+    simulate(market, duty, 10_000)
     duty.take_over()
     before = len(market.servers)
-    play(market, duty, 2_500)
+    simulate(market, duty, 2_500)
     assert len(market.servers) == before
 
 
@@ -177,6 +177,6 @@
     service = replace(SERVICE, engine=EngineTraits(32, 600_000), scaling=scaling)
     duty = make_duty(market, tokens=0, service=service)
     market.reclaim(ZONES[0], unavailable_ms=math.inf)
-    play(market, duty, BOOT_MS + 1_000)
+    simulate(market, duty, BOOT_MS + 1_000)
     classes = [one.machine_class for one in market.list()]
     assert len(classes) >= 38
--- a/tests/test_gateway_accounts.py
+++ b/tests/test_gateway_accounts.py
@@ -46,8 +46,8 @@
         self.turn = 0
 
     def exchange(self, names=None):
-        told = self.limits if names is None else names
-        reports = {name: self.limits[name].describe_spent() for name in told}
+        senders = self.limits if names is None else names
+        reports = {name: self.limits[name].describe_spent() for name in senders}
         for name, limits in self.limits.items():
             for other, spent in reports.items():
                 if other != name:
--- a/tests/test_rollout_duty.py
+++ b/tests/test_rollout_duty.py
@@ -278,8 +278,8 @@
     holder.count(60)
     holder.play(9_000)
     successor = Holder(holder.store, holder.clock)
-    told = holder.rollouts.write_all(leads=True)
-    successor.rollouts.take_told("first/1", told)
+    reports = holder.rollouts.write_all(leads=True)
+    successor.rollouts.take_told("first/1", reports)
     assert successor.progress.get_age_ms(holder.clock.now_ms()) == pytest.approx(9_000, abs=1)
     successor.play(LIMIT_MS)
     assert holder.store.states == ["running", "completed"]
--- a/tests/test_rollout_protocol.py
+++ b/tests/test_rollout_protocol.py
@@ -178,8 +178,8 @@
     @rule(number=NUMBERS)
     def tell(self, number):
         process = self.processes[number]
-        told = process.rollouts.write_all(leads=number == self.holder)
-        self.messages.append((process.name, told))
+        reports = process.rollouts.write_all(leads=number == self.holder)
+        self.messages.append((process.name, reports))
 
     @rule()
     def exchange(self):
@@ -194,9 +194,9 @@
     @rule(number=NUMBERS, which=st.integers(0, 40))
     def bring(self, number, which):
         """Deliver any message, possibly again; messages that are never delivered are lost."""
-        name, told = self.messages[-1 - which % len(self.messages)]
+        name, reports = self.messages[-1 - which % len(self.messages)]
         if name != self.processes[number].name:
-            self.processes[number].rollouts.take_told(name, told)
+            self.processes[number].rollouts.take_told(name, reports)
 
     @rule(turns=st.sampled_from([1, 4, 16]))
     def wait(self, turns):
--- a/tests/test_rollout_replay.py
+++ b/tests/test_rollout_replay.py
@@ -23,11 +23,11 @@
     set_log_writer(_write_by_structlog)
 
 
-def play(name, gateways=8, **options):
-    return [Replay(gateways, seed, VERSIONS[name], **options).play() for seed in SEEDS]
+def run_replays(name, gateways=8, **options):
+    return [Replay(gateways, seed, VERSIONS[name], **options).run() for seed in SEEDS]
 
 
-def check(outcomes):
+def check_outcomes(outcomes):
     for one in outcomes:
         assert one.most_over <= 0, "the bound"
         assert one.late_sends == 0, "sends after the stop"
@@ -36,33 +36,33 @@
 
 @pytest.mark.parametrize("name", BAD)
 def test_bad_version_is_rolled_back_under_faults(name):
-    outcomes = play(name)
-    check(outcomes)
+    outcomes = run_replays(name)
+    check_outcomes(outcomes)
     assert {one.state for one in outcomes} == {"rolled_back"}
 
 
 def test_good_version_is_completed_in_time():
-    outcomes = play("good", faults=False)
-    check(outcomes)
+    outcomes = run_replays("good", faults=False)
+    check_outcomes(outcomes)
     assert {one.state for one in outcomes} == {"completed"}
     assert all(one.closed_ms < 12_000 for one in outcomes)
 
 
 def test_good_version_stays_within_the_bound_under_faults():
-    check(play("good"))
+    check_outcomes(run_replays("good"))
 
 
 @pytest.mark.parametrize("gateways", [30])
 def test_larger_fleet_stays_within_the_bound(gateways):
-    check([Replay(gateways, 1, VERSIONS[name]).play() for name in ("good", "fails 0.5")])
+    check_outcomes([Replay(gateways, 1, VERSIONS[name]).run() for name in ("good", "fails 0.5")])
 
 
 def test_replay_detects_gateways_that_exceed_their_share(monkeypatch):
     monkeypatch.setattr(ExposureCredit, "may_try", lambda self, route: True)
-    assert any(one.most_over > 0 for one in play("good", faults=False))
+    assert any(one.most_over > 0 for one in run_replays("good", faults=False))
 
 
 def test_replay_detects_gateways_that_do_not_stop(monkeypatch):
     monkeypatch.setattr(RolloutProgress, "is_open", True)
     monkeypatch.setattr(ExposureCredit, "may_try", lambda self, route: True)
-    assert any(one.late_sends > 0 for one in play("fails 0.5", faults=False))
+    assert any(one.late_sends > 0 for one in run_replays("fails 0.5", faults=False))
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -225,8 +225,8 @@
     early = one.rollouts.write_all(leads=False)
     one.ask_many(20)
     late = one.rollouts.write_all(leads=False)
-    for told in (late, early, late):
-        other.rollouts.take_told("one/1", told)
+    for reports in (late, early, late):
+        other.rollouts.take_told("one/1", reports)
     assert other.progress.get_sums() == one.progress.get_sums()
 
 
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -31,8 +31,8 @@
     ZONES,
     Market,
     make_duty,
-    play,
-    situation,
+    make_situation,
+    simulate,
 )
 
 
@@ -45,12 +45,12 @@
     [(0, 0, MIN_COPIES), (45, 0, MIN_COPIES), (90, 0, 4), (0, 400, 6)],
 )
 def test_need_follows_prefill_rate_and_slots(tokens, running, needed):
-    assert count_needed(situation(tokens=tokens, running=running)) == needed
+    assert count_needed(make_situation(tokens=tokens, running=running)) == needed
 
 
 def test_reclaimable_copies_serve_the_demand_without_reclaims():
     live = {Pool(zone, RECLAIMABLE): 2 for zone in ZONES}
-    plan = plan_copies(situation(live, tokens=60))
+    plan = plan_copies(make_situation(live, tokens=60))
     assert [plan[Pool(zone, RECLAIMABLE)] for zone in ZONES] == [2, 2, 2, 2]
     assert count(plan, ON_DEMAND) == 0
 
@@ -58,9 +58,9 @@
 def test_on_demand_copies_cover_the_next_zone_while_a_zone_is_unavailable():
     """A wave reaches the next zone after some seconds, which is the boot time of a copy."""
     live = {Pool(zone, RECLAIMABLE): 2 for zone in ZONES[1:]}
-    calm = plan_copies(situation(live, tokens=130))
-    plan = plan_copies(situation(live, tokens=130, unavailable=[Pool("z1", RECLAIMABLE)]))
-    needed = count_needed(situation(tokens=130))
+    calm = plan_copies(make_situation(live, tokens=130))
+    plan = plan_copies(make_situation(live, tokens=130, unavailable=[Pool("z1", RECLAIMABLE)]))
+    needed = count_needed(make_situation(tokens=130))
     assert needed == 5
     assert count(calm, ON_DEMAND) == 0
     assert count(plan, ON_DEMAND) == needed - (6 - 2)
@@ -71,16 +71,16 @@
     """At the first wave of a day, six copies count as needed until the demand is measured, which requires
     three. Replacing what the next zone would lose of six would cost four on-demand copies."""
     live = {Pool(zone, RECLAIMABLE): 2 for zone in ZONES[1:]}
-    found = situation(live, tokens=40, unavailable=[Pool("z1", RECLAIMABLE)])
+    found = make_situation(live, tokens=40, unavailable=[Pool("z1", RECLAIMABLE)])
     assert count(plan_copies(replace(found, min_copies=6)), ON_DEMAND) == 0
     assert count(plan_copies(replace(found, min_copies=7)), ON_DEMAND) == 1, "missing now"
 
 
 @pytest.mark.parametrize("lost", ZONES)
 def test_enough_copies_remain_when_a_zone_is_reclaimed(lost):
-    plan = plan_copies(situation(tokens=110))
+    plan = plan_copies(make_situation(tokens=110))
     left = sum(number for pool, number in plan.items() if pool.zone != lost)
-    assert left >= count_needed(situation(tokens=110))
+    assert left >= count_needed(make_situation(tokens=110))
 
 
 @pytest.mark.parametrize("lost", ZONES)
@@ -88,46 +88,46 @@
 def test_enough_cheap_copies_remain_when_two_zones_are_reclaimed(lost, second):
     """A second zone is reclaimed while the first one is still unavailable."""
     roomy = replace(SERVICE, scaling=replace(SERVICE.scaling, max_copies=15))
-    plan = plan_copies(replace(situation(tokens=400), service=roomy))
+    plan = plan_copies(replace(make_situation(tokens=400), service=roomy))
     left = sum(number for pool, number in plan.items() if pool.zone not in (lost, second))
-    assert left >= count_needed(situation(tokens=400))
+    assert left >= count_needed(make_situation(tokens=400))
 
 
 def test_expensive_reclaimable_copies_cover_the_loss_of_one_zone():
     dear = replace(SERVICE, scaling=replace(SERVICE.scaling, max_copies=15, reclaimable_price=0.7))
-    plan = plan_copies(replace(situation(tokens=400), service=dear))
-    needed = count_needed(situation(tokens=400))
+    plan = plan_copies(replace(make_situation(tokens=400), service=dear))
+    needed = count_needed(make_situation(tokens=400))
     assert count(plan, RECLAIMABLE) == 4 * -(-needed // 3)
 
 
 def test_on_demand_copies_replace_unavailable_reclaimable_ones():
     unavailable = [Pool(zone, RECLAIMABLE) for zone in ZONES]
-    plan = plan_copies(situation({}, tokens=150, unavailable=unavailable))
+    plan = plan_copies(make_situation({}, tokens=150, unavailable=unavailable))
     assert count(plan, RECLAIMABLE) == 0
-    assert count(plan, ON_DEMAND) == count_needed(situation(tokens=150))
+    assert count(plan, ON_DEMAND) == count_needed(make_situation(tokens=150))
 
 
 @pytest.mark.parametrize("tokens", [0, 50, 100, 200, 400, 1_000])
 def test_no_zone_exceeds_its_limit(tokens):
-    plan = plan_copies(situation(tokens=tokens))
+    plan = plan_copies(make_situation(tokens=tokens))
     for zone in ZONES:
         assert plan[Pool(zone, RECLAIMABLE)] + plan[Pool(zone, ON_DEMAND)] <= 3
 
 
 def test_high_demand_leaves_room_for_on_demand_copies():
-    plan = plan_copies(situation(tokens=1_000))
+    plan = plan_copies(make_situation(tokens=1_000))
     assert all(plan[Pool(zone, ON_DEMAND)] >= 1 for zone in ZONES)
 
 
 def test_waves_of_reclaims_leave_enough_copies_except_during_a_boot():
     market = Market(ManualClock())
     duty = make_duty(market, tokens=100)
-    play(market, duty, 10_000)
+    simulate(market, duty, 10_000)
     sizes = []
     for zone in ZONES:
         market.reclaim(zone, unavailable_ms=14_000)
-        play(market, duty, 5_000, sizes)
-    needed = count_needed(situation(tokens=100))
+        simulate(market, duty, 5_000, sizes)
+    needed = count_needed(make_situation(tokens=100))
     assert min(sizes) >= needed - 2, "while the stand-ins boot"
     assert sum(size >= needed for size in sizes) >= 0.6 * len(sizes)
 
@@ -137,8 +137,8 @@
     duty = make_duty(market, tokens=60)
     for zone in ZONES:
         market.reclaim(zone, unavailable_ms=14_000)
-        play(market, duty, 4_000)
-    play(market, duty, 30_000)
+        simulate(market, duty, 4_000)
+    simulate(market, duty, 30_000)
     classes = [one.machine_class for one in market.list()]
     assert classes.count("reclaimable") == 8
     assert classes.count("on_demand") == 0
@@ -158,11 +158,11 @@
         service=replace(SERVICE, engine=EngineTraits(12, 600_000)),
         count_running=lambda: sum(rng.random() < 0.1 for _ in range(220)),
     )
-    play(market, duty, 20_000)
+    simulate(market, duty, 20_000)
     for zone in ZONES[:2]:
         market.reclaim(zone, unavailable_ms=math.inf)
     market.orders.clear()
-    play(market, duty, 60_000)
+    simulate(market, duty, 60_000)
     counts = defaultdict(list)
     for pool, wanted in market.orders:
         counts[pool].append(wanted)
@@ -174,9 +174,9 @@
 def test_steady_fleet_needs_few_calls():
     market = Market(ManualClock())
     duty = make_duty(market, tokens=60)
-    play(market, duty, 12_000)
+    simulate(market, duty, 12_000)
     before = market.calls
-    play(market, duty, 30_000)
+    simulate(market, duty, 30_000)
     assert market.calls - before <= 8 * 2, "each pool again after 20 s, no more"
 
 
@@ -186,7 +186,7 @@
         market.add(Pool(zone, ON_DEMAND))
     duty = make_duty(market, tokens=0)
     duty.take_over()
-    play(market, duty, 3_500)
+    simulate(market, duty, 3_500)
     assert sum(one.machine_class == "on_demand" for one in market.list()) == 4
 
 
@@ -198,10 +198,10 @@
         for _ in range(3):
             market.add(Pool(zone, ON_DEMAND))
     duty = make_duty(market, tokens=0, service=roomy)
-    play(market, duty, BOOT_MS)
+    simulate(market, duty, BOOT_MS)
     classes = [one.machine_class for one in market.list()]
     assert classes.count("on_demand") >= 10, "nothing replaces them yet"
-    play(market, duty, 1_000)
+    simulate(market, duty, 1_000)
     classes = [one.machine_class for one in market.list()]
     assert classes.count("on_demand") == 0
 
@@ -219,6 +219,6 @@
     market.list = lambda: leaving
     market.unavailable_until_ms = 60_000
     duty = make_duty(market, tokens=60)
-    play(market, duty, 1_000)
+    simulate(market, duty, 1_000)
     ordered = [pool for _, pool in market.booting if pool.machine_class is ON_DEMAND]
-    assert len(ordered) == count_needed(situation(tokens=60))
+    assert len(ordered) == count_needed(make_situation(tokens=60))
