--- a/hemlockswitch/process/gateway/copies_plan.py
+++ b/hemlockswitch/process/gateway/copies_plan.py
@@ -127,7 +127,7 @@
 
 
 def _count_largest_zone(situation: CopiesSituation, wanted: Mapping[Pool, int]) -> int:
-    """Return how many of the wanted copies the next wave of reclaims may remove: one pool's."""
+    """Return the largest number of wanted copies that serve in one pool; the next wave may reclaim them."""
     return max(
         (min(situation.live.get(pool, 0), count) for pool, count in wanted.items()), default=0
     )
