--- a/tests/rollout_plays.py
+++ b/tests/rollout_plays.py
@@ -1,4 +1,4 @@
-"""One order of a roll-out, played to its end; see `tests.rollout_replay`."""
+"""Replay of one rollout order to its end; see `tests.rollout_replay`."""
 
 import heapq
 import math
@@ -19,6 +19,7 @@
     BAD_ANSWERS,
     BOOT_MS,
     BOUND,
+    CHANGE_REPORT_MS,
     FIRST_MS,
     LEASE_MS,
     LOST_SHARE,
@@ -29,7 +30,6 @@
     SERVERS,
     SERVICE,
     STEP_MS,
-    TELL_MS,
     TURN_MS,
     Gateway,
     Outcome,
@@ -38,7 +38,7 @@
 
 
 class Replay:
-    """One order, played to its end."""
+    """Simulation of one rollout order to its end."""
 
     def __init__(self, gateways, seed, version, *, limit_s=12.0, rate=118.0, faults=True):
         self.rng = random.Random(seed)
@@ -73,7 +73,7 @@
         )
 
     def start(self, number):
-        """Return a new process of a gateway."""
+        """Return a new process of the gateway with this number."""
         self.starts[number] += 1
         rollouts = Rollouts(decode_rollout, BOUND, lambda: len(self.gateways), self.clock, self.rng)
         rollouts.replace_all(ObjectPage((), 1))
@@ -94,7 +94,7 @@
         return one
 
     def at(self, delay_ms, act):
-        """Do something later."""
+        """Schedule a call of `act` after a delay."""
         self.order_number += 1
         heapq.heappush(self.events, (self.clock.now_ms() + delay_ms, self.order_number, act))
 
@@ -102,7 +102,7 @@
         return self.store_away[0] <= self.clock.now_ms() < self.store_away[1]
 
     def note_state(self, state):
-        """Take what the holder writes."""
+        """Record a state that the holder has written."""
         outcome = self.outcome
         if outcome.state in ("completed", "rolled_back"):
             outcome.final_changes += 1
@@ -130,7 +130,7 @@
             self.at(self.rng.uniform(5, 60), lambda one=one: self.deliver_order(one))
 
     def deliver_order(self, gateway):
-        """Bring the order as it is now to a gateway, once the store answers it."""
+        """Deliver the current order to a gateway, once the store is available to it."""
         if self.is_away():
             wait_ms = self.store_away[1] - self.clock.now_ms() + self.rng.uniform(5, 300)
             self.at(wait_ms, lambda: self.deliver_order(gateway))
@@ -139,7 +139,7 @@
         gateway.knows_order = True
 
     def plan_faults(self):
-        """Draw what goes wrong."""
+        """Schedule random faults."""
         rng, limit = self.rng, self.limit_ms
         for _ in range(rng.randrange(3)):
             self.at(rng.uniform(0, limit), lambda: self.kill(self.holder))
@@ -188,7 +188,7 @@
         return self.holder
 
     def take_turn(self):
-        # A holder that was killed takes its lease again when it is back on its address.
+        # A holder that was killed acquires its lease again once it has restarted at its address.
         number = self.find_holder()
         if number < 0 or self.gateways[number].frozen_until > self.clock.now_ms():
             return
@@ -203,32 +203,32 @@
             raise LeaseError(ErrorKind.STALE_FENCING, "lapsed")
         return 7
 
-    def tell(self, whole):
-        """Tell what has changed at each gateway, or everything, to all others."""
+    def send_reports(self, complete):
+        """Send the changed counts of each gateway, or the complete ones, to all other gateways."""
         now_ms = self.clock.now_ms()
         messages = []
         for number, one in enumerate(self.gateways):
             if one.frozen_until > now_ms:
                 continue
             leads = number == self.holder
-            told = one.rollouts.write_all(leads=leads) if whole else None
-            told = one.rollouts.pop_changed(leads=leads) if told is None else told
-            if told:
-                messages.append((number, one.name, told))
+            reports = one.rollouts.write_all(leads=leads) if complete else None
+            reports = one.rollouts.pop_changed(leads=leads) if reports is None else reports
+            if reports:
+                messages.append((number, one.name, reports))
         if messages:
-            self.at(self.rng.uniform(30, 200), lambda: self.hear(messages))
+            self.at(self.rng.uniform(30, 200), lambda: self.deliver_reports(messages))
 
-    def hear(self, messages):
+    def deliver_reports(self, messages):
         now_ms = self.clock.now_ms()
         for receiver, one in enumerate(self.gateways):
             if one.frozen_until > now_ms:
                 continue
-            for sender, name, told in messages:
+            for sender, name, reports in messages:
                 if sender != receiver and self.rng.random() >= LOST_SHARE:
-                    one.rollouts.take_told(name, told)
+                    one.rollouts.take_told(name, reports)
 
     def arrive(self):
-        """Send what callers ask in a step."""
+        """Send the requests that arrive in one step."""
         swing = 1 + 0.42 * math.sin(self.clock.now_ms() / 40_000 * 2 * math.pi + self.rng.random())
         expected = self.rate * swing * STEP_MS / 1_000
         count = int(expected) + (self.rng.random() < expected % 1)
@@ -276,7 +276,7 @@
             moment = self.clock.now_ms() + FIRST_MS * factor
             self.at(FIRST_MS * factor, lambda: self.bad_moments.append(moment))
         first_ms = FIRST_MS * factor * rng.lognormvariate(0, 0.35)
-        whole_ms = (
+        complete_ms = (
             first_ms if fails else first_ms + ROUTES[route][1] * factor * rng.uniform(0.6, 1.4)
         )
 
@@ -291,14 +291,14 @@
                 send.end(fails)
 
         self.at(first_ms, begin)
-        self.at(whole_ms, end)
+        self.at(complete_ms, end)
 
     def list_new(self, gateway):
         if not self.stopped_old:
             gateway.servers = [*gateway.servers, *(s for s in self.new if s not in gateway.servers)]
 
-    def play(self):
-        """Play until a while after the time limit; return what it showed."""
+    def run(self):
+        """Run the replay until `AFTER_MS` after the time limit; return its outcome."""
         if self.faults:
             self.plan_faults()
         for number in range(len(self.gateways)):
@@ -309,10 +309,10 @@
             while self.events and self.events[0][0] <= self.clock.now_ms():
                 heapq.heappop(self.events)[2]()
             self.arrive()
-            if step % int(TELL_MS / STEP_MS) == 0:
-                self.tell(whole=False)
+            if step % int(CHANGE_REPORT_MS / STEP_MS) == 0:
+                self.send_reports(complete=False)
             if step % int(REPORT_MS / STEP_MS) == 0:
-                self.tell(whole=True)
+                self.send_reports(complete=True)
             if step % int(TURN_MS / STEP_MS) == 0:
                 self.take_turn()
             if step % 10 == 0:
@@ -325,7 +325,7 @@
         return self.outcome
 
     def judge_bound(self):
-        """Note how far the sends to a version that was not judged lie over the bound."""
+        """Record by how much the requests sent to a version on trial exceed the bound."""
         outcome = self.outcome
         if outcome.state != "completed" and self.clock.now_ms() < self.limit_ms:
             over = outcome.sent - BOUND.share * outcome.asked - BOUND.slack
