--- a/hemlockswitch/process/quarantine/guard.py
+++ b/hemlockswitch/process/quarantine/guard.py
@@ -17,7 +17,7 @@
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.quarantine.held_requests import (
     HELD_KIND,
-    STALE_MS,
+    MAX_LIST_LAG_MS,
     HeldRequests,
     TrialOutcome,
 )
@@ -25,26 +25,26 @@
 from hemlockswitch.request.quarantine import Quarantine, Standing
 from hemlockswitch.version.backend import BackendServer
 
-LOOK_MS = 250.0
+QUARANTINE_POLL_INTERVAL_MS = 250.0
 """Upper bound on the delay before a newly quarantined content is stored."""
-TRIAL_LIMIT_MS = 500.0
+TRIAL_PERMISSION_TIMEOUT_MS = 500.0
 """How long a request waits for the permission for its trial before it is refused."""
-LOAD_PAUSE_MS = 3_000.0
+DIFFERING_LOAD_INTERVAL_MS = 3_000.0
 """Minimum time between two lists because a peer differs; a difference may last until a message arrives."""
-ALONE_PAUSE_MS = 5_000.0
+DISCONNECTED_LOAD_INTERVAL_MS = 5_000.0
 """Time between two lists while some peers are disconnected, since their messages do not arrive."""
-HOLDING_PAUSE_MS = 30_000.0
+QUARANTINED_LOAD_INTERVAL_MS = 30_000.0
 """Time between two lists while any content is quarantined: an operator may have released it by hand."""
 
 
-class ServerEnds(Protocol):
+class CrashDetector(Protocol):
     """Detects crashed backend servers."""
 
-    def has_ended(self, server: BackendServer) -> bool:
+    def has_crashed(self, server: BackendServer) -> bool:
         """Return whether a server that closed a connection has crashed."""
 
 
-class Others(Protocol):
+class QuarantinePeers(Protocol):
     """The peers that also count server crashes."""
 
     def note_change(self) -> None:
@@ -84,38 +84,38 @@
     ==========
 
     quarantine : the records of the contents that crash servers.
-    ends : detects crashed servers.
-    held : stores quarantined contents and grants trials.
-    others : the peers.
-    is_keeper : returns whether this daemon also stores the contents that only peers saw crash servers.
+    crash_detector : detects crashed servers.
+    store : stores quarantined contents and grants trials.
+    peers : the daemons that exchange crash counts with this one.
+    acts_for_peers : returns whether this daemon also writes and removes stored contents for its peers.
     clock : the time source.
     """
 
     def __init__(
         self,
         quarantine: Quarantine,
-        ends: ServerEnds,
-        held: HeldRequests,
-        others: Others,
-        is_keeper: Callable[[], bool],
+        crash_detector: CrashDetector,
+        store: HeldRequests,
+        peers: QuarantinePeers,
+        acts_for_peers: Callable[[], bool],
         clock: Clock,
     ) -> None:
         self.counts = GuardCounts()
         self._quarantine = quarantine
-        self._ends = ends
-        self._held = held
-        self._others = others
-        self._is_keeper = is_keeper
+        self._crash_detector = crash_detector
+        self._store = store
+        self._peers = peers
+        self._acts_for_peers = acts_for_peers
         self._clock = clock
-        self._known_held: set[str] = set()
-        self._is_store_lost = False
+        self._logged_fingerprints: set[str] = set()
+        self._is_store_unavailable = False
         self._loaded_ms: float | None = None
         self._first_loaded_ms: float | None = None
 
     @property
     def is_ready(self) -> bool:
         """Whether the stored quarantine has been loaded."""
-        return self._held.is_loaded
+        return self._store.is_loaded
 
     def clear(self, content: Content, *, may_try: bool) -> Clearance:
         """Return how a request may be sent now, or raise if its content is quarantined."""
@@ -123,12 +123,12 @@
             return Clearance.FREE
         standing = self._quarantine.find_standing(content.fingerprint)
         if standing.is_held:
-            return self._clear_held(content.fingerprint, standing, may_try)
+            return self._clear_quarantined(content.fingerprint, standing, may_try)
         return Clearance.CAREFUL if standing.is_careful else Clearance.FREE
 
-    def _clear_held(self, fingerprint: str, standing: Standing, may_try: bool) -> Clearance:
+    def _clear_quarantined(self, fingerprint: str, standing: Standing, may_try: bool) -> Clearance:
         if may_try and standing.trial_in_ms == 0:
-            outcome = self._ask_for_trial(fingerprint)
+            outcome = self._request_trial(fingerprint)
             trials = self._quarantine.get_record(fingerprint).trials
             log_event(
                 Event.QUARANTINE_TRIAL,
@@ -139,28 +139,30 @@
             )
             if outcome.is_granted:
                 self.counts.trials += 1
-                self._others.note_change()
+                self._peers.note_change()
                 return Clearance.TRIAL
             standing = self._quarantine.find_standing(fingerprint)
         detail = f"{standing.ends} servers have crashed while running the content {fingerprint}"
-        raise RequestError(ErrorKind.QUARANTINED, detail, retry_after_ms=_find_return_ms(standing))
+        raise RequestError(
+            ErrorKind.QUARANTINED, detail, retry_after_ms=_compute_retry_after_ms(standing)
+        )
 
-    def _ask_for_trial(self, fingerprint: str) -> TrialOutcome:
+    def _request_trial(self, fingerprint: str) -> TrialOutcome:
         refused = TrialOutcome(False, "the object service did not answer in time")
         try:
-            with gevent.Timeout(TRIAL_LIMIT_MS / MS_PER_SECOND, False):
-                return self._held.take_trial(fingerprint)
+            with gevent.Timeout(TRIAL_PERMISSION_TIMEOUT_MS / MS_PER_SECOND, False):
+                return self._store.request_trial(fingerprint)
         except PlatformError as error:
             return TrialOutcome(False, error.detail)
         return refused
 
     def note_broken(self, content: Content, server: BackendServer) -> bool:
         """Count a closed connection against its content if the server has crashed."""
-        if not self._ends.has_ended(server):
+        if not self._crash_detector.has_crashed(server):
             return False
         self.counts.ends += 1
         self._quarantine.note_end(content.fingerprint, server.incarnation)
-        self._note_change("own")
+        self._publish_changes("own")
         return True
 
     def note_answered(self, content: Content, server: BackendServer, sent_ms: float) -> None:
@@ -169,66 +171,66 @@
             return
         self._quarantine.note_alive(server.incarnation, sent_ms)
         if self._quarantine.find_standing(content.fingerprint).is_held:
-            self._held.note_released(content.fingerprint)
+            self._store.schedule_removal(content.fingerprint)
         self._quarantine.note_answer(content.fingerprint)
-        self._note_change("own")
+        self._publish_changes("own")
 
     def run(self) -> None:
         """Synchronize the quarantine with the object service and the peers until the task is killed."""
         while True:
-            self.look()
-            self._clock.sleep_ms(LOOK_MS)
+            self.synchronize()
+            self._clock.sleep_ms(QUARANTINE_POLL_INTERVAL_MS)
 
-    def look(self) -> None:
+    def synchronize(self) -> None:
         """Run one synchronization pass: load, write, and evict what is due."""
         if self._is_load_due():
             self._load()
-            self._note_change("stored")
-        is_keeper = self._is_keeper()
-        self._held.drop_released(is_keeper=is_keeper)
-        if self._held.must_save(is_keeper=is_keeper):
-            self._try_store(lambda: self._held.save(is_keeper=is_keeper))
+            self._publish_changes("stored")
+        acts_for_peers = self._acts_for_peers()
+        self._store.untrack_released(acts_for_peers=acts_for_peers)
+        if self._store.must_save(acts_for_peers=acts_for_peers):
+            self._try_store_action(lambda: self._store.save(acts_for_peers=acts_for_peers))
         self._quarantine.forget_old()
-        self._others.repair()
-        self._note_change("told")
+        self._peers.repair()
+        self._publish_changes("told")
 
     def _load(self) -> None:
         self._loaded_ms = self._clock.now_ms()
-        if self._try_store(self._held.load) and self._first_loaded_ms is None:
+        if self._try_store_action(self._store.load) and self._first_loaded_ms is None:
             self._first_loaded_ms = self._loaded_ms
 
-    def _try_store(self, act: Callable[[], None]) -> bool:
+    def _try_store_action(self, action: Callable[[], None]) -> bool:
         """Return whether the object service answered; a failed action is retried in the next pass."""
         try:
-            act()
+            action()
         except PlatformError as error:
-            if not self._is_store_lost:
+            if not self._is_store_unavailable:
                 log_event(Event.WATCH_FAILED, "warning", watch=HELD_KIND, detail=error.detail)
-            self._is_store_lost = True
+            self._is_store_unavailable = True
             return False
-        if self._is_store_lost:
+        if self._is_store_unavailable:
             log_event(Event.WATCH_RECOVERED, watch=HELD_KIND)
-        self._is_store_lost = False
+        self._is_store_unavailable = False
         return True
 
     def _is_load_due(self) -> bool:
         if self._loaded_ms is None or self._first_loaded_ms is None:
             return True
         since_ms = self._clock.now_ms() - self._loaded_ms
-        if self._loaded_ms - self._first_loaded_ms < STALE_MS <= since_ms:
-            return True  # The first list may lack writes from the `STALE_MS` before it.
-        if since_ms >= LOAD_PAUSE_MS and self._others.differ():
+        if self._loaded_ms - self._first_loaded_ms < MAX_LIST_LAG_MS <= since_ms:
+            return True  # The first list may lack writes from the `MAX_LIST_LAG_MS` before it.
+        if since_ms >= DIFFERING_LOAD_INTERVAL_MS and self._peers.differ():
             return True
-        if since_ms >= HOLDING_PAUSE_MS and self._known_held:
+        if since_ms >= QUARANTINED_LOAD_INTERVAL_MS and self._logged_fingerprints:
             return True
-        return since_ms >= ALONE_PAUSE_MS and self._others.are_missed()
+        return since_ms >= DISCONNECTED_LOAD_INTERVAL_MS and self._peers.are_missed()
 
-    def _note_change(self, source: str) -> None:
+    def _publish_changes(self, source: str) -> None:
         """Publish the changes, and log the contents that became quarantined or released."""
         if self._quarantine.has_untold:
-            self._others.note_change()
+            self._peers.note_change()
         held = set(self._quarantine.list_held())
-        for fingerprint in sorted(held - self._known_held):
+        for fingerprint in sorted(held - self._logged_fingerprints):
             record = self._quarantine.get_record(fingerprint)
             log_event(
                 Event.REQUEST_QUARANTINED,
@@ -238,15 +240,17 @@
                 trials=record.trials,
                 source=source,
             )
-        for fingerprint in sorted(self._known_held - held):
+        for fingerprint in sorted(self._logged_fingerprints - held):
             is_known = bool(self._quarantine.get_record(fingerprint).ends)
             reason = "answered" if is_known else "forgotten"
             log_event(Event.REQUEST_RELEASED, fingerprint=fingerprint, reason=reason)
-        self._known_held = held
+        self._logged_fingerprints = held
         self.counts.held = len(held)
 
 
-def _find_return_ms(standing: Standing) -> int:
+def _compute_retry_after_ms(standing: Standing) -> int:
     """Return the time after which a quarantined request may be tried or its record expires."""
     wait_ms = standing.trial_in_ms
-    return round(standing.forgotten_in_ms if wait_ms is None else max(wait_ms, LOOK_MS))
+    return round(
+        standing.forgotten_in_ms if wait_ms is None else max(wait_ms, QUARANTINE_POLL_INTERVAL_MS)
+    )
--- a/hemlockswitch/process/quarantine/held_requests.py
+++ b/hemlockswitch/process/quarantine/held_requests.py
@@ -21,7 +21,7 @@
 from hemlockswitch.request.quarantine import Quarantine, SuspectRecord
 
 HELD_KIND = "held-requests"
-STALE_MS = 5_000.0
+MAX_LIST_LAG_MS = 5_000.0
 """A list may lack objects written within this time before it."""
 
 
@@ -53,8 +53,10 @@
         self._quarantine = quarantine
         self._store = store
         self._clock = clock
-        self._stored_ms: dict[str, float] = {}  # fingerprint to the last time it was seen stored
-        self._to_remove: set[str] = set()
+        self._last_stored_ms: dict[str, float] = (
+            {}
+        )  # fingerprint to the last time it was seen stored
+        self._pending_removals: set[str] = set()
 
     def load(self) -> None:
         """Apply the stored records, and release the contents whose object was removed.
@@ -71,42 +73,42 @@
             if record is not None:
                 listed.add(record.fingerprint)
                 self._quarantine.take(record)
-                self._stored_ms[record.fingerprint] = self._clock.now_ms()
-        oldest_ms = self._clock.now_ms() - STALE_MS
-        for fingerprint, stored_ms in list(self._stored_ms.items()):
+                self._last_stored_ms[record.fingerprint] = self._clock.now_ms()
+        oldest_ms = self._clock.now_ms() - MAX_LIST_LAG_MS
+        for fingerprint, stored_ms in list(self._last_stored_ms.items()):
             if fingerprint not in listed and stored_ms < oldest_ms:
-                del self._stored_ms[fingerprint]
+                del self._last_stored_ms[fingerprint]
                 self._quarantine.note_answer(fingerprint)
         self.is_loaded = True
 
-    def note_released(self, fingerprint: str) -> None:
+    def schedule_removal(self, fingerprint: str) -> None:
         """Schedule the removal of a content that this daemon has released."""
-        self._to_remove.add(fingerprint)
+        self._pending_removals.add(fingerprint)
 
-    def drop_released(self, *, is_keeper: bool) -> None:
+    def untrack_released(self, *, acts_for_peers: bool) -> None:
         """Stop tracking stored contents that are no longer quarantined.
 
         Parameters
         ==========
 
-        is_keeper : whether to remove also contents that other daemons released.
+        acts_for_peers : whether to remove also contents that other daemons released.
         """
-        for fingerprint in set(self._stored_ms) - set(self._quarantine.list_held()):
-            del self._stored_ms[fingerprint]
-            if is_keeper:
-                self._to_remove.add(fingerprint)
+        for fingerprint in set(self._last_stored_ms) - set(self._quarantine.list_held()):
+            del self._last_stored_ms[fingerprint]
+            if acts_for_peers:
+                self._pending_removals.add(fingerprint)
 
-    def must_save(self, *, is_keeper: bool) -> bool:
+    def must_save(self, *, acts_for_peers: bool) -> bool:
         """Return whether `save` has any object to write or remove."""
-        return bool(self._to_remove or self._list_unwritten(is_keeper))
+        return bool(self._pending_removals or self._list_unsaved(acts_for_peers))
 
-    def save(self, *, is_keeper: bool) -> None:
+    def save(self, *, acts_for_peers: bool) -> None:
         """Write quarantined contents that are not stored yet, and remove released ones.
 
         Parameters
         ==========
 
-        is_keeper : whether to write also contents that only other daemons saw crash servers; such a
+        acts_for_peers : whether to write also contents that only other daemons saw crash servers; such a
             daemon may have stopped before it wrote them.
 
         Raises
@@ -114,21 +116,21 @@
 
         PlatformError : the object service did not answer.
         """
-        for fingerprint in self._list_unwritten(is_keeper):
+        for fingerprint in self._list_unsaved(acts_for_peers):
             self._create(fingerprint)
-        self._to_remove -= set(self._quarantine.list_held())
-        for fingerprint in sorted(self._to_remove):
+        self._pending_removals -= set(self._quarantine.list_held())
+        for fingerprint in sorted(self._pending_removals):
             self._remove(fingerprint)
 
-    def _list_unwritten(self, is_keeper: bool) -> list[str]:
+    def _list_unsaved(self, acts_for_peers: bool) -> list[str]:
         return [
             fingerprint
             for fingerprint in self._quarantine.list_held()
-            if fingerprint not in self._stored_ms
-            and (is_keeper or self._quarantine.was_seen_here(fingerprint))
+            if fingerprint not in self._last_stored_ms
+            and (acts_for_peers or self._quarantine.was_seen_here(fingerprint))
         ]
 
-    def take_trial(self, fingerprint: str) -> TrialOutcome:
+    def request_trial(self, fingerprint: str) -> TrialOutcome:
         """Request the permission to try a content now; only one daemon gets it at a time.
 
         Raises
@@ -137,20 +139,20 @@
         PlatformError : the object service did not answer.
         """
         found = self._store.read(HELD_KIND, fingerprint)
-        known = self._quarantine.get_record(fingerprint)
+        record = self._quarantine.get_record(fingerprint)
         if found is None:
-            if fingerprint in self._stored_ms:
-                del self._stored_ms[fingerprint]
+            if fingerprint in self._last_stored_ms:
+                del self._last_stored_ms[fingerprint]
                 self._quarantine.note_answer(fingerprint)
                 return TrialOutcome(True, "the content was released by another daemon")
-            return self._write_trial(fingerprint, known.trials + 1, None)
-        self._stored_ms[fingerprint] = self._clock.now_ms()
-        self._quarantine.take(_read_record(found) or known)
+            return self._write_trial(fingerprint, record.trials + 1, None)
+        self._last_stored_ms[fingerprint] = self._clock.now_ms()
+        self._quarantine.take(_read_record(found) or record)
         # The stored record may show a trial by another daemon, and another request of this daemon may
         # have started one during the read.
         if self._quarantine.find_standing(fingerprint).trial_in_ms != 0:
             return TrialOutcome(False, "another trial of the content has started")
-        return self._write_trial(fingerprint, known.trials + 1, found.version)
+        return self._write_trial(fingerprint, record.trials + 1, found.version)
 
     def _write_trial(self, fingerprint: str, trials: int, version: int | None) -> TrialOutcome:
         value = self._build_value(fingerprint, trials)
@@ -160,7 +162,7 @@
             outcome = self._store.update(HELD_KIND, fingerprint, value, version)
         if not isinstance(outcome, Written) and not self._was_written(outcome, fingerprint, value):
             return TrialOutcome(False, "another daemon wrote the trial first")
-        self._stored_ms[fingerprint] = self._clock.now_ms()
+        self._last_stored_ms[fingerprint] = self._clock.now_ms()
         self._quarantine.note_trial(fingerprint, trials)
         return TrialOutcome(True)
 
@@ -176,14 +178,14 @@
         value = self._build_value(fingerprint, trials)
         outcome = self._store.create(HELD_KIND, fingerprint, value)
         if not isinstance(outcome, Unknown):
-            self._stored_ms[fingerprint] = self._clock.now_ms()
+            self._last_stored_ms[fingerprint] = self._clock.now_ms()
 
     def _remove(self, fingerprint: str) -> None:
         found = self._store.read(HELD_KIND, fingerprint)
         if found is not None:
             self._store.delete(HELD_KIND, fingerprint, found.version)
-        self._stored_ms.pop(fingerprint, None)
-        self._to_remove.discard(fingerprint)
+        self._last_stored_ms.pop(fingerprint, None)
+        self._pending_removals.discard(fingerprint)
 
     def _build_value(self, fingerprint: str, trials: int) -> dict[str, Any]:
         record = self._quarantine.get_record(fingerprint)
--- a/hemlockswitch/process/quarantine/server_ends.py
+++ b/hemlockswitch/process/quarantine/server_ends.py
@@ -16,11 +16,11 @@
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.version.backend import BackendServer
 
-MOST_REMEMBERED = 1_024
+MAX_CACHED_CRASHES = 1_024
 """Limit on the cached crashed servers; the cache avoids repeated probes."""
-ASK_AGAIN_MS = 25.0
+SECOND_PROBE_DELAY_MS = 25.0
 """Delay of the second probe after the answer to the first."""
-MOST_ASK_MS = 75.0
+MAX_FIRST_PROBE_MS = 75.0
 """A server that answered the first probe more slowly is not probed again, as the request waits for it."""
 
 
@@ -44,42 +44,42 @@
         self._is_live = is_live
         self._refuses = refuses
         self._clock = clock
-        self._asking: dict[str, AsyncResult] = {}
-        self._ended: dict[str, None] = {}
+        self._pending_probes: dict[str, AsyncResult] = {}
+        self._crashed: dict[str, None] = {}
 
-    def has_ended(self, server: BackendServer) -> bool:
+    def has_crashed(self, server: BackendServer) -> bool:
         """Return whether a server that closed a connection has crashed."""
         if not self._is_live(server):
             return False
-        if server.incarnation in self._ended:
+        if server.incarnation in self._crashed:
             return True
-        asked = self._asking.get(server.incarnation)
-        return asked.get() if asked is not None else self._ask(server)
+        pending = self._pending_probes.get(server.incarnation)
+        return pending.get() if pending is not None else self._probe(server)
 
-    def _ask(self, server: BackendServer) -> bool:
-        asked = self._asking[server.incarnation] = AsyncResult()
-        is_ended = False
+    def _probe(self, server: BackendServer) -> bool:
+        result = self._pending_probes[server.incarnation] = AsyncResult()
+        is_crashed = False
         try:
-            is_ended = self._refuses_twice(server)
+            is_crashed = self._refuses_twice(server)
         finally:
-            del self._asking[server.incarnation]
-            asked.set(is_ended)
-        if is_ended:
-            self._remember(server)
-        return is_ended
+            del self._pending_probes[server.incarnation]
+            result.set(is_crashed)
+        if is_crashed:
+            self._record_crash(server)
+        return is_crashed
 
     def _refuses_twice(self, server: BackendServer) -> bool:
         """Return whether a server refuses the first or the second probe."""
-        began_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         if self._refuses(server):
             return True
-        if self._clock.now_ms() - began_ms > MOST_ASK_MS:
+        if self._clock.now_ms() - started_ms > MAX_FIRST_PROBE_MS:
             return False
-        self._clock.sleep_ms(ASK_AGAIN_MS)
+        self._clock.sleep_ms(SECOND_PROBE_DELAY_MS)
         return self._refuses(server)
 
-    def _remember(self, server: BackendServer) -> None:
-        self._ended[server.incarnation] = None
-        if len(self._ended) > MOST_REMEMBERED:
-            del self._ended[next(iter(self._ended))]
+    def _record_crash(self, server: BackendServer) -> None:
+        self._crashed[server.incarnation] = None
+        if len(self._crashed) > MAX_CACHED_CRASHES:
+            del self._crashed[next(iter(self._crashed))]
         log_event(Event.BACKEND_ENDED, server=server.incarnation, zone=server.zone)
--- a/hemlockswitch/process/quarantine/suspect_news.py
+++ b/hemlockswitch/process/quarantine/suspect_news.py
@@ -42,7 +42,7 @@
         self._quarantine = quarantine
         self._is_isolated = is_isolated
         self._clock = clock
-        board.add_listener(SUSPECT_PREFIX, self._learn)
+        board.add_listener(SUSPECT_PREFIX, self._apply_item)
 
     def note_change(self) -> None:
         """Publish changed records, and withdraw expired ones."""
@@ -56,8 +56,8 @@
 
     def _publish(self, key: str, fields: SuspectFields | None) -> None:
         """Publish an item with a version above all earlier ones of its key, even if the clock was set back."""
-        known = self._board.find(key)
-        version = max(self._clock.wall_ms(), known.version + 1 if known is not None else 0)
+        current = self._board.find(key)
+        version = max(self._clock.wall_ms(), current.version + 1 if current is not None else 0)
         self._board.learn(NewsItem(key, version, fields, tombstone=fields is None))
 
     def repair(self) -> None:
@@ -71,7 +71,7 @@
         """Return whether this daemon receives messages from no peer."""
         return self._is_isolated()
 
-    def _learn(self, item: NewsItem) -> None:
+    def _apply_item(self, item: NewsItem) -> None:
         if item.tombstone or item.key.endswith(f"/{self._name}"):
             return
         try:
--- a/tests/crash_gateways.py
+++ b/tests/crash_gateways.py
@@ -12,7 +12,7 @@
 from hemlockswitch.request.quarantine import Quarantine
 from tests.memory_store import MemoryStore
 
-SETTLED_MS = 5_000.0
+PROPAGATION_MS = 5_000.0
 """Time connected after which a gateway must have received the crash counts."""
 MESH_GATEWAYS = 20
 REPORT_MS = 600.0
@@ -86,13 +86,13 @@
         self.name = f"g{number}"
         self.zone = number % world.setting.zones
         self.is_cut = False
-        self.troubled_ms = float("-inf")
+        self.last_disturbed_ms = float("-inf")
         self.start()
 
     def start(self):
         """Start with an empty state."""
         clock = self.world.clock
-        self.troubled_ms = clock.now_ms()
+        self.last_disturbed_ms = clock.now_ms()
         self.quarantine = Quarantine(clock)
         self.reports = {}
         held = HeldRequests(
@@ -101,7 +101,7 @@
         self.exchange = SuspectExchange(self, self, self.quarantine, clock)
         self.guard = Guard(
             self.quarantine,
-            SimpleNamespace(has_ended=lambda server: True),
+            SimpleNamespace(has_crashed=lambda server: True),
             held,
             self.exchange,
             lambda: self.name == "g0",
@@ -145,4 +145,6 @@
 
     def is_in_touch(self):
         """Whether the gateway has been undisturbed long enough to have received the crash counts."""
-        return self.world.clock.now_ms() - self.troubled_ms > SETTLED_MS and not self.is_cut
+        return (
+            self.world.clock.now_ms() - self.last_disturbed_ms > PROPAGATION_MS and not self.is_cut
+        )
--- a/tests/crash_replay.py
+++ b/tests/crash_replay.py
@@ -20,20 +20,20 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import RequestError
 from hemlockswitch.process.gateway.watch_guard import StoreView
-from hemlockswitch.process.quarantine.guard import LOOK_MS
+from hemlockswitch.process.quarantine.guard import QUARANTINE_POLL_INTERVAL_MS
 from hemlockswitch.request.clearance import Clearance
 from hemlockswitch.request.quarantine import MOST_ENDS
-from tests.crash_gateways import REPORT_MS, SETTLED_MS, Gateway, Server, Setting, Store
+from tests.crash_gateways import PROPAGATION_MS, REPORT_MS, Gateway, Server, Setting, Store
 
 DEADLY = "deadly"
 POPULAR = "popular"
-MOST_RETRIES = 3
-"""Limit on sends of a deadly content later than `SETTLED_MS` after its third crash."""
+MAX_RETRIES = 3
+"""Limit on sends of a deadly content later than `PROPAGATION_MS` after its third crash."""
 LENGTH_MS = 90_000.0
 QUIET_MS = 30_000.0
 """Time after the last arrival of a deadly content within which every harmless one must be served."""
-BACK_MS = 3_000.0
-MOST_SENDS = 2
+RESTART_DELAY_MS = 3_000.0
+MAX_SENDS = 2
 
 
 class Replay:
@@ -57,7 +57,7 @@
         self._numbers = itertools.count()
         self._attempts = itertools.count()
         self._loss = self.draws.uniform(0, 0.3) if setting.has_faults else 0.0
-        self._most_delay_ms = self.draws.choice([5, 50, 500]) if setting.has_faults else 5
+        self._max_delay_ms = self.draws.choice([5, 50, 500]) if setting.has_faults else 5
 
     # Events
 
@@ -72,7 +72,7 @@
         self._arrive_again("harmless", self.setting.harmless_per_s, LENGTH_MS + QUIET_MS)
         self._arrive_again(POPULAR, self.setting.popular_per_s, LENGTH_MS + QUIET_MS)
         for gateway in self.gateways:
-            self.at(self.draws.uniform(0, LOOK_MS), self._look, gateway)
+            self.at(self.draws.uniform(0, QUARANTINE_POLL_INTERVAL_MS), self._synchronize, gateway)
             self.at(self.draws.uniform(0, REPORT_MS), self._report, gateway)
         if self.setting.has_faults:
             self._plan_faults()
@@ -88,7 +88,9 @@
         for _ in range(self.draws.randrange(4, 12)):
             at_ms = self.draws.uniform(1_000, LENGTH_MS)
             gateway = self.draws.choice(self.gateways)
-            action = self.draws.choice([self._restart, self._cut, self._cut_store, self._end_any])
+            action = self.draws.choice(
+                [self._restart, self._disconnect, self._stop_store, self._end_any]
+            )
             self.at(at_ms, action, gateway)
         if self.draws.random() < 0.5:
             at_ms = self.draws.uniform(1_000, LENGTH_MS)
@@ -98,22 +100,22 @@
     def _restart(self, gateway):
         gateway.start()
 
-    def _cut(self, gateway):
+    def _disconnect(self, gateway):
         gateway.is_cut = True
-        self.at(self.draws.uniform(500, 8_000), self._heal, gateway)
+        self.at(self.draws.uniform(500, 8_000), self._reconnect, gateway)
 
-    def _heal(self, gateway):
+    def _reconnect(self, gateway):
         gateway.is_cut = False
-        gateway.troubled_ms = self.clock.now_ms()
+        gateway.last_disturbed_ms = self.clock.now_ms()
 
-    def _cut_store(self, _gateway):
+    def _stop_store(self, _gateway):
         self.store.is_away = True
-        self.at(self.draws.uniform(500, 6_000), self._heal_store)
+        self.at(self.draws.uniform(500, 6_000), self._restore_store)
 
-    def _heal_store(self):
+    def _restore_store(self):
         self.store.is_away = False
         for gateway in self.gateways:
-            gateway.troubled_ms = self.clock.now_ms()
+            gateway.last_disturbed_ms = self.clock.now_ms()
 
     def _end_any(self, _gateway):
         self._end_server(self.draws.choice(self.servers))
@@ -126,13 +128,13 @@
         if sender.is_cut or receiver.is_cut or self.draws.random() < self._loss:
             return
         for _ in range(1 + (self.draws.random() < self._loss)):
-            delay_ms = self.draws.uniform(1, self._most_delay_ms)
-            self.at(delay_ms, self._bring, receiver, message)
+            delay_ms = self.draws.uniform(1, self._max_delay_ms)
+            self.at(delay_ms, self._receive, receiver, message)
 
-    def _bring(self, receiver, message):
+    def _receive(self, receiver, message):
         if not receiver.is_cut:
             receiver.take("", message)
-            self._tell_if_changed(receiver)
+            self._publish_changes(receiver)
 
     def _report(self, gateway):
         view = StoreView(held_digest=gateway.quarantine.hash_held())
@@ -142,15 +144,15 @@
                 other.reports[gateway.name] = (peer, self.clock.now_ms())
         self.at(REPORT_MS, self._report, gateway)
 
-    def _look(self, gateway):
+    def _synchronize(self, gateway):
         self.caller = gateway
         if self.setting.has_memory:
-            gateway.guard.look()
-            self._tell_if_changed(gateway)
-        self.at(LOOK_MS, self._look, gateway)
+            gateway.guard.synchronize()
+            self._publish_changes(gateway)
+        self.at(QUARANTINE_POLL_INTERVAL_MS, self._synchronize, gateway)
 
     @staticmethod
-    def _tell_if_changed(gateway):
+    def _publish_changes(gateway):
         if gateway.quarantine.has_untold:
             gateway.exchange.tell()
 
@@ -187,7 +189,7 @@
         try:
             if self.setting.has_memory:
                 clearance = gateway.guard.clear(admitted, may_try=request.sends == 0)
-                self._tell_if_changed(gateway)
+                self._publish_changes(gateway)
         except RequestError as error:
             self._end_request(request, "held" if request.sends == 0 else "failed", error)
             return
@@ -219,7 +221,7 @@
         ends = self.deadly_ends_ms[request.content]
         if request.kind != DEADLY or len(ends) < MOST_ENDS:
             return
-        is_settled = self.clock.now_ms() > ends[MOST_ENDS - 1] + SETTLED_MS
+        is_settled = self.clock.now_ms() > ends[MOST_ENDS - 1] + PROPAGATION_MS
         if is_settled and request.gateway.is_in_touch():
             self.late[request.content] += 1
 
@@ -235,7 +237,7 @@
         server.is_running = False
         ended, server.running = server.running, {}
         gone = SimpleNamespace(incarnation=server.incarnation)
-        self.at(BACK_MS, self._start_server, server)
+        self.at(RESTART_DELAY_MS, self._start_server, server)
         for request in ended.values():
             self.at(self.draws.uniform(0, 10), self._note_broken, request, gone)
 
@@ -250,8 +252,8 @@
         if self.setting.has_memory:
             admitted = SimpleNamespace(fingerprint=request.content)
             gateway.guard.note_broken(admitted, gone)
-            self._tell_if_changed(gateway)
-        if request.sends < MOST_SENDS:
+            self._publish_changes(gateway)
+        if request.sends < MAX_SENDS:
             self._send(request)
         else:
             self._end_request(request, "failed")
@@ -264,7 +266,7 @@
         if self.setting.has_memory:
             admitted = SimpleNamespace(fingerprint=request.content)
             request.gateway.guard.note_answered(admitted, server, sent_ms)
-            self._tell_if_changed(request.gateway)
+            self._publish_changes(request.gateway)
         self._end_request(request, "answered")
 
     def _end_request(self, request, outcome, error=None):
@@ -315,7 +317,7 @@
     broken = 0
     for seed in range(options.first, options.first + options.seeds):
         one = play(seed, gateways=options.gateways, has_memory=not options.without_memory)
-        is_broken = one.late_sends > MOST_RETRIES or bool(one.left_out)
+        is_broken = one.late_sends > MAX_RETRIES or bool(one.left_out)
         broken += is_broken
         print(
             f"seed {seed}: {one.ends} ends, {one.late_sends} late sends, "
--- a/tests/crashing_runners.py
+++ b/tests/crashing_runners.py
@@ -11,9 +11,9 @@
 from tests.gateway_site import Site, make_entry, tokens
 
 DEADLY = "this content ends its server"
-BACK_S = 0.4
+RESTART_DELAY_S = 0.4
 """Time between the crash of a server and its restart."""
-MOST_CONNECTIONS = 1_000
+MAX_CONNECTIONS = 1_000
 STREAM_PATHS = ("/reply/x", "/draft/x")
 
 
@@ -50,7 +50,7 @@
         settings = RunnerSettings(name=self.name, work_ms=self.work_ms, ends_on=DEADLY)
         self.state = RunnerState(settings, end=lambda: self.end(is_crash=True))
         application = build_runner(self.state)
-        self.server, self.address = listen(application, self.address, MOST_CONNECTIONS)
+        self.server, self.address = listen(application, self.address, MAX_CONNECTIONS)
         self.is_running = True
         self.register("ready")
 
@@ -60,18 +60,20 @@
         self.site.store.put("servers", self.name, entry)
 
     def end(self, is_crash=False):
-        """Close all connections, and restart after `BACK_S`."""
+        """Close all connections, and restart after `RESTART_DELAY_S`."""
         if not self.is_running:
             return
         self.is_running = False
         self.site.ends.append(End(time.monotonic(), self.name, is_crash))
-        gevent.spawn(self._stop_and_come_back)
+        gevent.spawn(self._stop_and_restart)
         if is_crash:
-            gevent.sleep(BACK_S)  # The task of the deadly request is killed with the server.
+            gevent.sleep(
+                RESTART_DELAY_S
+            )  # The task of the deadly request is killed with the server.
 
-    def _stop_and_come_back(self):
+    def _stop_and_restart(self):
         self.server.stop(timeout=0)
-        gevent.sleep(BACK_S)
+        gevent.sleep(RESTART_DELAY_S)
         if not self.site.is_closed:
             self.site.store.remove("servers", self.name)
             self.start()
@@ -116,13 +118,13 @@
             self.add_gateway(f"gateway-{number + 1}")
         self.wait_until_served()
 
-    def count_late_retries(self, most_ends, settled_s):
-        """Return the number of crashes later than `settled_s` after crash number `most_ends`."""
+    def count_late_retries(self, crash_limit, propagation_s):
+        """Return the number of crashes later than `propagation_s` after crash number `crash_limit`."""
         crashes = [one.at_s for one in self.ends if one.is_crash]
-        if len(crashes) < most_ends:
+        if len(crashes) < crash_limit:
             return 0
-        settled_at_s = crashes[most_ends - 1] + settled_s
-        return sum(at_s > settled_at_s for at_s in crashes)
+        propagated_at_s = crashes[crash_limit - 1] + propagation_s
+        return sum(at_s > propagated_at_s for at_s in crashes)
 
     def close(self):
         """Stop all servers and gateways."""
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -19,5 +19,5 @@
     """Return the guard of a single daemon; `ended` has the names of the crashed servers."""
     quarantine = Quarantine(clock)
     held = HeldRequests("daemon/1", quarantine, MemoryStore(), clock)
-    ends = SimpleNamespace(has_ended=lambda server: server.name in ended)
+    ends = SimpleNamespace(has_crashed=lambda server: server.name in ended)
     return Guard(quarantine, ends, held, ALONE, lambda: True, clock)
--- a/tests/test_crash_replay.py
+++ b/tests/test_crash_replay.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.crash_replay import MOST_RETRIES, play
+from tests.crash_replay import MAX_RETRIES, play
 
 SERVED = 0.85
 """Minimum share of the harmless requests served while deadly ones arrive. In the worst case all eight servers
@@ -17,14 +17,14 @@
 @pytest.mark.parametrize("seed", range(1, 11))
 def test_deadly_content_crashes_few_servers_and_harmless_ones_are_served(seed, gateways):
     one = play(seed, gateways=gateways)
-    assert one.late_sends <= MOST_RETRIES
+    assert one.late_sends <= MAX_RETRIES
     assert one.served_share >= SERVED
     assert not one.left_out
 
 
 def test_deadly_content_crashes_few_servers_with_sixty_gateways():
     one = play(3, gateways=60)
-    assert one.late_sends <= MOST_RETRIES
+    assert one.late_sends <= MAX_RETRIES
     assert not one.left_out
 
 
@@ -33,13 +33,13 @@
     seed,
 ):
     one = play(seed, gateways=8, servers=20, contents=10)
-    assert one.late_sends <= MOST_RETRIES
+    assert one.late_sends <= MAX_RETRIES
     assert not one.left_out
 
 
 def test_without_quarantine_servers_keep_crashing():
     one = play(1, gateways=8, has_memory=False)
-    assert one.late_sends > 10 * MOST_RETRIES
+    assert one.late_sends > 10 * MAX_RETRIES
     assert one.served_share < 0.5
 
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -22,11 +22,11 @@
 from tests.gateway_site import make_entry, make_manifest, tokens
 
 MOST_ENDS = 3
-MOST_RETRIES = 3
+MAX_RETRIES = 3
 """Limit on sends of a request after all gateways have received that it crashed three servers."""
-SETTLED_S = 1.0
+PROPAGATION_S = 1.0
 """Time within which every connected gateway receives the crash counts."""
-COMES_AGAIN_S = 0.15
+RESEND_INTERVAL_S = 0.15
 
 
 @pytest.fixture
@@ -36,27 +36,27 @@
     one.close()
 
 
-def come_again(site, path, content, for_s):
+def send_repeatedly(site, path, content, for_s):
     """Send a content repeatedly, to the gateways in turn, with a new request identifier each time."""
     replies = []
-    for turn in range(int(for_s / COMES_AGAIN_S)):
+    for turn in range(int(for_s / RESEND_INTERVAL_S)):
         asked = gevent.spawn(site.ask_for, path, content, turn)
         replies.append(asked)
-        gevent.sleep(COMES_AGAIN_S)
+        gevent.sleep(RESEND_INTERVAL_S)
     gevent.joinall(replies, timeout=10)
     return [one.value for one in replies]
 
 
 @pytest.mark.parametrize("path", ["/check/x", "/hold/x", "/reply/x", "/draft/x"])
 def test_crashing_request_is_sent_a_few_times_only(site, path):
-    come_again(site, path, DEADLY, for_s=5)
+    send_repeatedly(site, path, DEADLY, for_s=5)
     assert len(site.ends) >= MOST_ENDS, "the content must crash servers"
-    assert site.count_late_retries(MOST_ENDS, SETTLED_S) <= MOST_RETRIES
+    assert site.count_late_retries(MOST_ENDS, PROPAGATION_S) <= MAX_RETRIES
 
 
-def hold_back(site, path="/check/x"):
+def quarantine_content(site, path="/check/x"):
     """Let a content crash servers until every gateway quarantines it and its first trial has ended."""
-    come_again(site, path, DEADLY, for_s=0.6)
+    send_repeatedly(site, path, DEADLY, for_s=0.6)
     site.wait(lambda: all(one.quarantine.list_held() for one in site.gateways))
     site.wait(lambda: site.store.list_kind(HELD_KIND))
     site.wait_until_served()
@@ -66,7 +66,7 @@
 
 
 def test_quarantined_request_is_refused_at_once_with_retry_after(site):
-    hold_back(site)
+    quarantine_content(site)
     ends = len(site.ends)
     began_s = time.monotonic()
     replies = [site.ask_for("/check/x", DEADLY, gateway) for gateway in (0, 1)]
@@ -78,13 +78,13 @@
 
 
 def test_other_contents_and_paths_are_not_quarantined(site):
-    hold_back(site)
+    quarantine_content(site)
     assert site.ask_for("/check/x", "harmless", 0).status == 200
     assert site.ask_for("/check/other", "also harmless", 1).status == 200
 
 
 def test_started_gateway_refuses_quarantined_content(site):
-    hold_back(site)
+    quarantine_content(site)
     ends = len(site.ends)
     site.add_gateway("gateway-3")
     site.wait_until_served()
@@ -93,14 +93,14 @@
 
 
 def test_restart_of_all_gateways_does_not_reset_crash_counts(site):
-    hold_back(site)
+    quarantine_content(site)
     site.restart_gateways()
-    come_again(site, "/check/x", DEADLY, for_s=4)
-    assert site.count_late_retries(MOST_ENDS, SETTLED_S) <= MOST_RETRIES
+    send_repeatedly(site, "/check/x", DEADLY, for_s=4)
+    assert site.count_late_retries(MOST_ENDS, PROPAGATION_S) <= MAX_RETRIES
 
 
 def test_harmless_requests_are_served_during_crashing_ones(site):
-    deadly = gevent.spawn(come_again, site, "/check/x", DEADLY, for_s=4)
+    deadly = gevent.spawn(send_repeatedly, site, "/check/x", DEADLY, for_s=4)
     gevent.sleep(1)
     harmless = [site.ask_for("/check/x", f"harmless {turn}", turn).status for turn in range(100)]
     deadly.join()
@@ -209,7 +209,7 @@
     """
     gateway = site.gateways[0]
     monkeypatch.setattr(gateway.prober, "refuses", lambda server: gevent.sleep(1) or False)
-    gateway.guard._ends._refuses = gateway.prober.refuses
+    gateway.guard._crash_detector._refuses = gateway.prober.refuses
     for runner in site.crashing:
         runner.state.faults = RunnerFaults(lose_answer=True)
     headers = {"Hemlockswitch_Deadline_Ms": "400", **(tokens(3) if path == "/draft/x" else {})}
--- a/tests/test_held_requests.py
+++ b/tests/test_held_requests.py
@@ -10,12 +10,12 @@
 )
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import PlatformError
-from hemlockswitch.process.quarantine.held_requests import HELD_KIND, STALE_MS, HeldRequests
+from hemlockswitch.process.quarantine.held_requests import HELD_KIND, MAX_LIST_LAG_MS, HeldRequests
 from hemlockswitch.request.quarantine import LIFE_MS, TRIAL_PAUSES_MS, Quarantine, SuspectRecord
 from tests.memory_store import MemoryStore
 
 CONTENT = "content"
-MOST_TRIALS = len(TRIAL_PAUSES_MS)
+MAX_TRIALS = len(TRIAL_PAUSES_MS)
 
 
 class Gateway:
@@ -33,7 +33,7 @@
         if not standing.is_held or standing.trial_in_ms != 0:
             return False
         try:
-            return self.held.take_trial(CONTENT).is_granted
+            return self.held.request_trial(CONTENT).is_granted
         except PlatformError:
             return False
 
@@ -58,7 +58,7 @@
 
 def test_started_gateway_loads_stored_quarantine(gateways, store, clock):
     gateways[0].end_servers()
-    gateways[0].held.save(is_keeper=False)
+    gateways[0].held.save(acts_for_peers=False)
     started = Gateway("g0", store, clock)
     assert not started.held.is_loaded
     started.held.load()
@@ -70,23 +70,23 @@
     gateways[0].end_servers()
     for record in gateways[0].quarantine.pop_untold():
         gateways[1].quarantine.take(record)
-    gateways[1].held.save(is_keeper=False)
+    gateways[1].held.save(acts_for_peers=False)
     assert store.objects == {}, "only the gateway that saw the crashes writes"
-    gateways[1].held.save(is_keeper=True)
+    gateways[1].held.save(acts_for_peers=True)
     assert list(store.objects) == [CONTENT]
 
 
 def test_only_one_of_several_gateways_gets_the_trial(gateways, clock):
     for gateway in gateways:
         gateway.end_servers()
-        gateway.held.save(is_keeper=False)
+        gateway.held.save(acts_for_peers=False)
     clock.advance(TRIAL_PAUSES_MS[0])
     assert [gateway.may_try() for gateway in gateways] == [True, False, False]
 
 
 def test_trial_write_with_lost_answer_is_granted_to_its_writer(gateways, store, clock):
     gateways[0].end_servers()
-    gateways[0].held.save(is_keeper=False)
+    gateways[0].held.save(acts_for_peers=False)
     clock.advance(TRIAL_PAUSES_MS[0])
     store.loses = 1
     assert gateways[0].may_try()
@@ -106,12 +106,12 @@
 ):
     for gateway in gateways:
         gateway.end_servers()
-        gateway.held.save(is_keeper=False)
+        gateway.held.save(acts_for_peers=False)
     gateways[0].quarantine.note_answer(CONTENT)
-    gateways[0].held.note_released(CONTENT)
-    gateways[0].held.save(is_keeper=False)
+    gateways[0].held.schedule_removal(CONTENT)
+    gateways[0].held.save(acts_for_peers=False)
     assert store.objects == {}
-    clock.advance(STALE_MS + 1)
+    clock.advance(MAX_LIST_LAG_MS + 1)
     gateways[1].held.load()
     assert not gateways[1].is_held()
     assert gateways[2].may_try(), "its object was removed"
@@ -120,14 +120,14 @@
 
 def test_content_quarantined_again_is_stored_and_tried_again(gateways, store, clock):
     gateways[0].end_servers()
-    gateways[0].held.save(is_keeper=False)
+    gateways[0].held.save(acts_for_peers=False)
     gateways[0].quarantine.note_answer(CONTENT)
-    gateways[0].held.drop_released(is_keeper=False)
+    gateways[0].held.untrack_released(acts_for_peers=False)
     del store.objects[CONTENT]
     for number in range(3):
         gateways[0].quarantine.note_end(CONTENT, f"later-{number}")
-    assert gateways[0].held.must_save(is_keeper=False)
-    gateways[0].held.save(is_keeper=False)
+    assert gateways[0].held.must_save(acts_for_peers=False)
+    gateways[0].held.save(acts_for_peers=False)
     assert list(store.objects) == [CONTENT]
     clock.advance(TRIAL_PAUSES_MS[0])
     assert gateways[0].may_try()
@@ -137,10 +137,10 @@
 def test_keeper_removes_content_released_by_a_stopped_gateway(gateways, store):
     for gateway in gateways:
         gateway.end_servers()
-        gateway.held.save(is_keeper=False)
+        gateway.held.save(acts_for_peers=False)
     gateways[1].quarantine.note_answer(CONTENT)
-    gateways[1].held.drop_released(is_keeper=True)
-    gateways[1].held.save(is_keeper=True)
+    gateways[1].held.untrack_released(acts_for_peers=True)
+    gateways[1].held.save(acts_for_peers=True)
     assert store.objects == {}
 
 
@@ -166,7 +166,7 @@
         self.granted = 0
         self.ends = 0
         self.gateways[0].end_servers()
-        self.gateways[0].held.save(is_keeper=False)
+        self.gateways[0].held.save(acts_for_peers=False)
         self._gather(self.gateways[0])
         for record in self.messages:
             for gateway in self.gateways:
@@ -207,18 +207,18 @@
         self.store.is_away = is_away
         self.store.loses = loses
 
-    @rule(number=st.integers(0, 2), is_keeper=st.booleans())
-    def look(self, number, is_keeper):
+    @rule(number=st.integers(0, 2), acts_for_peers=st.booleans())
+    def look(self, number, acts_for_peers):
         gateway = self.gateways[number]
         gateway.quarantine.forget_old()
         if not self.store.is_away:
             gateway.held.load()
-            gateway.held.drop_released(is_keeper=is_keeper)
-            gateway.held.save(is_keeper=is_keeper)
+            gateway.held.untrack_released(acts_for_peers=acts_for_peers)
+            gateway.held.save(acts_for_peers=acts_for_peers)
 
     @invariant()
     def few_trials(self):
-        assert self.granted <= MOST_TRIALS
+        assert self.granted <= MAX_TRIALS
 
 
 TestDeadlyContent = DeadlyContent.TestCase
--- a/tests/test_quarantine_at_entry.py
+++ b/tests/test_quarantine_at_entry.py
@@ -15,7 +15,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.process.news.board import NewsBoard, NewsItem
 from hemlockswitch.process.quarantine import guard as guard_module
-from hemlockswitch.process.quarantine.guard import HOLDING_PAUSE_MS, Guard
+from hemlockswitch.process.quarantine.guard import QUARANTINED_LOAD_INTERVAL_MS, Guard
 from hemlockswitch.process.quarantine.held_requests import HeldRequests
 from hemlockswitch.process.quarantine.suspect_news import SUSPECT_PREFIX, SuspectNews
 from hemlockswitch.request.quarantine import LIFE_MS, MOST_ENDS, TRIAL_PAUSES_MS, Quarantine
@@ -168,11 +168,11 @@
     held = HeldRequests("daemon/1", quarantine, store, clock)
     guard = Guard(quarantine, None, held, ALONE, lambda: True, clock)
     for _ in range(5):
-        guard.look()
+        guard.synchronize()
     assert not guard.is_ready
     store.is_away = False
     for _ in range(5):
-        guard.look()
+        guard.synchronize()
     assert guard.is_ready
     assert lines == [Event.WATCH_FAILED, Event.WATCH_RECOVERED]
 
@@ -182,16 +182,16 @@
     quarantine = Quarantine(clock)
     held = HeldRequests("daemon/1", quarantine, store, clock)
     guard = Guard(quarantine, None, held, ALONE, lambda: True, clock)
-    guard.look()
+    guard.synchronize()
     for server in ("s1", "s2", "s3"):
         quarantine.note_end(CONTENT, server)
-    guard.look()
+    guard.synchronize()
     assert list(store.objects) == [CONTENT]
-    clock.advance(HOLDING_PAUSE_MS)
-    guard.look()
+    clock.advance(QUARANTINED_LOAD_INTERVAL_MS)
+    guard.synchronize()
     assert quarantine.list_held() == [CONTENT]
     store.objects.clear()
-    clock.advance(HOLDING_PAUSE_MS)
-    guard.look()
+    clock.advance(QUARANTINED_LOAD_INTERVAL_MS)
+    guard.synchronize()
     assert quarantine.list_held() == []
     assert store.objects == {}
