--- a/hemlockswitch/process/servers/__init__.py
+++ b/hemlockswitch/process/servers/__init__.py
@@ -1,4 +1,4 @@
-"""Backend servers: which there are, how loaded they are, and which a daemon uses.
+"""Backend servers: their discovery, their load, and the subset that a daemon uses.
 
-`BackendDirectory` answers for all of it; `watchers` and `vm_feed` bring the facts.
+`BackendDirectory` is the interface to the state; `watchers` and `vm_feed` supply it from the platform.
 """
--- a/hemlockswitch/process/servers/backends.py
+++ b/hemlockswitch/process/servers/backends.py
@@ -1,4 +1,4 @@
-"""The directory of backend servers: who may get new work, and how loaded each one is."""
+"""The directory of backend servers: which ones accept new work, and the load of each."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class _ZoneOffer:
-    """The servers that another zone offered, and when this daemon asked for them."""
+    """The servers that another zone offered, and when this daemon sent the query."""
 
     servers: dict[str, BackendServer]
     asked_ms: float
@@ -37,21 +37,21 @@
     Explanation
     ===========
 
-    Servers of the own zone come from the news board (`vm/<name>` and `notice/<name>`). Servers
-    of another zone come from the answers of that zone's daemons, and count only for
-    `ZONE_SILENCE_MS` after the question was asked: a zone that is cut off gets no new work.
+    Servers of the local zone come from gossip (`vm/<name>` and `notice/<name>`). Servers of another
+    zone come from the answers of that zone's daemons, and expire `ZONE_SILENCE_MS` after the query was
+    sent, so that an unreachable zone gets no new work.
 
-    A server that is once learned to be leaving stays leaving, whatever arrives later.
+    A server that was reported as leaving stays leaving, even if a later record says otherwise.
 
     Parameters
     ==========
 
-    board : where facts of VMs and reclaim notices arrive.
+    board : the gossip state, which receives VM records and reclaim notices.
     clock : the process's clock.
-    zone : the daemon's own availability zone.
-    own_name : the daemon's name, for its stable subset.
-    members : gives the names of the zone's live daemons.
-    subset_size : servers of one target that a daemon uses on average.
+    zone : the daemon's availability zone.
+    own_name : the daemon's name, which selects its stable subset.
+    members : returns the names of the zone's live daemons.
+    subset_size : average number of servers of one target that a daemon uses.
     """
 
     def __init__(
@@ -85,51 +85,51 @@
                 learn(item)
 
     def add_leaving_listener(self, listener: LeavingListener) -> None:
-        """Call ``listener(name, deadline_wall_ms)`` once for each server learned to be leaving.
+        """Call ``listener(name, deadline_wall_ms)`` once for each server when it is reported as leaving.
 
-        The deadline is 0 when nobody said one. The listener must return at once.
+        The deadline is 0 if none was given. The listener must not block.
         """
         self._listeners.append(listener)
 
     def set_draining(self, names: Iterable[str]) -> None:
-        """Give no new work to `names`, the planned stops of the configuration in force."""
+        """Send no new work to `names`, the planned stops of the current configuration."""
         self._draining = frozenset(names)
         self._servers_changed = True
 
     def is_leaving(self, name: str) -> bool:
-        """Return whether the server was ever learned to be leaving."""
+        """Return whether the server was ever reported as leaving."""
         return name in self._leaving
 
     def list_leaving(self) -> dict[str, int]:
-        """Return the servers that are leaving, with the deadline of each (0: not known)."""
+        """Return the leaving servers with their deadlines (0: none given)."""
         return dict(self._leaving)
 
     def close(self, name: str) -> None:
-        """Give the server no new work ever again, and let what runs there end."""
+        """Permanently send no new work to the server; its requests in progress continue."""
         self._closed.add(name)
         self._servers_changed = True
 
     def is_closed(self, name: str) -> bool:
-        """Return whether the server gets no new work from this daemon ever again."""
+        """Return whether this daemon has permanently stopped sending new work to the server."""
         return name in self._closed or name in self._leaving
 
     def get_service_ms(self) -> dict[str, float]:
-        """Return the mean time of a request in its slot, by model or service."""
+        """Return the mean time for which a request occupies its slot, by model or service."""
         return dict(self._dispatches.service_ms)
 
     def list_draining(self) -> frozenset[str]:
-        """Return the names that the configuration in force stops as planned."""
+        """Return the servers whose stop is planned in the current configuration."""
         return self._draining
 
     def find_server(self, name: str) -> BackendServer | None:
-        """Return the server called `name`, in whatever state, or None."""
+        """Return the server called `name` in any state, or None."""
         if name in self._servers:
             return self._servers[name]
         offers = (offer.servers.get(name) for offer in self._offers.values())
         return next((server for server in offers if server is not None), None)
 
     def list_own_servers(self, target: str = "") -> list[BackendServer]:
-        """Return the own zone's servers of `target` (of all without one) that may get work."""
+        """Return the local zone's usable servers of `target`, or of all targets if it is empty."""
         return [
             server
             for server in self._servers.values()
@@ -137,18 +137,18 @@
         ]
 
     def list_targets(self) -> set[str]:
-        """Return the models and services for which any server is known."""
+        """Return the models and services that have a server."""
         offered = (server for offer in self._offers.values() for server in offer.servers.values())
         return {server.serves for server in (*self._servers.values(), *offered)}
 
     def list_servers(self, target: str) -> list[BackendServer]:
-        """Return the servers of `target` that may get new work now, from every zone."""
+        """Return the servers of `target` in all zones that may get new work now."""
         used = [*self._list_subset(target), *self._list_offered(target)]
         usable = [server for server in used if self._is_usable(server)]
         return [one for one in usable if not self._dispatches.is_failing(one.name)] or usable
 
     def list_used(self) -> list[BackendServer]:
-        """Return the servers whose load matters to this daemon, draining ones among them."""
+        """Return the servers whose load this daemon monitors, including draining ones."""
         targets = self.list_targets()
         used = (self._list_subset(target) + self._list_offered(target) for target in targets)
         return [server for servers in used for server in servers if self._is_live(server)]
@@ -159,17 +159,17 @@
         Explanation
         ===========
 
-        Servers that failed lately are left out, unless nothing else is left: a failure may have
-        been the request's, and refusing everything would be worse.
+        Servers that failed recently are excluded, unless no other server remains: the request may have
+        caused the failure, and refusing all requests would be worse.
         """
         return self._dispatches.estimate(self.list_servers(target))
 
     def note_overflow(self) -> None:
-        """Note that the servers in use are too busy, so that other zones are asked for theirs."""
+        """Record that the servers in use are overloaded, so that other zones are queried for servers."""
         self.overflowed_ms = self._clock.now_ms()
 
     def count_waiting(self) -> int:
-        """Return the number of this daemon's requests without a first token."""
+        """Return the number of this daemon's requests that wait for their first token."""
         return self._dispatches.count_waiting()
 
     def count_in_flight(self, name: str) -> int:
@@ -183,42 +183,42 @@
         ==========
 
         name : the server.
-        prompt_tokens : tokens that it has to compute before the first one.
-        max_tokens : most tokens of the answer.
+        prompt_tokens : prompt tokens that the server has to compute before the first answer token.
+        max_tokens : maximum number of answer tokens.
         """
         server = self.find_server(name)
         serves = server.serves if server else ""
         return self._dispatches.begin(name, serves, prompt_tokens, max_tokens)
 
     def note_first_token(self, ticket: Ticket) -> None:
-        """Note that the request's prompt is computed."""
+        """Record that the request's prompt has been computed."""
         self._dispatches.note_first_token(ticket)
 
     def end(self, ticket: Ticket, failed: bool = False) -> None:
-        """Count the request as over; ending twice is ending once.
+        """Count the request as ended; further calls for the ticket have no effect.
 
         Parameters
         ==========
 
-        ticket : what `begin` returned.
-        failed : the server did not answer as it should; it is left alone for a while.
+        ticket : the ticket that `begin` returned.
+        failed : whether the server failed, which starts a back-off.
         """
         self._dispatches.end(ticket, failed)
         if ticket.server_name in self._leaving:
             self._dispatches.forget(ticket.server_name)
 
     def record_load(self, name: str, report: LoadReport, round_trip_ms: float = 0.0) -> None:
-        """Keep the newest load report of a server."""
+        """Record a load report of a server."""
         self._dispatches.record_load(name, report, round_trip_ms)
 
     def learn_offer(self, zone: str, servers: Iterable[BackendServer], asked_ms: float) -> None:
-        """Keep what a daemon of another zone answered to a question asked at `asked_ms`."""
+        """Record the answer of another zone's daemon to a query sent at `asked_ms`."""
         known = self._offers.get(zone)
         if known is None or asked_ms > known.asked_ms:
             self._offers[zone] = _ZoneOffer({one.name: one for one in servers}, asked_ms)
 
     def learn_leaving(self, name: str, deadline_wall_ms: int = 0) -> None:
-        """Give no new work to `name` ever again."""
+        """Record that the server is leaving: it permanently gets no new work."""
         if name in self._leaving:
             return
         self._leaving[name] = deadline_wall_ms
@@ -228,7 +228,7 @@
             listener(name, deadline_wall_ms)
 
     def refresh_subsets(self) -> None:
-        """Choose the stable subset anew from the zone's live daemons and servers."""
+        """Recompute the stable subset from the zone's live daemons and servers."""
         self._servers_changed = False
         members = self._members()
         by_target: dict[str, set[str]] = {target: set() for target in self._chosen}
--- a/hemlockswitch/process/servers/circuits.py
+++ b/hemlockswitch/process/servers/circuits.py
@@ -1,4 +1,4 @@
-"""Leaving a backend server alone for a while after it failed."""
+"""Circuit breaker for backend servers that fail."""
 
 from dataclasses import dataclass
 
@@ -8,13 +8,13 @@
 
 @dataclass
 class Circuit:
-    """Failures of one backend server in a row, and when it may be tried again.
+    """Consecutive failures of one backend server, and the time of its next trial.
 
     Explanation
     ===========
 
-    After a failure the server gets no work for a back-off that doubles with each further one.
-    Then one request may try it in each back-off, until one succeeds.
+    After a failure the server gets no work for a back-off, which doubles with each further failure.
+    After that, one request per back-off may try the server, until one succeeds.
 
     Examples
     ========
@@ -32,21 +32,21 @@
     open_until_ms: float = 0.0
 
     def is_open(self, now_ms: float) -> bool:
-        """Return whether the server is to be left alone."""
+        """Return whether the server gets no work now."""
         return self.failures > 0 and now_ms < self.open_until_ms
 
     def note_failure(self, now_ms: float) -> None:
-        """Leave the server alone, longer than after the failure before."""
+        """Start a back-off, longer than that of the previous failure."""
         self.failures += 1
         self.open_until_ms = now_ms + self._back_off_ms()
 
     def note_trial(self, now_ms: float) -> None:
-        """Let no second request try a failing server at the same time."""
+        """Restart the back-off of a failing server, so that no second request tries it concurrently."""
         if self.failures > 0:
             self.open_until_ms = now_ms + self._back_off_ms()
 
     def note_success(self) -> None:
-        """Forget the failures."""
+        """Reset the failures."""
         self.failures = 0
 
     def _back_off_ms(self) -> float:
--- a/hemlockswitch/process/servers/dispatches.py
+++ b/hemlockswitch/process/servers/dispatches.py
@@ -1,4 +1,4 @@
-"""This daemon's requests in progress at each backend server, and what it makes of their load."""
+"""Tracks this daemon's requests in progress at each backend server, and estimates the servers' load."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 
 @dataclass
 class _Pace:
-    """Time and number of tokens made after first tokens, the older ones counting less."""
+    """Exponentially weighted time and number of tokens after the first one."""
 
     spent_ms: float = 0.0
     tokens: float = 0.0
@@ -39,7 +39,7 @@
 
 @dataclass
 class _Known:
-    """What this daemon knows of one backend server's work."""
+    """This daemon's state of one backend server."""
 
     load: ServerLoad = field(default_factory=ServerLoad)
     circuit: Circuit = field(default_factory=Circuit)
@@ -64,13 +64,13 @@
         return ticket
 
     def note_first_token(self, ticket: Ticket) -> None:
-        """Note that the request's prompt is computed."""
+        """Record that the request's prompt has been computed."""
         known = self._know(ticket.server_name)
         known.load.note_first_token(ticket, self._clock.now_ms())
         known.circuit.note_success()
 
     def end(self, ticket: Ticket, failed: bool) -> None:
-        """Count the request as over; ending twice is ending once."""
+        """Count the request as ended; further calls for the ticket have no effect."""
         now_ms = self._clock.now_ms()
         known = self._know(ticket.server_name)
         first_token_ms = known.load.first_token_ms.get(ticket.identifier)
@@ -87,11 +87,11 @@
                 pace.add(now_ms - first_token_ms, ticket.max_tokens - 1)
 
     def record_load(self, name: str, report: LoadReport, round_trip_ms: float) -> None:
-        """Keep the newest load report of a server."""
+        """Record a load report of a server."""
         self._know(name).load.record(report, self._clock.now_ms(), round_trip_ms)
 
     def count_waiting(self) -> int:
-        """Return the number of requests without a first token, at all servers."""
+        """Return the number of requests at all servers that wait for their first token."""
         return sum(len(known.load.waiting) for known in self._known.values())
 
     def count_in_flight(self, name: str) -> int:
@@ -100,23 +100,23 @@
         return len(known.load.tickets) if known else 0
 
     def is_draining(self, name: str) -> bool:
-        """Return whether the server last reported that it was ordered to take nothing new."""
+        """Return whether the server's last report says that it accepts no new requests."""
         known = self._known.get(name)
         report = known.load.report if known else None
         return report is not None and report.draining
 
     def is_failing(self, name: str) -> bool:
-        """Return whether the server is to be left alone for now."""
+        """Return whether the server is in a back-off after failures."""
         known = self._known.get(name)
         return known is not None and known.circuit.is_open(self._clock.now_ms())
 
     def forget(self, name: str) -> None:
-        """Give back the memory of a server that left, once nothing runs there."""
+        """Evict the state of a removed server, unless requests are in progress there."""
         if self.count_in_flight(name) == 0:
             self._known.pop(name, None)
 
     def estimate(self, servers: Sequence[BackendServer]) -> list[Candidate]:
-        """Return the servers of one target with the best estimate of their load now."""
+        """Return the servers of one target with their currently estimated load."""
         now_ms = self._clock.now_ms()
         loads = {server.name: self._know(server.name).load for server in servers}
         typical = average_others(loads, now_ms)
@@ -141,7 +141,10 @@
         )
 
     def _estimate_service_ms(self, server: BackendServer, load: ServerLoad) -> float:
-        """Return how long a request holds a slot: by the sizes of those there, where known."""
+        """Return the expected time of a request in its slot, from the maximum sizes of those in progress.
+
+        Where these have none, it is the target's mean time.
+        """
         if load.mean_max_tokens:
             return load.mean_max_tokens * self._paces.get(server.serves, _Pace()).token_ms
         return self.service_ms.get(server.serves, DEFAULT_SERVICE_MS)
@@ -153,7 +156,7 @@
         return known
 
     def _note_service(self, ticket: Ticket, now_ms: float) -> None:
-        """Move the target's mean time in a slot towards this request's."""
+        """Update the target's moving average of the time in a slot."""
         held_ms = now_ms - ticket.begun_ms
         mean_ms = self.service_ms.get(ticket.serves, held_ms)
         self.service_ms[ticket.serves] = mean_ms + SERVICE_WEIGHT * (held_ms - mean_ms)
--- a/hemlockswitch/process/servers/load_polls.py
+++ b/hemlockswitch/process/servers/load_polls.py
@@ -1,4 +1,4 @@
-"""Tasks that read the reported load of the backend servers that this daemon uses."""
+"""Tasks that poll the load of the backend servers that this daemon uses."""
 
 import random
 
@@ -16,12 +16,12 @@
 
 
 class LoadPolls:
-    """Keeps one polling task for each server in use.
+    """Runs one polling task for each server in use.
 
     Parameters
     ==========
 
-    directory : says which servers are in use, and takes the reports.
+    directory : lists the servers in use, and receives the reports.
     clock : the process's clock.
     interval_ms : time between two polls of one server.
     """
@@ -35,14 +35,14 @@
         self._tasks: dict[str, gevent.Greenlet] = {}
 
     def run(self) -> None:
-        """Start and end polling tasks for ever, as servers come and go."""
+        """Start and stop polling tasks as the servers in use change, until killed."""
         while True:
             self._directory.refresh_subsets()
             self.follow()
             self._clock.sleep_ms(CHECK_INTERVAL_MS)
 
     def follow(self) -> None:
-        """Start and end polling tasks once."""
+        """Start and stop polling tasks once."""
         used = {server.name: server for server in self._directory.list_used()}
         for name in set(self._tasks) - set(used):
             self._tasks.pop(name).kill(block=False)
@@ -59,7 +59,7 @@
             client.close()
 
     def _poll_once(self, name: str, client: LoadClient) -> float:
-        """Read one report and return the pause that follows."""
+        """Poll once, and return the time until the next poll."""
         asked_ms = self._clock.now_ms()
         try:
             report = client.read()
--- a/hemlockswitch/process/servers/loads.py
+++ b/hemlockswitch/process/servers/loads.py
@@ -1,4 +1,4 @@
-"""How busy one backend server is: own requests in progress, and an estimate of all others'."""
+"""The load of one backend server: this daemon's requests in progress, and an estimate of its peers'."""
 
 import math
 from collections import deque
@@ -20,9 +20,9 @@
     Parameters
     ==========
 
-    prompt_tokens : tokens that had to be computed when it began.
+    prompt_tokens : prompt tokens that the server had to compute when the request started.
     serves : the model or service.
-    max_tokens : most tokens of its answer; 0 where it has none.
+    max_tokens : maximum number of answer tokens; 0 for a request without tokens.
     """
 
     identifier: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Others:
-    """Estimate of what daemons other than this one have in progress at a server."""
+    """Estimated load of a server by requests of other daemons."""
 
     requests: float = 0.0
     prefill_tokens: float = 0.0
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class _Reading:
-    """A load report, set against this daemon's own count at the time it was measured."""
+    """A load report, and its remainder after subtracting this daemon's requests at the time of measurement."""
 
     report: LoadReport
     measured_ms: float
@@ -52,7 +52,7 @@
 
 @dataclass
 class ServerLoad:
-    """The load of one backend server as this daemon sees it."""
+    """This daemon's view of the load of one backend server."""
 
     tickets: dict[str, Ticket] = field(default_factory=dict)
     waiting: dict[str, Ticket] = field(default_factory=dict)
@@ -70,12 +70,12 @@
 
     @property
     def own_prefill_tokens(self) -> int:
-        """Prompt tokens of own requests that have no first token yet."""
+        """Prompt tokens of this daemon's requests that wait for their first token."""
         return sum(ticket.prompt_tokens for ticket in self.waiting.values())
 
     @property
     def distance_ms(self) -> float:
-        """One way to the server, from the fastest of the last exchanges."""
+        """One-way latency to the server: half of the shortest recent round trip."""
         return min(self._round_trips_ms, default=0.0) / 2
 
     def begin(self, ticket: Ticket) -> None:
@@ -92,12 +92,12 @@
 
     @property
     def mean_max_tokens(self) -> float:
-        """Mean of the most tokens of own requests in progress; 0 without any."""
+        """Mean `max_tokens` of this daemon's requests in progress; 0 without any."""
         sizes = [ticket.max_tokens for ticket in self.tickets.values()]
         return sum(sizes) / len(sizes) if sizes else 0.0
 
     def end(self, ticket: Ticket, now_ms: float) -> bool:
-        """Count a request as over; return False when it was over already."""
+        """Count a request as ended; return False if it had already ended."""
         if self.tickets.pop(ticket.identifier, None) is None:
             return False
         self.waiting.pop(ticket.identifier, None)
@@ -106,7 +106,7 @@
         return True
 
     def record(self, report: LoadReport, now_ms: float, round_trip_ms: float) -> None:
-        """Keep a load report that arrived now."""
+        """Record a load report that has just arrived."""
         self._round_trips_ms.append(round_trip_ms)
         measured_ms = now_ms - report.age_ms - round_trip_ms / 2
         own_requests, own_prefill = self._find_own(measured_ms)
@@ -117,14 +117,14 @@
         self._reading = _Reading(report, measured_ms, others)
 
     def estimate_others(self, now_ms: float, typical: Others) -> Others:
-        """Return the others' part now.
+        """Return the current load by other daemons.
 
         Explanation
         ===========
 
-        The older a report, the less it says of this server and the more the servers are alike:
-        the estimate moves from the report to `typical`, the mean over the target's servers. A
-        server that seemed idle some time ago does not draw everybody's work.
+        As a report ages, the estimate decays from its value to `typical`, the mean over the target's
+        servers. Otherwise a server whose old report shows it idle would attract the requests of all
+        daemons.
         """
         if self._reading is None:
             return typical
@@ -139,7 +139,7 @@
         )
 
     def find_reported_others(self, now_ms: float) -> Others | None:
-        """Return the others' part as last reported, or None when that is too old."""
+        """Return the load by other daemons from the last report, or None if the report is too old."""
         if self._reading is None or now_ms - self._reading.measured_ms > OLDEST_REPORT_MS:
             return None
         return self._reading.others
@@ -148,7 +148,7 @@
         self._history.append((now_ms, len(self.tickets), self.own_prefill_tokens))
 
     def _find_own(self, at_ms: float) -> tuple[int, int]:
-        """Return own requests and prompt tokens in progress at a past time."""
+        """Return this daemon's requests and prompt tokens in progress at a past time."""
         for then_ms, requests, prefill_tokens in reversed(self._history):
             if then_ms <= at_ms:
                 return requests, prefill_tokens
@@ -159,7 +159,7 @@
 
 
 def average_others(loads: Mapping[str, ServerLoad], now_ms: float) -> Others:
-    """Return the mean of the others' parts over the servers that reported lately.
+    """Return the mean load by other daemons over the servers with a recent report.
 
     Examples
     ========
--- a/hemlockswitch/process/servers/subsets.py
+++ b/hemlockswitch/process/servers/subsets.py
@@ -9,23 +9,23 @@
 
 
 class Subset:
-    """Which of a zone's servers this daemon uses, where they are too many to use all.
+    """Selects the servers of a zone that this daemon uses.
 
     Explanation
     ===========
 
-    Each server takes the first ``n`` daemons of its own rendezvous order, ``n`` being the same
-    for all, so every server is used by equally many daemons. (If each daemon took the first
-    servers of its order, some servers would get no daemon at all.) A daemon that goes is
-    replaced at its own servers only, and a server that comes changes nothing else.
+    Each server is used by the first ``n`` daemons of its own rendezvous order, with the same ``n`` for
+    all servers, so that every server is used by equally many daemons. (If each daemon used the first
+    servers of its order, some servers would have no daemon at all.) A daemon that stops is replaced only
+    at its own servers, and an added server changes the use of no other server.
 
-    Ranks are kept, so a change of one daemon costs one hash a server, not one for each pair.
+    Ranks are cached, so that a change of one daemon costs one hash per server rather than one per pair.
 
     Parameters
     ==========
 
-    own_name : this daemon.
-    size : servers that a daemon uses on average; with no more than these, it uses all.
+    own_name : name of this daemon.
+    size : average number of servers that a daemon uses; a zone with at most this many is used entirely.
 
     Examples
     ========
--- a/hemlockswitch/process/servers/vm_feed.py
+++ b/hemlockswitch/process/servers/vm_feed.py
@@ -1,4 +1,4 @@
-"""Passes the platform's VM list of a zone on to the news board, and finds which VMs are gone."""
+"""Publishes the platform's VM list of a zone by gossip, and detects removed VMs."""
 
 from typing import Any, Protocol
 
@@ -11,20 +11,20 @@
 
 
 class ListingPlatform(Protocol):
-    """What the feed needs of the platform; each call has a time-out of its own."""
+    """The platform interface that the feed needs; each call has its own time-out."""
 
     def list_vms(self, zone: str) -> Any:
         """Return the VM list of a zone."""
 
 
 class VmFeed:
-    """Passes the platform's VM list of one zone on to the news board.
+    """Publishes the platform's VM list of one zone by gossip.
 
     Explanation
     ===========
 
-    The list lags, and how far changes. A VM that is not on it may be new or gone, so it counts
-    as gone only after it has been missing for `GONE_AFTER_MS`.
+    The list lags by a varying time. A VM that is not listed may be new or removed, so it counts as
+    removed only after it has been missing for `GONE_AFTER_MS`.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._missing_since_ms: dict[str, float] = {}
 
     def ask(self) -> None:
-        """Read the list once."""
+        """Read and publish the list once."""
         listed = {vm.name: vm for vm in self._platform.list_vms(self._zone).vms}
         for name, vm in listed.items():
             self._missing_since_ms.pop(name, None)
@@ -59,7 +59,7 @@
                 del self._missing_since_ms[name]
 
     def _bury_notice(self, name: str) -> None:
-        """Let the boards forget the notice of a VM that is gone."""
+        """Publish a tombstone for the notice of a removed VM, so that gossip states can evict it."""
         notice = self._board.find(NOTICE_PREFIX + name)
         if notice is not None:
             last = NewsItem(notice.key, notice.version + 1, notice.value, tombstone=True)
@@ -67,7 +67,7 @@
 
 
 def describe_vm(vm: Any) -> dict[str, Any]:
-    """Return a VM of the platform's list as a news value."""
+    """Return a listed VM as the value of a gossip item."""
     return {
         "name": vm.name,
         "zone": vm.zone,
--- a/hemlockswitch/process/servers/watchers.py
+++ b/hemlockswitch/process/servers/watchers.py
@@ -1,12 +1,12 @@
-"""Tasks that ask the platform on behalf of their zone: whose turn it is, notices, the revision.
+"""Tasks that query the platform on behalf of their zone for VMs, notices, and the current revision.
 
 Explanation
 ===========
 
-Only the first few of the rendezvous order over the zone's live daemons ask; the rest hear from
-them through the news board. What a watcher learns of the notices it follows with a sign of life,
-the `feed/<zone>` item. A daemon that misses the sign asks the platform itself, so that frozen or
-dead watchers do not hide a notice until they are found dead.
+Only the watchers, the first few daemons in the rendezvous order of the zone's live daemons, query the
+platform; they publish the results by gossip. A watcher of the notices also publishes a heartbeat, the
+`feed/<zone>` item. A daemon that receives no heartbeat queries the platform itself, so that frozen or
+dead watchers do not hide a notice until membership detects their failure.
 """
 
 import math
@@ -38,17 +38,17 @@
 
 
 class Platform(Protocol):
-    """What the watchers ask of the platform; each call has a time-out of its own."""
+    """The platform interface that the watchers need; each call has its own time-out."""
 
     def watch_notices(self, zone: str, since: int, wait_ms: int) -> Any:
-        """Return the reclaim notices after number `since`, waiting for the first."""
+        """Return the reclaim notices after number `since`, waiting until there is one."""
 
     def watch(self, kind: str, since: int, wait_ms: int, prefix: str) -> Any:
-        """Return the objects of `kind` changed since a version, waiting for the first."""
+        """Return the objects of `kind` changed since a version, waiting until there is one."""
 
 
 def is_watcher(own_name: str, zone: str, members: Sequence[str], count: int = WATCHERS) -> bool:
-    """Return whether this daemon is among those that ask the platform for its zone.
+    """Return whether this daemon is among the first `count` that query the platform for the zone.
 
     Examples
     ========
@@ -62,26 +62,26 @@
 
 @dataclass(frozen=True)
 class Post:
-    """Where a watcher stands: the daemon's name and zone, and the zone's live daemons."""
+    """The inputs of the watcher selection: the daemon's name and zone, and the zone's live daemons."""
 
     own_name: str
     zone: str
     members: Callable[[], list[str]]
 
     def is_watcher(self, count: int = WATCHERS) -> bool:
-        """Return whether this daemon is among the first `count`, which ask the platform now."""
+        """Return whether this daemon is among the first `count` of its zone."""
         return is_watcher(self.own_name, self.zone, self.members(), count)
 
 
 class Watcher:
-    """A task that asks the platform again and again while it is this daemon's turn.
+    """A task that queries the platform periodically while this daemon is a watcher.
 
     Parameters
     ==========
 
-    label : what it asks for, in logs.
-    post : whose turn it is.
-    ask : asks once and passes on what it learned.
+    label : name of the queried data in logs.
+    post : determines whether this daemon is a watcher.
+    ask : queries once and publishes the result.
     interval_ms : pause after an answer.
     clock : the process's clock.
     """
@@ -97,12 +97,12 @@
         self._retry_ms = 0.0
 
     def run(self) -> None:
-        """Ask for ever."""
+        """Query periodically until killed."""
         while True:
             self._clock.sleep_ms(self.step())
 
     def step(self) -> float:
-        """Ask once if it is this daemon's turn, and return the pause that follows."""
+        """Query once if this daemon is a watcher, and return the pause that follows."""
         if not self._post.is_watcher():
             return IDLE_CHECK_MS
         try:
@@ -122,17 +122,17 @@
 
 
 class NoticeFeed:
-    """Passes the cloud API's reclaim notices of one zone on to the news board.
+    """Publishes the cloud API's reclaim notices of one zone by gossip.
 
     Explanation
     ===========
 
-    The `feed/<zone>` item says how far the feed was read and whether the platform answers. It is
-    marked as a tombstone because each is the last word until the next, and so it stays out of
-    the boards' digests.
+    The `feed/<zone>` item, the heartbeat, contains the number of the last notice read and whether the
+    platform answers. It is marked as a tombstone to exclude it from the gossip digests, since each one is
+    valid only until the next.
 
-    A daemon that is no watcher asks by itself when the signs stop. When the watchers say that
-    the platform does not answer them, the next ones of the order ask as well.
+    A daemon that is not a watcher queries the platform itself when the heartbeats stop. When the watchers
+    report that the platform does not answer them, the next daemons in the order query it too.
     """
 
     def __init__(self, platform: Platform, post: Post, board: NewsBoard, clock: Clock) -> None:
@@ -150,11 +150,11 @@
 
     @property
     def silent_ms(self) -> float:
-        """How long ago any watcher of the zone gave a sign of life."""
+        """Time since the last heartbeat of any watcher of the zone."""
         return self._clock.now_ms() - self._heard_ms
 
     def ask(self, wait_ms: int = NOTICE_WAIT_MS) -> None:
-        """Read the notices once, waiting for the first, and tell the zone."""
+        """Read the notices once, waiting until there is one, and publish them."""
         try:
             page = self._platform.watch_notices(self._post.zone, self._number, wait_ms)
         except HemlockError:
@@ -166,12 +166,12 @@
             value = {"deadline_wall_ms": notice.deadline_wall_ms}
             self._board.learn(NewsItem(NOTICE_PREFIX + notice.vm, notice.number, value))
         self._number = page.number
-        # Two watchers ask: where the other has just signed the same, nobody needs to hear it again.
+        # A heartbeat without changes is redundant if the zone's second watcher has just published one.
         if page.notices or not self._watchers_answered or self.silent_ms >= SIGN_INTERVAL_MS:
             self._sign()
 
     def check(self) -> None:
-        """Give a sign of life, or ask in the watchers' place if they do not do their part."""
+        """Publish a heartbeat if it is due, or query in place of watchers that have failed."""
         if self._post.is_watcher():
             if self.silent_ms >= SIGN_INTERVAL_MS or self._is_answered() != self._signed_answered:
                 self._sign()
@@ -179,7 +179,7 @@
             self._ask_once()
 
     def run_checks(self) -> None:
-        """Check for ever."""
+        """Check periodically until killed."""
         while True:
             self._clock.sleep_ms(CHECK_INTERVAL_MS * random.uniform(0.75, 1.0))
             self.check()
@@ -213,7 +213,7 @@
 
 
 class Pointer:
-    """Follows the pointer to the configuration's current revision."""
+    """Watches the pointer to the configuration's current revision."""
 
     def __init__(
         self, platform: Platform, kind: str, name: str, read: Callable[[Any], None]
@@ -225,14 +225,14 @@
         self._version = 0
 
     def ask(self) -> None:
-        """Wait for a change of the pointer, and have the revision read when it comes.
+        """Wait for a change of the pointer, and read its revision.
 
         Explanation
         ===========
 
-        Where the reading raises, the version stays, and the same change is asked for again. It
-        follows the pointer's own version, not the service's: an answer that shows an old pointer
-        is then followed by the newer one.
+        If reading fails, the version is not advanced, and the next call gets this change again. The watch
+        continues from the pointer's own version rather than the service's, so that after an answer with
+        an outdated pointer the newer pointer still follows.
         """
         changes = self._platform.watch(self._kind, self._version, POINTER_WAIT_MS, self._name)
         for item in changes.items:
--- a/hemlockswitch/process/servers/zones.py
+++ b/hemlockswitch/process/servers/zones.py
@@ -1,11 +1,11 @@
-"""What daemons of different zones tell each other of their backend servers: on question only.
+"""Queries between daemons of different zones for each other's backend servers.
 
 Explanation
 ===========
 
-An answer counts from the time at which its question was asked, on the asker's own clock. So the
-facts of another zone are never older than they seem, however long an answer was on its way and
-whatever the clocks of the VMs say. A zone that does not answer gets no new work.
+The age of an answer counts from the time at which its query was sent, on the clock of the querying daemon.
+The data of another zone is therefore never older than assumed, regardless of network delay and clock
+differences between VMs. A zone that does not answer gets no new work.
 """
 
 import random
@@ -34,13 +34,13 @@
 @register_message("zone_question")
 @dataclass(frozen=True)
 class ZoneQuestion:
-    """Asks a daemon for its zone's backend servers.
+    """Query to a daemon for its zone's backend servers.
 
     Parameters
     ==========
 
-    asker : the asking daemon's name.
-    digest : of the offer that the asker has; 0 for none.
+    asker : name of the querying daemon.
+    digest : digest of the offer that the querying daemon has; 0 for none.
     """
 
     asker: str
@@ -50,15 +50,15 @@
 @register_message("zone_offer")
 @dataclass(frozen=True)
 class ZoneOffer:
-    """The backend servers of a zone that may get work from the asker.
+    """The backend servers of a zone that the querying daemon may use.
 
     Parameters
     ==========
 
     zone : the answering daemon's zone.
-    digest : of the content; the content is left out when the asker has it.
-    servers : records of the servers offered.
-    leaving : names of servers that are leaving, newest last.
+    digest : digest of the content, which is omitted if the querying daemon has it.
+    servers : records of the offered servers.
+    leaving : names of leaving servers, newest last.
     """
 
     zone: str
@@ -68,32 +68,34 @@
 
 
 class Network(Protocol):
-    """What the questions need of the peer network."""
+    """The peer network interface that the queries need."""
 
     def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
-        """Return the reply to a question."""
+        """Return the reply to a query."""
 
     def handle(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
-        """Serve questions of a type."""
+        """Register the handler of a query type."""
 
 
 class ZoneDesk:
-    """Answers the questions of other daemons about this daemon's zone."""
+    """Answers the queries of other daemons for the servers of this daemon's zone."""
 
     def __init__(self, directory: BackendDirectory, is_fresh: Callable[[], bool]) -> None:
         self._directory = directory
         self._is_fresh = is_fresh
 
     def answer(self, sender: str, question: ZoneQuestion) -> ZoneOffer:
-        """Return the offer for one asker.
+        """Return the offer for one querying daemon.
 
         Raises
         ======
 
-        PeerError : this daemon was paused and has to refresh its own facts first.
+        PeerError : this daemon was paused and has to refresh its own state first.
         """
         if not self._is_fresh():
-            raise PeerError(ErrorKind.NOT_READY, "was paused a moment ago")
+            raise PeerError(
+                ErrorKind.NOT_READY, "the daemon was paused and has not refreshed its state yet"
+            )
         servers = [asdict(server) for server in self._choose(question.asker)]
         leaving = list(self._directory.list_leaving())[-OFFERED_LEAVING:]
         digest = hash_stable(repr((servers, leaving)))
@@ -102,7 +104,7 @@
         return ZoneOffer(self._directory.zone, digest, servers, leaving)
 
     def _choose(self, asker: str) -> list[BackendServer]:
-        """Return some servers of each target, spread over the askers."""
+        """Return some servers of each target, distributed over the querying daemons."""
         chosen: list[BackendServer] = []
         by_target: dict[str, dict[str, BackendServer]] = {}
         for server in self._directory.list_own_servers():
@@ -115,7 +117,7 @@
 
 @dataclass
 class _Asked:
-    """What this daemon has of one zone."""
+    """The last answer of one zone."""
 
     digest: int = 0
     servers: tuple[BackendServer, ...] = ()
@@ -124,15 +126,15 @@
 
 
 class ZoneQuestions:
-    """A task that asks the other zones for their servers while they may be needed.
+    """Tasks that query other zones for their servers while these may be needed.
 
     Parameters
     ==========
 
-    own_name : this daemon.
-    directory : where the answers go.
+    own_name : name of this daemon.
+    directory : receives the answers.
     network : the peer network.
-    list_addresses : gives the peer addresses of the live daemons of each zone.
+    list_addresses : returns the peer addresses of the live daemons of each zone.
     clock : the process's clock.
     """
 
@@ -152,14 +154,14 @@
         self._asked: dict[str, _Asked] = {}
 
     def run(self, zone: str) -> None:
-        """Ask one zone for ever."""
+        """Query one zone periodically until killed."""
         while True:
             if self.is_needed():
                 self.ask_zone(zone)
             self._clock.sleep_ms(ASK_INTERVAL_MS * random.uniform(0.75, 1.25))
 
     def is_needed(self) -> bool:
-        """Return whether the own zone has few servers of any target, or lately too little."""
+        """Return whether the local zone has few servers of any target, or overflowed recently."""
         if self._clock.now_ms() - self._directory.overflowed_ms <= OVERFLOW_MS:
             return True
         targets = self._directory.list_targets()
@@ -167,12 +169,12 @@
         return min(counts, default=0) < ENOUGH_SERVERS
 
     def choose_zones(self) -> list[str]:
-        """Return the other zones that this daemon asks, the same ones as long as they live."""
+        """Return the other zones that this daemon queries; the choice is stable while they are live."""
         zones = set(self._list_addresses()) - {self._directory.zone}
         return rank_rendezvous(self._own_name, zones)[:ZONES_ASKED]
 
     def ask_zone(self, zone: str) -> None:
-        """Ask a daemon of the zone, and note what it offers or that the zone is silent."""
+        """Query a daemon of the zone, and record its offer or that the zone is unresponsive."""
         addresses = self._list_addresses().get(zone, [])
         state = self._asked.setdefault(zone, _Asked())
         asked_ms = self._clock.now_ms()
@@ -192,12 +194,12 @@
         self._directory.learn_offer(zone, state.servers, asked_ms)
 
     def refresh_from(self, address: str) -> None:
-        """Learn from a daemon of the own zone who is leaving.
+        """Fetch the leaving servers from a daemon of the local zone.
 
         Raises
         ======
 
-        PeerError : it does not answer or was paused itself.
+        PeerError : the daemon does not answer, or was paused itself.
         """
         offer = self._network.ask(address, ZoneQuestion(self._own_name, 0), ASK_TIMEOUT_MS)
         for name in offer.leaving:
@@ -205,7 +207,7 @@
 
     def _ask_one(self, addresses: list[str], digest: int) -> ZoneOffer:
         if not addresses:
-            raise PeerError(ErrorKind.PEER_UNAVAILABLE, "no live daemon is known")
+            raise PeerError(ErrorKind.PEER_UNAVAILABLE, "no live daemon of the zone is recorded")
         question = ZoneQuestion(self._own_name, digest)
         return self._network.ask(random.choice(addresses), question, ASK_TIMEOUT_MS)
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -33,7 +33,7 @@
     return [server.name for server in directory.list_servers("m")]
 
 
-def test_leaving_is_never_unlearned(board, directory):
+def test_leaving_server_stays_leaving_after_newer_record(board, directory):
     heard = []
     directory.add_leaving_listener(lambda name, deadline: heard.append((name, deadline)))
     board.learn(make_vm("a"))
@@ -44,13 +44,13 @@
     assert heard == [("a", 9)]
 
 
-def test_notice_before_the_vm_is_known(board, directory):
+def test_notice_before_the_vm_record_counts(board, directory):
     board.learn(NewsItem("notice/a", 1, {"deadline_wall_ms": 9}))
     board.learn(make_vm("a"))
     assert list_names(directory) == []
 
 
-def test_entry_vms_are_no_backend_servers_but_their_leaving_is_told(board, directory):
+def test_entry_vms_are_no_backend_servers_but_their_leaving_is_reported(board, directory):
     heard = []
     directory.add_leaving_listener(lambda name, deadline: heard.append(name))
     board.learn(make_vm("e", serves="hemlock-entry"))
@@ -59,7 +59,7 @@
     assert heard == ["e"]
 
 
-def test_draining_names_get_no_new_work(board, directory):
+def test_draining_server_gets_no_new_work(board, directory):
     board.learn(make_vm("a"))
     directory.set_draining(["a"])
     assert list_names(directory) == []
@@ -67,7 +67,7 @@
     assert list_names(directory) == ["a"]
 
 
-def test_failures_back_off_and_a_success_forgets_them(board, clock, directory):
+def test_failures_back_off_and_a_success_resets_them(board, clock, directory):
     board.learn(make_vm("a"))
     board.learn(make_vm("b"))
     directory.end(directory.begin("a"), failed=True)
@@ -84,13 +84,13 @@
     assert list_names(directory) == ["a", "b"]
 
 
-def test_failing_servers_are_used_when_nothing_else_is_left(board, directory):
+def test_failing_server_is_used_if_no_other_remains(board, directory):
     board.learn(make_vm("a"))
     directory.end(directory.begin("a"), failed=True)
     assert list_names(directory) == ["a"]
 
 
-def test_offers_of_other_zones_count_only_for_a_time(board, clock, directory):
+def test_offers_of_other_zones_expire_after_their_query(board, clock, directory):
     far = BackendServer("f", "duluth-hall", "127.0.0.1:2", "m")
     directory.learn_offer("duluth-hall", [far], asked_ms=clock.now_ms())
     clock.advance(ZONE_SILENCE_MS)
@@ -101,7 +101,7 @@
     assert list_names(directory) == []
 
 
-def test_vm_records_of_other_zones_are_no_offer_but_their_leaving_counts(board, clock, directory):
+def test_vm_records_of_other_zones_only_report_leaving(board, clock, directory):
     board.learn(make_vm("f", zone="duluth-hall"))
     assert list_names(directory) == []
     far = BackendServer("f", "duluth-hall", "127.0.0.1:2", "m")
@@ -111,19 +111,19 @@
     assert list_names(directory) == []
 
 
-def test_malformed_records_are_left_out(board, directory):
+def test_malformed_records_are_ignored(board, directory):
     board.learn(NewsItem("vm/a", 1, {"name": "a"}))
     board.learn(make_vm("b", state="sleeping"))
     assert list_names(directory) == []
 
 
-def test_reported_draining_gets_no_new_work(board, directory):
+def test_server_that_reports_draining_gets_no_new_work(board, directory):
     board.learn(make_vm("a"))
     directory.record_load("a", LoadReport(0, 0, 16, draining=True))
     assert list_names(directory) == []
 
 
-def test_reports_are_set_against_own_requests_at_their_time(board, clock, directory):
+def test_own_requests_at_measurement_are_subtracted_from_reports(board, clock, directory):
     board.learn(make_vm("a"))
     early = directory.begin("a")
     clock.advance(500)
@@ -136,7 +136,7 @@
     assert candidate.slots == 8
 
 
-def test_old_reports_move_towards_the_mean(board, clock, directory):
+def test_old_reports_decay_towards_the_mean(board, clock, directory):
     for name, running in (("a", 0), ("b", 10)):
         board.learn(make_vm(name))
         directory.record_load(name, LoadReport(running, 0, 16))
@@ -145,7 +145,7 @@
     assert 4 < idle.other_requests < 5 < busy.other_requests < 6
 
 
-def test_router_takes_the_less_busy_server_and_skips_excluded(board, directory):
+def test_router_chooses_the_less_busy_server_and_skips_excluded(board, directory):
     board.learn(make_vm("a"))
     board.learn(make_vm("b"))
     router = Router(directory)
@@ -157,7 +157,7 @@
     assert caught.value.kind is ErrorKind.NO_BACKEND
 
 
-def test_router_refuses_early_with_a_time_to_come_back(board, directory):
+def test_router_refuses_early_with_retry_after(board, directory):
     board.learn(make_vm("a"))
     for _ in range(100):
         directory.begin("a", 1_000)
@@ -167,7 +167,7 @@
     assert caught.value.answer.retry_after_ms > 1_000
 
 
-def test_time_in_a_slot_follows_the_sizes_of_the_requests_there(board, clock, directory):
+def test_time_in_a_slot_follows_the_sizes_of_requests_in_progress(board, clock, directory):
     board.learn(make_vm("a"))
     warm_up = directory.begin("a", max_tokens=11)
     clock.advance(40)
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -16,7 +16,7 @@
     assert len(uses) == len(SERVERS)
 
 
-def test_a_daemon_that_goes_changes_only_its_own_servers():
+def test_stopped_daemon_is_replaced_only_at_its_own_servers():
     gone = DAEMONS[0]
     left = DAEMONS[1:]
     before = {daemon: choose(daemon) for daemon in left}
@@ -29,12 +29,12 @@
     assert added == Counter(lost)
 
 
-def test_following_changes_is_choosing_anew():
+def test_incremental_updates_equal_a_new_subset():
     subset = Subset("entry-3", size=20)
     subset.update(DAEMONS[:20], SERVERS[:150])
     subset.update(DAEMONS[2:25], SERVERS[30:])
     assert subset.update(DAEMONS[2:], SERVERS) == choose("entry-3", members=DAEMONS[2:])
 
 
-def test_few_servers_are_used_whole():
+def test_few_servers_are_all_used():
     assert choose("entry-1", servers=SERVERS[:20]) == set(SERVERS[:20])
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -65,12 +65,12 @@
     return platform, board, NoticeFeed(platform, Post(name, ZONE, lambda: NAMES), board, clock)
 
 
-def test_two_daemons_of_the_zone_watch_and_one_that_is_alone():
+def test_two_daemons_of_a_zone_or_its_only_one_are_watchers():
     assert [name for name in NAMES if is_watcher(name, ZONE, NAMES)] == sorted(WATCHING)
     assert is_watcher(RESTING, ZONE, [])
 
 
-def test_notices_and_the_sign_of_life_go_to_the_board(clock):
+def test_notices_and_heartbeat_are_published(clock):
     platform, board, feed = make_feed(clock, WATCHING[0])
     platform.notices = [SimpleNamespace(number=4, vm="llm-1", deadline_wall_ms=77)]
     feed.ask()
@@ -78,7 +78,7 @@
     assert board.find(f"feed/{ZONE}").value == {"number": 4, "answered": True}
 
 
-def test_a_resting_daemon_asks_when_the_signs_stop(clock):
+def test_other_daemon_queries_when_heartbeats_stop(clock):
     platform, board, feed = make_feed(clock, RESTING)
     platform.notices = [SimpleNamespace(number=4, vm="llm-1", deadline_wall_ms=77)]
     feed.check()
@@ -90,7 +90,7 @@
     assert platform.asked == 1
 
 
-def test_a_watcher_with_the_platform_down_still_signs(clock):
+def test_watcher_publishes_heartbeat_without_the_platform(clock):
     platform, board, feed = make_feed(clock, WATCHING[1])
     platform.is_down = True
     with pytest.raises(PlatformError):
@@ -98,7 +98,7 @@
     assert board.find(f"feed/{ZONE}").value["answered"] is False
 
 
-def test_the_next_daemons_ask_when_the_watchers_get_no_answer(clock):
+def test_next_daemons_query_when_the_watchers_get_no_answer(clock):
     platform, board, feed = make_feed(clock, RESTING)
     sign = NewsItem(f"feed/{ZONE}", 1, {"number": 0, "answered": False}, tombstone=True)
     board.learn(sign)
@@ -106,7 +106,7 @@
     assert platform.asked == 1
 
 
-def test_a_vm_counts_as_gone_only_after_it_was_missing_for_long(clock):
+def test_vm_counts_as_removed_only_after_the_removal_delay(clock):
     platform, board = FakePlatform(), NewsBoard()
     vms = VmFeed(platform, ZONE, board, clock)
     platform.vms = [make_vm("a"), make_vm("b")]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,7 +8,7 @@
 
 
 class FakeNetwork:
-    """Passes questions to one desk, with time going by on the way."""
+    """Delivers queries to one answering daemon, each after a delay."""
 
     def __init__(self, desk, clock):
         self.desk = desk
@@ -26,7 +26,7 @@
 
 
 class Zones:
-    """Two zones with one daemon each, of which one has servers."""
+    """Two zones with one daemon each; only the zone `far` has servers."""
 
     def __init__(self):
         self.clock = ManualClock(1_000)
@@ -56,7 +56,7 @@
     return zones
 
 
-def test_servers_of_another_zone_are_offered_and_left_out_when_unchanged(zones):
+def test_servers_of_another_zone_are_offered_and_omitted_when_unchanged(zones):
     zones.questions.ask_zone("far")
     zones.clock.advance(ZONE_SILENCE_MS)
     zones.questions.ask_zone("far")
@@ -64,7 +64,7 @@
     assert [len(offer.servers) for offer in zones.network.offers] == [2, 0]
 
 
-def test_leaving_servers_are_told(zones):
+def test_leaving_servers_are_reported(zones):
     zones.questions.ask_zone("far")
     zones.board.learn(NewsItem("notice/a", 1, {"deadline_wall_ms": 5}))
     zones.questions.ask_zone("far")
@@ -72,7 +72,7 @@
     assert zones.near.is_leaving("a")
 
 
-def test_a_cut_zone_gets_no_work_and_a_late_answer_counts_from_its_question(zones):
+def test_unreachable_zone_gets_no_work_and_a_late_answer_counts_from_its_query(zones):
     zones.questions.ask_zone("far")
     zones.network.is_cut = True
     zones.clock.advance(ZONE_SILENCE_MS + 1)
@@ -84,13 +84,13 @@
     assert zones.list_names() == []
 
 
-def test_a_paused_daemon_offers_nothing(zones):
+def test_paused_daemon_offers_no_servers(zones):
     zones.fresh = False
     zones.questions.ask_zone("far")
     assert zones.list_names() == []
 
 
-def test_other_zones_are_asked_while_servers_are_few_or_too_busy(zones):
+def test_other_zones_are_queried_while_servers_are_few_or_overloaded(zones):
     assert zones.questions.is_needed()
     for number in range(8):
         value = {"name": f"n{number}", "zone": "near", "address": "127.0.0.1:1", "serves": "m"}
