--- a/hemlockswitch/process/servers/backends.py
+++ b/hemlockswitch/process/servers/backends.py
@@ -67,7 +67,7 @@
         self.zone = zone
         self.overflowed_ms = -math.inf
         self._own_name = own_name
-        self._members = members
+        self._list_members = members
         self._subset_size = subset_size
         self._servers: dict[str, BackendServer] = {}
         self._offers: dict[str, _ZoneOffer] = {}
@@ -76,10 +76,10 @@
         self._draining: frozenset[str] = frozenset()
         self._closed: set[str] = set()
         self._subsets: dict[str, Subset] = {}
-        self._chosen: dict[str, list[str]] = {}
-        self._servers_changed = True
+        self._subset_names: dict[str, list[str]] = {}
+        self._is_subset_stale = True
         self._listeners: list[LeavingListener] = []
-        for prefix, learn in ((NOTICE_PREFIX, self._learn_notice), (VM_PREFIX, self._learn_vm)):
+        for prefix, learn in ((NOTICE_PREFIX, self._apply_notice), (VM_PREFIX, self._apply_vm)):
             board.add_listener(prefix, learn)
             for item in board.list_items(prefix):
                 learn(item)
@@ -94,7 +94,7 @@
     def set_draining(self, names: Iterable[str]) -> None:
         """Send no new work to `names`, the planned stops of the current configuration."""
         self._draining = frozenset(names)
-        self._servers_changed = True
+        self._is_subset_stale = True
 
     def is_leaving(self, name: str) -> bool:
         """Return whether the server was ever reported as leaving."""
@@ -107,7 +107,7 @@
     def close(self, name: str) -> None:
         """Permanently send no new work to the server; its requests in progress continue."""
         self._closed.add(name)
-        self._servers_changed = True
+        self._is_subset_stale = True
 
     def is_closed(self, name: str) -> bool:
         """Return whether this daemon has permanently stopped sending new work to the server."""
@@ -205,7 +205,7 @@
         """
         self._dispatches.end(ticket, failed)
         if ticket.server_name in self._leaving:
-            self._dispatches.forget(ticket.server_name)
+            self._dispatches.evict(ticket.server_name)
 
     def record_load(self, name: str, report: LoadReport, round_trip_ms: float = 0.0) -> None:
         """Record a load report of a server."""
@@ -222,22 +222,22 @@
         if name in self._leaving:
             return
         self._leaving[name] = deadline_wall_ms
-        self._servers_changed = True
+        self._is_subset_stale = True
         log_event(Event.BACKEND_LEAVING, vm=name, deadline_wall_ms=deadline_wall_ms)
         for listener in self._listeners:
             listener(name, deadline_wall_ms)
 
     def refresh_subsets(self) -> None:
         """Recompute the stable subset from the zone's live daemons and servers."""
-        self._servers_changed = False
-        members = self._members()
-        by_target: dict[str, set[str]] = {target: set() for target in self._chosen}
+        self._is_subset_stale = False
+        members = self._list_members()
+        by_target: dict[str, set[str]] = {target: set() for target in self._subset_names}
         for server in self._servers.values():
             if self._is_live(server):
                 by_target.setdefault(server.serves, set()).add(server.name)
         for target, names in by_target.items():
             subset = self._subsets.setdefault(target, Subset(self._own_name, self._subset_size))
-            self._chosen[target] = sorted(subset.update(members, names))
+            self._subset_names[target] = sorted(subset.update(members, names))
 
     def _is_live(self, server: BackendServer) -> bool:
         return server.state is BackendState.LIVE and server.name not in self._leaving
@@ -248,9 +248,9 @@
         return not self._dispatches.is_draining(server.name)
 
     def _list_subset(self, target: str) -> list[BackendServer]:
-        if self._servers_changed:
+        if self._is_subset_stale:
             self.refresh_subsets()
-        servers = (self._servers.get(name) for name in self._chosen.get(target, ()))
+        servers = (self._servers.get(name) for name in self._subset_names.get(target, ()))
         return [server for server in servers if server is not None]
 
     def _list_offered(self, target: str) -> list[BackendServer]:
@@ -263,22 +263,22 @@
             if server.serves == target
         ]
 
-    def _learn_vm(self, item: NewsItem) -> None:
+    def _apply_vm(self, item: NewsItem) -> None:
         try:
             server = BackendServer.from_record(item.value)
         except (KeyError, TypeError, ValueError) as error:
             log_event(Event.BACKEND_RECORD_INVALID, "warning", key=item.key, error=str(error))
             return
-        self._servers_changed = True
+        self._is_subset_stale = True
         if server.state in (BackendState.LEAVING, BackendState.GONE):
             self.learn_leaving(server.name)
         if server.state is BackendState.GONE:
             self._servers.pop(server.name, None)
-            self._dispatches.forget(server.name)
+            self._dispatches.evict(server.name)
         elif server.zone == self.zone and server.serves not in ("", ENTRY_SERVES):
             self._servers[server.name] = server
 
-    def _learn_notice(self, item: NewsItem) -> None:
+    def _apply_notice(self, item: NewsItem) -> None:
         name = item.key.removeprefix(NOTICE_PREFIX)
         value = item.value if isinstance(item.value, dict) else {}
         self.learn_leaving(name, int(value.get("deadline_wall_ms", 0)))
--- a/hemlockswitch/process/servers/circuits.py
+++ b/hemlockswitch/process/servers/circuits.py
@@ -20,10 +20,10 @@
     ========
 
     >>> circuit = Circuit()
-    >>> circuit.note_failure(now_ms=0)
+    >>> circuit.record_failure(now_ms=0)
     >>> circuit.is_open(now_ms=249), circuit.is_open(now_ms=250)
     (True, False)
-    >>> circuit.note_trial(now_ms=250)
+    >>> circuit.record_trial(now_ms=250)
     >>> circuit.is_open(now_ms=251)
     True
     """
@@ -35,17 +35,17 @@
         """Return whether the server gets no work now."""
         return self.failures > 0 and now_ms < self.open_until_ms
 
-    def note_failure(self, now_ms: float) -> None:
+    def record_failure(self, now_ms: float) -> None:
         """Start a back-off, longer than that of the previous failure."""
         self.failures += 1
         self.open_until_ms = now_ms + self._back_off_ms()
 
-    def note_trial(self, now_ms: float) -> None:
+    def record_trial(self, now_ms: float) -> None:
         """Restart the back-off of a failing server, so that no second request tries it concurrently."""
         if self.failures > 0:
             self.open_until_ms = now_ms + self._back_off_ms()
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Reset the failures."""
         self.failures = 0
 
--- a/hemlockswitch/process/servers/dispatches.py
+++ b/hemlockswitch/process/servers/dispatches.py
@@ -9,7 +9,7 @@
 from hemlockswitch.core.identifiers import make_identifier
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.servers.circuits import Circuit
-from hemlockswitch.process.servers.loads import Others, ServerLoad, Ticket, average_others
+from hemlockswitch.process.servers.loads import PeerLoad, ServerLoad, Ticket, average_peer_load
 from hemlockswitch.request.routing import Candidate
 from hemlockswitch.version.backend import BackendServer
 
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class _Pace:
+class _TokenRate:
     """Exponentially weighted time and number of tokens after the first one."""
 
     spent_ms: float = 0.0
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class _Known:
+class _ServerState:
     """This daemon's state of one backend server."""
 
     load: ServerLoad = field(default_factory=ServerLoad)
@@ -50,82 +50,82 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._known: dict[str, _Known] = {}
-        self._paces: dict[str, _Pace] = {}
+        self._states: dict[str, _ServerState] = {}
+        self._paces: dict[str, _TokenRate] = {}
         self.service_ms: dict[str, float] = {}
 
     def begin(self, name: str, serves: str, prompt_tokens: int, max_tokens: int) -> Ticket:
         """Count a request as in progress at the server."""
         now_ms = self._clock.now_ms()
         ticket = Ticket(make_identifier("tkt"), name, prompt_tokens, now_ms, serves, max_tokens)
-        known = self._know(name)
+        known = self._get_state(name)
         known.load.begin(ticket)
-        known.circuit.note_trial(now_ms)
+        known.circuit.record_trial(now_ms)
         return ticket
 
     def note_first_token(self, ticket: Ticket) -> None:
         """Record that the request's prompt has been computed."""
-        known = self._know(ticket.server_name)
+        known = self._get_state(ticket.server_name)
         known.load.note_first_token(ticket, self._clock.now_ms())
-        known.circuit.note_success()
+        known.circuit.record_success()
 
     def end(self, ticket: Ticket, failed: bool) -> None:
         """Count the request as ended; further calls for the ticket have no effect."""
         now_ms = self._clock.now_ms()
-        known = self._know(ticket.server_name)
+        known = self._get_state(ticket.server_name)
         first_token_ms = known.load.first_token_ms.get(ticket.identifier)
         if not known.load.end(ticket, now_ms):
             return
         if failed:
-            known.circuit.note_failure(now_ms)
+            known.circuit.record_failure(now_ms)
             log_event(Event.BACKEND_FAILED, "warning", vm=ticket.server_name)
         else:
-            known.circuit.note_success()
-            self._note_service(ticket, now_ms)
+            known.circuit.record_success()
+            self._record_service_time(ticket, now_ms)
             if first_token_ms is not None and ticket.max_tokens > 1:
-                pace = self._paces.setdefault(ticket.serves, _Pace())
+                pace = self._paces.setdefault(ticket.serves, _TokenRate())
                 pace.add(now_ms - first_token_ms, ticket.max_tokens - 1)
 
     def record_load(self, name: str, report: LoadReport, round_trip_ms: float) -> None:
         """Record a load report of a server."""
-        self._know(name).load.record(report, self._clock.now_ms(), round_trip_ms)
+        self._get_state(name).load.record(report, self._clock.now_ms(), round_trip_ms)
 
     def count_waiting(self) -> int:
         """Return the number of requests at all servers that wait for their first token."""
-        return sum(len(known.load.waiting) for known in self._known.values())
+        return sum(len(known.load.waiting) for known in self._states.values())
 
     def count_in_flight(self, name: str) -> int:
         """Return the number of requests in progress at the server."""
-        known = self._known.get(name)
+        known = self._states.get(name)
         return len(known.load.tickets) if known else 0
 
     def is_draining(self, name: str) -> bool:
         """Return whether the server's last report says that it accepts no new requests."""
-        known = self._known.get(name)
+        known = self._states.get(name)
         report = known.load.report if known else None
         return report is not None and report.draining
 
     def is_failing(self, name: str) -> bool:
         """Return whether the server is in a back-off after failures."""
-        known = self._known.get(name)
+        known = self._states.get(name)
         return known is not None and known.circuit.is_open(self._clock.now_ms())
 
-    def forget(self, name: str) -> None:
+    def evict(self, name: str) -> None:
         """Evict the state of a removed server, unless requests are in progress there."""
         if self.count_in_flight(name) == 0:
-            self._known.pop(name, None)
+            self._states.pop(name, None)
 
     def estimate(self, servers: Sequence[BackendServer]) -> list[Candidate]:
         """Return the servers of one target with their currently estimated load."""
         now_ms = self._clock.now_ms()
-        loads = {server.name: self._know(server.name).load for server in servers}
-        typical = average_others(loads, now_ms)
+        loads = {server.name: self._get_state(server.name).load for server in servers}
+        typical = average_peer_load(loads, now_ms)
         return [self._estimate(server, loads[server.name], typical, now_ms) for server in servers]
 
     def _estimate(
-        self, server: BackendServer, load: ServerLoad, typical: Others, now_ms: float
+        self, server: BackendServer, load: ServerLoad, typical: PeerLoad, now_ms: float
     ) -> Candidate:
-        others = load.estimate_others(now_ms, typical)
+        others = load.estimate_peer_load(now_ms, typical)
         report = load.report
         speed = report.prefill_tokens_per_s if report else DEFAULT_PREFILL_TOKENS_PER_S
         return Candidate(
@@ -146,16 +146,16 @@
         Where these have none, it is the target's mean time.
         """
         if load.mean_max_tokens:
-            return load.mean_max_tokens * self._paces.get(server.serves, _Pace()).token_ms
+            return load.mean_max_tokens * self._paces.get(server.serves, _TokenRate()).token_ms
         return self.service_ms.get(server.serves, DEFAULT_SERVICE_MS)
 
-    def _know(self, name: str) -> _Known:
-        known = self._known.get(name)
+    def _get_state(self, name: str) -> _ServerState:
+        known = self._states.get(name)
         if known is None:
-            known = self._known[name] = _Known()
+            known = self._states[name] = _ServerState()
         return known
 
-    def _note_service(self, ticket: Ticket, now_ms: float) -> None:
+    def _record_service_time(self, ticket: Ticket, now_ms: float) -> None:
         """Update the target's moving average of the time in a slot."""
         held_ms = now_ms - ticket.begun_ms
         mean_ms = self.service_ms.get(ticket.serves, held_ms)
--- a/hemlockswitch/process/servers/load_polls.py
+++ b/hemlockswitch/process/servers/load_polls.py
@@ -38,10 +38,10 @@
         """Start and stop polling tasks as the servers in use change, until killed."""
         while True:
             self._directory.refresh_subsets()
-            self.follow()
+            self.update_tasks()
             self._clock.sleep_ms(CHECK_INTERVAL_MS)
 
-    def follow(self) -> None:
+    def update_tasks(self) -> None:
         """Start and stop polling tasks once."""
         used = {server.name: server for server in self._directory.list_used()}
         for name in set(self._tasks) - set(used):
--- a/hemlockswitch/process/servers/loads.py
+++ b/hemlockswitch/process/servers/loads.py
@@ -8,9 +8,9 @@
 from hemlockswitch.connection.loads import LoadReport
 
 HISTORY_LENGTH = 256
-REPORT_TRUST_MS = 2_000.0
-OLDEST_REPORT_MS = 10_000.0
-ROUND_TRIPS_KEPT = 16
+REPORT_DECAY_MS = 2_000.0
+MAX_REPORT_AGE_MS = 10_000.0
+MAX_RETAINED_ROUND_TRIPS = 16
 
 
 @dataclass(frozen=True)
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Others:
+class PeerLoad:
     """Estimated load of a server by requests of other daemons."""
 
     requests: float = 0.0
@@ -47,7 +47,7 @@
 
     report: LoadReport
     measured_ms: float
-    others: Others
+    others: PeerLoad
 
 
 @dataclass
@@ -61,7 +61,9 @@
     _history: deque[tuple[float, int, int]] = field(
         default_factory=lambda: deque(maxlen=HISTORY_LENGTH)
     )
-    _round_trips_ms: deque[float] = field(default_factory=lambda: deque(maxlen=ROUND_TRIPS_KEPT))
+    _round_trips_ms: deque[float] = field(
+        default_factory=lambda: deque(maxlen=MAX_RETAINED_ROUND_TRIPS)
+    )
 
     @property
     def report(self) -> LoadReport | None:
@@ -82,13 +84,13 @@
         """Count a request as in progress."""
         self.tickets[ticket.identifier] = ticket
         self.waiting[ticket.identifier] = ticket
-        self._note(ticket.begun_ms)
+        self._record_history(ticket.begun_ms)
 
     def note_first_token(self, ticket: Ticket, now_ms: float) -> None:
         """Count a request's prompt as computed."""
         if self.waiting.pop(ticket.identifier, None) is not None:
             self.first_token_ms[ticket.identifier] = now_ms
-            self._note(now_ms)
+            self._record_history(now_ms)
 
     @property
     def mean_max_tokens(self) -> float:
@@ -102,21 +104,21 @@
             return False
         self.waiting.pop(ticket.identifier, None)
         self.first_token_ms.pop(ticket.identifier, None)
-        self._note(now_ms)
+        self._record_history(now_ms)
         return True
 
     def record(self, report: LoadReport, now_ms: float, round_trip_ms: float) -> None:
         """Record a load report that has just arrived."""
         self._round_trips_ms.append(round_trip_ms)
         measured_ms = now_ms - report.age_ms - round_trip_ms / 2
-        own_requests, own_prefill = self._find_own(measured_ms)
-        others = Others(
+        own_requests, own_prefill = self._find_own_load(measured_ms)
+        others = PeerLoad(
             max(report.running + report.waiting - own_requests, 0),
             max(report.prefill_backlog - own_prefill, 0),
         )
         self._reading = _Reading(report, measured_ms, others)
 
-    def estimate_others(self, now_ms: float, typical: Others) -> Others:
+    def estimate_peer_load(self, now_ms: float, typical: PeerLoad) -> PeerLoad:
         """Return the current load by other daemons.
 
         Explanation
@@ -129,25 +131,25 @@
         if self._reading is None:
             return typical
         age_ms = now_ms - self._reading.measured_ms
-        if age_ms > OLDEST_REPORT_MS:
+        if age_ms > MAX_REPORT_AGE_MS:
             return typical
-        trust = math.exp(-age_ms / REPORT_TRUST_MS)
+        trust = math.exp(-age_ms / REPORT_DECAY_MS)
         known = self._reading.others
-        return Others(
+        return PeerLoad(
             trust * known.requests + (1 - trust) * typical.requests,
             trust * known.prefill_tokens + (1 - trust) * typical.prefill_tokens,
         )
 
-    def find_reported_others(self, now_ms: float) -> Others | None:
+    def find_reported_peer_load(self, now_ms: float) -> PeerLoad | None:
         """Return the load by other daemons from the last report, or None if the report is too old."""
-        if self._reading is None or now_ms - self._reading.measured_ms > OLDEST_REPORT_MS:
+        if self._reading is None or now_ms - self._reading.measured_ms > MAX_REPORT_AGE_MS:
             return None
         return self._reading.others
 
-    def _note(self, now_ms: float) -> None:
+    def _record_history(self, now_ms: float) -> None:
         self._history.append((now_ms, len(self.tickets), self.own_prefill_tokens))
 
-    def _find_own(self, at_ms: float) -> tuple[int, int]:
+    def _find_own_load(self, at_ms: float) -> tuple[int, int]:
         """Return this daemon's requests and prompt tokens in progress at a past time."""
         for then_ms, requests, prefill_tokens in reversed(self._history):
             if then_ms <= at_ms:
@@ -158,20 +160,20 @@
         return 0, 0
 
 
-def average_others(loads: Mapping[str, ServerLoad], now_ms: float) -> Others:
+def average_peer_load(loads: Mapping[str, ServerLoad], now_ms: float) -> PeerLoad:
     """Return the mean load by other daemons over the servers with a recent report.
 
     Examples
     ========
 
-    >>> average_others({}, 0)
-    Others(requests=0.0, prefill_tokens=0.0)
+    >>> average_peer_load({}, 0)
+    PeerLoad(requests=0.0, prefill_tokens=0.0)
     """
-    reported = [load.find_reported_others(now_ms) for load in loads.values()]
+    reported = [load.find_reported_peer_load(now_ms) for load in loads.values()]
     known = [others for others in reported if others is not None]
     if not known:
-        return Others()
-    return Others(
+        return PeerLoad()
+    return PeerLoad(
         sum(others.requests for others in known) / len(known),
         sum(others.prefill_tokens for others in known) / len(known),
     )
--- a/hemlockswitch/process/servers/vm_feed.py
+++ b/hemlockswitch/process/servers/vm_feed.py
@@ -7,7 +7,7 @@
 from hemlockswitch.process.servers.backends import NOTICE_PREFIX, VM_PREFIX
 from hemlockswitch.version.backend import BackendState
 
-GONE_AFTER_MS = 30_000
+VM_REMOVAL_DELAY_MS = 30_000
 
 
 class ListingPlatform(Protocol):
@@ -24,7 +24,7 @@
     ===========
 
     The list lags by a varying time. A VM that is not listed may be new or removed, so it counts as
-    removed only after it has been missing for `GONE_AFTER_MS`.
+    removed only after it has been missing for `VM_REMOVAL_DELAY_MS`.
     """
 
     def __init__(
@@ -52,13 +52,13 @@
             if not own or name in listed or item.value.get("state") == BackendState.GONE.value:
                 continue
             since_ms = self._missing_since_ms.setdefault(name, now_ms)
-            if now_ms - since_ms >= GONE_AFTER_MS:
+            if now_ms - since_ms >= VM_REMOVAL_DELAY_MS:
                 gone = {**item.value, "state": BackendState.GONE.value}
                 self._board.learn(NewsItem(item.key, item.version + 1, gone, tombstone=True))
-                self._bury_notice(name)
+                self._remove_notice(name)
                 del self._missing_since_ms[name]
 
-    def _bury_notice(self, name: str) -> None:
+    def _remove_notice(self, name: str) -> None:
         """Publish a tombstone for the notice of a removed VM, so that gossip states can evict it."""
         notice = self._board.find(NOTICE_PREFIX + name)
         if notice is not None:
--- a/hemlockswitch/process/servers/watchers.py
+++ b/hemlockswitch/process/servers/watchers.py
@@ -28,7 +28,7 @@
 SUBSTITUTES = 2
 NOTICE_WAIT_MS = 1_000
 POINTER_WAIT_MS = 5_000
-SIGN_INTERVAL_MS = 500
+HEARTBEAT_INTERVAL_MS = 500
 CHECK_INTERVAL_MS = 400
 FEED_SILENCE_MS = 2_000
 ANSWER_MARGIN_MS = 300
@@ -141,17 +141,17 @@
         self._board = board
         self._clock = clock
         self._number = 0
-        self._heard_ms = clock.now_ms()
+        self._last_received_ms = clock.now_ms()
         self._answered_ms = clock.now_ms()
         self._watchers_answered = True
-        self._signed_answered = True
+        self._published_answered = True
         self._key = FEED_PREFIX + post.zone
-        board.add_listener(self._key, self._hear)
+        board.add_listener(self._key, self._receive_heartbeat)
 
     @property
     def silent_ms(self) -> float:
         """Time since the last heartbeat of any watcher of the zone."""
-        return self._clock.now_ms() - self._heard_ms
+        return self._clock.now_ms() - self._last_received_ms
 
     def ask(self, wait_ms: int = NOTICE_WAIT_MS) -> None:
         """Read the notices once, waiting until there is one, and publish them."""
@@ -159,7 +159,7 @@
             page = self._platform.watch_notices(self._post.zone, self._number, wait_ms)
         except HemlockError:
             self._answered_ms = -math.inf
-            self._sign()
+            self._publish_heartbeat()
             raise
         self._answered_ms = self._clock.now_ms()
         for notice in page.notices:
@@ -167,16 +167,19 @@
             self._board.learn(NewsItem(NOTICE_PREFIX + notice.vm, notice.number, value))
         self._number = page.number
         # A heartbeat without changes is redundant if the zone's second watcher has just published one.
-        if page.notices or not self._watchers_answered or self.silent_ms >= SIGN_INTERVAL_MS:
-            self._sign()
+        if page.notices or not self._watchers_answered or self.silent_ms >= HEARTBEAT_INTERVAL_MS:
+            self._publish_heartbeat()
 
     def check(self) -> None:
         """Publish a heartbeat if it is due, or query in place of watchers that have failed."""
         if self._post.is_watcher():
-            if self.silent_ms >= SIGN_INTERVAL_MS or self._is_answered() != self._signed_answered:
-                self._sign()
+            if (
+                self.silent_ms >= HEARTBEAT_INTERVAL_MS
+                or self._is_answered() != self._published_answered
+            ):
+                self._publish_heartbeat()
         elif self.silent_ms > FEED_SILENCE_MS or self._is_substitute():
-            self._ask_once()
+            self._query_once()
 
     def run_checks(self) -> None:
         """Check periodically until killed."""
@@ -187,7 +190,7 @@
     def _is_substitute(self) -> bool:
         return not self._watchers_answered and self._post.is_watcher(WATCHERS + SUBSTITUTES)
 
-    def _ask_once(self) -> None:
+    def _query_once(self) -> None:
         try:
             self.ask(wait_ms=0)
         except HemlockError as error:
@@ -197,17 +200,17 @@
         silent_ms = self._clock.now_ms() - self._answered_ms
         return silent_ms <= NOTICE_WAIT_MS + ANSWER_MARGIN_MS
 
-    def _sign(self) -> None:
+    def _publish_heartbeat(self) -> None:
         known = self._board.find(self._key)
         version = max(self._clock.wall_ms(), known.version + 1 if known else 0)
-        self._signed_answered = self._is_answered()
-        value = {"number": self._number, "answered": self._signed_answered}
+        self._published_answered = self._is_answered()
+        value = {"number": self._number, "answered": self._published_answered}
         self._board.learn(NewsItem(self._key, version, value, tombstone=True))
 
-    def _hear(self, item: NewsItem) -> None:
+    def _receive_heartbeat(self, item: NewsItem) -> None:
         if item.key != self._key:
             return
-        self._heard_ms = self._clock.now_ms()
+        self._last_received_ms = self._clock.now_ms()
         self._number = max(self._number, int(item.value.get("number", 0)))
         self._watchers_answered = bool(item.value.get("answered", True))
 
--- a/hemlockswitch/process/servers/zones.py
+++ b/hemlockswitch/process/servers/zones.py
@@ -24,10 +24,10 @@
 
 ASK_INTERVAL_MS = 500
 ASK_TIMEOUT_MS = 500
-ENOUGH_SERVERS = 8
-OFFERED_SERVERS = 8
-OFFERED_LEAVING = 1_000
-ZONES_ASKED = 3
+MIN_LOCAL_SERVERS = 8
+MAX_OFFERED_SERVERS = 8
+MAX_OFFERED_LEAVING = 1_000
+MAX_QUERIED_ZONES = 3
 OVERFLOW_MS = 10_000.0
 
 
@@ -97,7 +97,7 @@
                 ErrorKind.NOT_READY, "the daemon was paused and has not refreshed its state yet"
             )
         servers = [asdict(server) for server in self._choose(question.asker)]
-        leaving = list(self._directory.list_leaving())[-OFFERED_LEAVING:]
+        leaving = list(self._directory.list_leaving())[-MAX_OFFERED_LEAVING:]
         digest = hash_stable(repr((servers, leaving)))
         if digest == question.digest:
             return ZoneOffer(self._directory.zone, digest, [], [])
@@ -110,13 +110,13 @@
         for server in self._directory.list_own_servers():
             by_target.setdefault(server.serves, {})[server.name] = server
         for target in sorted(by_target):
-            names = rank_rendezvous(asker, by_target[target])[:OFFERED_SERVERS]
+            names = rank_rendezvous(asker, by_target[target])[:MAX_OFFERED_SERVERS]
             chosen += [by_target[target][name] for name in names]
         return chosen
 
 
 @dataclass
-class _Asked:
+class _ZoneState:
     """The last answer of one zone."""
 
     digest: int = 0
@@ -151,7 +151,7 @@
         self._network = network
         self._list_addresses = list_addresses
         self._clock = clock
-        self._asked: dict[str, _Asked] = {}
+        self._states: dict[str, _ZoneState] = {}
 
     def run(self, zone: str) -> None:
         """Query one zone periodically until killed."""
@@ -166,22 +166,22 @@
             return True
         targets = self._directory.list_targets()
         counts = [len(self._directory.list_own_servers(target)) for target in targets]
-        return min(counts, default=0) < ENOUGH_SERVERS
+        return min(counts, default=0) < MIN_LOCAL_SERVERS
 
     def choose_zones(self) -> list[str]:
         """Return the other zones that this daemon queries; the choice is stable while they are live."""
         zones = set(self._list_addresses()) - {self._directory.zone}
-        return rank_rendezvous(self._own_name, zones)[:ZONES_ASKED]
+        return rank_rendezvous(self._own_name, zones)[:MAX_QUERIED_ZONES]
 
     def ask_zone(self, zone: str) -> None:
         """Query a daemon of the zone, and record its offer or that the zone is unresponsive."""
         addresses = self._list_addresses().get(zone, [])
-        state = self._asked.setdefault(zone, _Asked())
+        state = self._states.setdefault(zone, _ZoneState())
         asked_ms = self._clock.now_ms()
         try:
-            offer = self._ask_one(addresses, state.digest)
+            offer = self._query_one(addresses, state.digest)
         except PeerError:
-            self._note_silence(zone, state)
+            self._record_silence(zone, state)
             return
         if offer.digest != state.digest:
             state.digest = offer.digest
@@ -205,13 +205,13 @@
         for name in offer.leaving:
             self._directory.learn_leaving(name)
 
-    def _ask_one(self, addresses: list[str], digest: int) -> ZoneOffer:
+    def _query_one(self, addresses: list[str], digest: int) -> ZoneOffer:
         if not addresses:
             raise PeerError(ErrorKind.PEER_UNAVAILABLE, "no live daemon of the zone is recorded")
         question = ZoneQuestion(self._own_name, digest)
         return self._network.ask(random.choice(addresses), question, ASK_TIMEOUT_MS)
 
-    def _note_silence(self, zone: str, state: _Asked) -> None:
+    def _record_silence(self, zone: str, state: _ZoneState) -> None:
         if state.silent or state.answered_ms is None:
             return
         if self._clock.now_ms() - state.answered_ms > ZONE_SILENCE_MS:
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -6,7 +6,7 @@
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.core.identifiers import rank_rendezvous
 from hemlockswitch.process.news.board import NewsBoard, NewsItem
-from hemlockswitch.process.servers.vm_feed import GONE_AFTER_MS, VmFeed
+from hemlockswitch.process.servers.vm_feed import VM_REMOVAL_DELAY_MS, VmFeed
 from hemlockswitch.process.servers.watchers import (
     FEED_SILENCE_MS,
     MAX_RETRY_MS,
@@ -113,7 +113,7 @@
     vms.ask()
     platform.vms = [make_vm("b")]
     vms.ask()
-    clock.advance(GONE_AFTER_MS - 1)
+    clock.advance(VM_REMOVAL_DELAY_MS - 1)
     vms.ask()
     assert board.find("vm/a").value["state"] == "live"
     board.learn(NewsItem("notice/a", 4, {"deadline_wall_ms": 77}))
