--- a/hemlockswitch/process/copies/__init__.py
+++ b/hemlockswitch/process/copies/__init__.py
@@ -1,4 +1,4 @@
-"""Licensed copies, in the controller: how many are wanted, and the orders that bring them.
+"""Licensed copies in the controller: how many are wanted, and the orders that start and stop them.
 
-`control` compares and orders; `copies` plans; `cost` and `demand` weigh.
+`control` runs the reconciliation; `copies` plans; `cost` and `demand` measure.
 """
--- a/hemlockswitch/process/copies/changes.py
+++ b/hemlockswitch/process/copies/changes.py
@@ -1,4 +1,4 @@
-"""The steps that start and stop copies: each one recorded before it has an effect."""
+"""The steps that start and stop copies; each is recorded before it takes effect."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -34,7 +34,7 @@
 
 
 class RefusedPlaces:
-    """Machine classes in which the cloud API refused a start, each left alone for a while.
+    """Machine classes in which the cloud API refused a start, each with a back-off.
 
     Examples
     ========
@@ -55,31 +55,31 @@
         self._refusals: dict[MachineClass, _Refusal] = {}
 
     def add(self, machine_class: MachineClass, retry_after_ms: float) -> None:
-        """Leave a class alone, twice as long as the last time."""
+        """Start a back-off for a class, twice as long as its previous one."""
         known = self._refusals.get(machine_class)
         doubled = known.pause_ms * 2 if known else FIRST_PAUSE_MS
         pause_ms = min(max(doubled, retry_after_ms), LONGEST_PAUSE_MS)
         self._refusals[machine_class] = _Refusal(pause_ms, self._clock.now_ms() + pause_ms)
 
     def clear(self, machine_class: MachineClass) -> None:
-        """Forget the refusals of a class that has just given a VM."""
+        """Reset the back-off of a class in which a VM was just started."""
         self._refusals.pop(machine_class, None)
 
     def is_open(self, machine_class: MachineClass) -> bool:
-        """Return whether a start may be tried."""
+        """Return whether a start may be attempted now."""
         known = self._refusals.get(machine_class)
         return known is None or self._clock.now_ms() >= known.until_ms
 
 
 class CopyStarter:
-    """Asks the cloud API for the copies that the records want in this zone.
+    """Requests the copies that the records want in this zone from the cloud API.
 
     Explanation
     ===========
 
-    The record with its token exists before the call, so a controller that dies between the two
-    leaves the token to its successor, and the same token never gives a second VM. A refused
-    start's record is removed, which frees its licence for another place.
+    The record with its token is written before the call, so that the successor of a controller that dies
+    between the two finds the token; a token never starts a second VM. The record of a refused start is
+    removed, which frees its licence for another place.
     """
 
     def __init__(
@@ -93,18 +93,18 @@
         self.refused = RefusedPlaces(clock)
 
     def sort_by_turn(self, tokens: Iterable[str]) -> list[str]:
-        """Return the tokens, the one tried longest ago first, so that none holds up the others."""
+        """Return the tokens, least recently tried first, so that no token delays the others forever."""
         return sorted(tokens, key=lambda token: self._tried_ms.get(token, 0.0))
 
     def start(self, target: str, token: str, record: CopyRecord) -> bool:
-        """Start one wanted copy, or take back its record if the start is refused.
+        """Start one wanted copy, or remove its record if the start is refused.
 
-        A start without an answer keeps its record; a later pass asks again with its token.
+        A start without an answer keeps its record; a later pass repeats it with the same token.
 
         Returns
         =======
 
-        bool : whether the cloud API answered, so that asking for more makes sense now.
+        bool : whether the cloud API answered, so that further starts may be attempted now.
         """
         self._lease.get_fencing()
         self._tried_ms[token] = self._clock.now_ms()
@@ -141,16 +141,16 @@
 
 @dataclass(frozen=True)
 class StoppingCopy:
-    """A copy on its way out, with what is known of it now.
+    """A copy that is being stopped, with its current state.
 
     Parameters
     ==========
 
-    target, token, record : which copy.
-    vm : its entry in the VM list; None when it is not listed.
-    load : the engine's last report; None when it gave none.
-    takes_orders : a model engine does, a plain service does not.
-    is_past : the cloud has taken the VM back by now.
+    target, token, record : identify the copy.
+    vm : its entry in the VM list; None if it is not listed.
+    load : the engine's last report; None if there is none.
+    takes_orders : whether the copy is a model engine, which takes orders, or a plain service.
+    is_past : whether the VM has been reclaimed or removed.
     """
 
     target: str
@@ -163,14 +163,14 @@
 
 
 class OrderGiver:
-    """Gives orders under the lease and steps down when an engine knows a newer holder."""
+    """Sends orders under the lease, and steps down if an engine reports a newer lease holder."""
 
     def __init__(self, orders: OrderClient, lease: Lease) -> None:
         self._orders = orders
         self._lease = lease
 
     def give(self, vm: ListedVm, wanted: WantedState) -> None:
-        """Order the engine on `vm` into `wanted`; a failed order is given again next pass."""
+        """Order the engine on `vm` into `wanted`; a failed order is repeated in the next pass."""
         fencing = self._lease.get_fencing()
         fields: dict[str, Any] = {"vm": vm.name, "fencing": fencing, "state": wanted.state}
         try:
@@ -189,16 +189,16 @@
 
 
 class CopyStopper:
-    """Takes a copy out of service without cutting a request.
+    """Takes a copy out of service without interrupting a request.
 
     Explanation
     ===========
 
-    The order of the steps: every daemon learns that the server leaves; every running daemon
-    confirms that it gives it no work and has none in progress there; the engine is ordered to
-    drain and reports itself empty; only then the VM is stopped, and only after the cloud API
-    confirmed the stop is the licence free. All steps may be repeated by a successor, and none is
-    ever taken back, so two controllers that both believe to hold the lease do no harm here.
+    The steps are: every daemon is notified that the server is leaving; every running daemon confirms that
+    it sends no new work there and has none in progress; the engine is ordered to drain and reports that it
+    is empty; then the VM is stopped. The licence is freed only after the cloud API has confirmed the stop. A
+    successor may repeat any step, and no step is ever reverted, so two controllers that both assume that they
+    hold the lease do no harm here.
     """
 
     def __init__(
@@ -216,7 +216,7 @@
         self._giver = giver
 
     def announce(self, names: list[str]) -> Usage | None:
-        """Have the daemons learn of the planned stops and return their use of these servers."""
+        """Announce planned stops to the daemons, and return their use of these servers."""
         if not names:
             return None
         try:
@@ -227,7 +227,7 @@
             return None
 
     def advance(self, copy: StoppingCopy, usage: Usage | None) -> None:
-        """Take the next step that is allowed for a stopping copy."""
+        """Execute the next permitted step for a stopping copy."""
         if copy.is_past:
             self._stop(copy)
             return
@@ -237,7 +237,7 @@
             self._stop(copy)
 
     def _is_drained(self, copy: StoppingCopy, vm: ListedVm) -> bool:
-        """Return whether the engine reports itself drained and empty; order it where it is not."""
+        """Return whether the engine reports that it is drained and empty; order it to drain if not."""
         load = copy.load
         if load is None or not load.draining:
             self._giver.give(vm, WantedState((copy.target,), state=EngineState.DRAINED))
--- a/hemlockswitch/process/copies/control.py
+++ b/hemlockswitch/process/copies/control.py
@@ -1,7 +1,7 @@
-"""The controller of one availability zone: compares what is wanted with what there is.
+"""The controller of one availability zone: reconciles the wanted copies with the existing ones.
 
-Each pass starts from the platform's truth, so a pass that failed half-way, or a controller that
-died in it, leaves nothing that the next pass does not see.
+Each reconciliation pass starts from the state of the platform, so that the next pass completes one that
+failed half-way or whose controller died.
 """
 
 from collections.abc import Mapping
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True)
 class ControlTimes:
-    """The controller's paces.
+    """The time constants and start limit of the controller.
 
     Parameters
     ==========
 
     replace_ms : expected time from a reclaim to a serving replacement.
-    shrink_after_ms : how long the demand stays low before a copy is stopped.
-    gone_after_ms : how long a VM is missing from the lagging list before it counts as gone.
-    parallel_starts : copies of one target that load their weights at once in a zone; the weight
-        store is rate-limited, so more at once would all be late.
+    shrink_after_ms : time for which the demand must stay low before a copy is stopped.
+    gone_after_ms : time for which a VM must be missing from the lagging list to count as removed.
+    parallel_starts : limit on copies of one target that load their weights concurrently in a zone; the
+        weight store is rate-limited, so more would delay each other.
     """
 
     replace_ms: float = 60_000
@@ -43,17 +43,17 @@
 
 
 class Controller:
-    """Makes the passes of one zone's leader.
+    """Runs the reconciliation passes of one zone's leader.
 
     Parameters
     ==========
 
     zone : the availability zone.
-    lease : nothing is ordered, started or stopped without it.
-    records : which copies there are and should be.
-    sources : where the view of the zone comes from.
-    times : paces.
-    cost : adds up what the copies cost; None where nobody asks.
+    lease : the lease required for every order, start, and stop.
+    records : the records of existing and wanted copies.
+    sources : the sources of the observed state of the zone.
+    times : the time constants.
+    cost : sums the cost of the copies; None to disable this.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self._plans: dict[str, Plan] = {}
 
     def run_pass(self, file: OperatorFile) -> None:
-        """Compare and order once; does nothing without the lease."""
+        """Run one reconciliation pass; without the lease, do nothing."""
         if not self._lease.is_held:
             return
         wanted = list_wanted(file)
@@ -94,7 +94,7 @@
                 self._control(one, frozenset(file.draining))
 
     def describe(self) -> Mapping[str, object]:
-        """Return the last plans for the status page."""
+        """Return the latest plans for the status page."""
         return {
             name: {
                 "busy": round(self._view.meter.get_now(name).busy, 2),
@@ -107,7 +107,7 @@
         }
 
     def _control(self, one: WantedTarget, draining: frozenset[str]) -> None:
-        """Bring one target nearer to what is wanted: record first, then act on the record."""
+        """Reconcile one target: update the records first, then act on them."""
 
         def revise(found: CopyTable) -> CopyTable:
             adopted = self._adopt(found, one.name)
@@ -120,7 +120,7 @@
         self._repair(one, table)
 
     def _record_cost(self, target: str, table: CopyTable) -> None:
-        """Charge this zone's copies that have a VM."""
+        """Record the cost of this zone's copies that have a VM."""
         if self._cost is None:
             return
         held = [
@@ -131,9 +131,10 @@
         self._cost.record(target, held)
 
     def _adopt(self, table: CopyTable, target: str) -> CopyTable:
-        """Record VMs that serve the target and have no record, so that they count as licence.
+        """Record VMs that serve the target and have no record, so that they count towards the licence.
 
-        While a wanted copy of this zone has no VM yet, an unknown VM may be that copy's.
+        Nothing is adopted while a wanted copy of this zone has no VM yet, since a VM without a record may
+        belong to that copy.
         """
         if any(self._is_own(copy, CopyState.WANTED) for copy in table.copies.values()):
             return table
@@ -155,7 +156,7 @@
         return record.zone == self._zone and record.state == state
 
     def _mark_stops(self, table: CopyTable, draining: frozenset[str]) -> CopyTable:
-        """Move to stopping what the operators drain, what is reclaimed and what is gone."""
+        """Mark running copies as stopping that are drained by an operator, reclaimed, or removed."""
         for token, record in table.copies.items():
             if not self._is_own(record, CopyState.RUNNING):
                 continue
@@ -165,7 +166,7 @@
         return table
 
     def _apply_plan(self, one: WantedTarget, table: CopyTable) -> CopyTable:
-        """Record the planner's starts as wanted, or its stops as stopping."""
+        """Record the planned starts as wanted, and the planned stops as stopping."""
         plan = self._plan(one, table)
         self._plans[one.name] = plan
         wall_ms = self._clock.wall_ms()
@@ -202,7 +203,7 @@
         return plan
 
     def _start_wanted(self, one: WantedTarget, table: CopyTable) -> None:
-        """Ask for this zone's wanted copies, few at a time and within the licence."""
+        """Start wanted copies of this zone, within the licence and the limit on parallel starts."""
         if len(table.copies) > one.target.licensed:
             return
         own = {token: copy for token, copy in table.copies.items() if copy.zone == self._zone}
@@ -234,7 +235,7 @@
             self._stopper.advance(copy, usage)
 
     def _repair(self, one: WantedTarget, table: CopyTable) -> None:
-        """Order engines whose report differs from what is wanted of them."""
+        """Send orders to engines whose report differs from their wanted state."""
         if not one.takes_orders:
             return
         wanted = WantedState((one.name,))
--- a/hemlockswitch/process/copies/copies.py
+++ b/hemlockswitch/process/copies/copies.py
@@ -1,9 +1,9 @@
-"""How many licensed copies a target needs, and where: pure functions of what was measured.
+"""Plans how many licensed copies a target needs, and where, as pure functions of measurements.
 
-A target is a model or a plain service. The one measure is the *late share*: the expected share
-of requests whose first token comes after the latency target, over what queueing does with so
-many copies and over how many copies a reclaim wave leaves. The smallest set of copies whose late
-share is within the target's percentile is the one wanted.
+A target is a model or a plain service. The only criterion is the *late share*: the expected share of
+requests whose first token arrives after the latency target, given the queueing delay with a number of
+copies and the distribution of the number of copies that survive reclaim waves. The plan is the smallest
+set of copies whose late share is within the target's percentile.
 """
 
 import math
@@ -15,7 +15,7 @@
 from hemlockswitch.version.machine_class import MachineClass
 
 LATE_SHARE_ALLOWED = 0.03
-"""Below the 5 % of a p95 target, for what the model does not see."""
+"""Below the 5 % of a p95 target, as a margin for effects that the model does not include."""
 LATE_SHARE_TO_SHRINK = 0.015
 POOL_EFFICIENCY = 0.9
 LEAST_PRICE = 1e-6
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True)
 class Place:
-    """Where a copy can run, with what it costs and risks there.
+    """A zone and machine class for a copy, with its price and reclaim rate.
 
     Parameters
     ==========
 
-    zone, machine_class : what the cloud API is asked for.
-    price_per_hour : of one VM.
-    reclaims_per_hour : expected reclaim waves; all reclaimable copies of a zone go together.
+    zone, machine_class : the parameters of a start in the cloud API.
+    price_per_hour : price of one VM.
+    reclaims_per_hour : expected reclaim waves; a wave takes all reclaimable copies of a zone.
     """
 
     zone: str
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """What is asked of a target, measured.
+    """The measured demand on a target.
 
     Parameters
     ==========
 
-    busy : requests running or waiting at once, averaged over the last seconds.
-    holding_ms : the time that one request holds its slot.
-    prefill_ms : the part of the first token's time that no number of copies shortens.
+    busy : concurrently running or waiting requests, averaged over the last seconds.
+    holding_ms : time for which one request occupies its slot.
+    prefill_ms : part of the time to the first token that is independent of the number of copies.
     """
 
     busy: float
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """What the configuration asks for one model or service."""
+    """The configured requirements of one model or service."""
 
     name: str
     latency_ms: float
@@ -69,13 +69,13 @@
 
 @dataclass(frozen=True)
 class Copy:
-    """One copy as the planner sees it.
+    """The planner's view of one copy.
 
     Parameters
     ==========
 
-    name : what a removal names.
-    is_staying : serving or on its way there; a leaving or stopping copy only counts as licence.
+    name : identifies the copy in `Plan.stops`.
+    is_staying : whether the copy is serving or starting; a leaving or stopping copy only uses a licence.
     """
 
     name: str
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """The difference that the planner wants; one of the two is empty."""
+    """The planned changes; `starts` or `stops` is empty."""
 
     starts: tuple[Place, ...] = ()
     stops: tuple[str, ...] = ()
@@ -98,9 +98,9 @@
     Explanation
     ===========
 
-    Waiting is that of an M/M/c queue (Erlang C) over the slots of all copies, fewer than there
-    are because routing does not balance perfectly. Without enough slots the share is above 1 and
-    grows with what is missing, so that more copies are better even then.
+    The delay is that of an M/M/c queue (Erlang C) over a reduced number of the slots of all copies, since
+    routing does not balance perfectly. With too few slots the result exceeds 1 and grows with the deficit,
+    so that additional copies improve it even then.
 
     Examples
     ========
@@ -131,13 +131,13 @@
 
 
 def compute_survivors(places: Iterable[Place], replace_ms: float) -> list[float]:
-    """Return the probability of each number of copies being there, from 0 up.
+    """Return the probability of each number of available copies, from 0 up.
 
     Explanation
     ===========
 
-    A copy is missing while its replacement starts. A zone's reclaimable copies go in one wave;
-    on-demand copies go one by one.
+    A copy is unavailable while its replacement starts. A zone's reclaimable copies are reclaimed in one
+    wave, on-demand copies independently of each other.
 
     Examples
     ========
@@ -165,7 +165,7 @@
 
 
 def _convolve(shares: Sequence[float], copies: int, missing: float) -> list[float]:
-    """Add `copies` that are there together or missing together."""
+    """Extend the distribution by `copies` copies that are all available or all missing."""
     result = [0.0] * (len(shares) + copies)
     for number, share in enumerate(shares):
         result[number] += share * missing
@@ -174,13 +174,13 @@
 
 
 class Planner:
-    """The rule that turns measured demand into starts and stops.
+    """Plans starts and stops from the measured demand.
 
     Parameters
     ==========
 
-    target : what the configuration asks.
-    replace_ms : the time from a reclaim to a serving replacement, as measured.
+    target : the configured requirements.
+    replace_ms : time from a reclaim to a serving replacement.
     """
 
     def __init__(self, target: Target, replace_ms: float) -> None:
@@ -189,7 +189,7 @@
         self._late = lru_cache(maxsize=256)(compute_late_share)
 
     def compute_late(self, places: Iterable[Place], demand: Demand) -> float:
-        """Return the late share of a set of copies under `demand`, reclaims included."""
+        """Return the late share of a set of copies under `demand`, including the effect of reclaims."""
         survivors = compute_survivors(places, self._replace_ms)
         return sum(
             share * self._late(number, demand, self._target)
@@ -200,15 +200,15 @@
     def plan(
         self, copies: Sequence[Copy], free: Sequence[Place], now: Demand, peak: Demand
     ) -> Plan:
-        """Return the starts or the one stop that `copies` need.
+        """Return the starts, or the single stop, that the demand requires.
 
         Parameters
         ==========
 
-        copies : all copies that count as licence.
-        free : places where a start is not known to be refused.
-        now : the demand to grow for.
-        peak : the highest demand of the time that the planner waits before it shrinks.
+        copies : all copies that use a licence.
+        free : places without a recent refusal of a start.
+        now : the demand that determines starts.
+        peak : the maximum demand of the shrink window, which determines stops.
         """
         staying = [copy for copy in copies if copy.is_staying]
         starts = self._choose_starts([copy.place for copy in staying], free, now, len(copies))
@@ -222,7 +222,7 @@
     def _choose_starts(
         self, places: list[Place], free: Sequence[Place], demand: Demand, licences_used: int
     ) -> list[Place]:
-        """Add places until the target holds and the least number is there."""
+        """Return places to add until the late share is allowed and the minimum number is reached."""
         starts: list[Place] = []
         room = self._target.licensed - licences_used
         while free and len(starts) < room:
@@ -237,7 +237,7 @@
         return starts
 
     def _choose_stop(self, staying: Sequence[Copy], peak: Demand) -> str:
-        """Return the dearest copy without which the target holds with room, or nothing."""
+        """Return the most expensive copy that can be stopped with a margin in the late share, or ``""``."""
         if len(staying) <= max(self._target.least, 0):
             return ""
         for copy in sorted(staying, key=lambda one: one.place.price_per_hour, reverse=True):
@@ -248,7 +248,7 @@
 
 
 def _choose_place(free: Sequence[Place], gains: Sequence[float], is_late: bool) -> Place:
-    """Return what buys most for its price while requests are late, else the cheapest place."""
+    """Return the place with the largest gain per price if requests are late, otherwise the cheapest one."""
 
     def rate(at: int) -> tuple[float, float]:
         price = max(free[at].price_per_hour, LEAST_PRICE)
@@ -258,7 +258,7 @@
 
 
 def plan_over_licence(copies: Sequence[Copy], target: Target) -> tuple[str, ...]:
-    """Return the copies to stop because the licence was lowered, dearest first."""
+    """Return the copies to stop because they exceed a reduced licence, most expensive first."""
     over = len(copies) - target.licensed
     staying = [copy for copy in copies if copy.is_staying]
     leaving = len(copies) - len(staying)
--- a/hemlockswitch/process/copies/cost.py
+++ b/hemlockswitch/process/copies/cost.py
@@ -1,4 +1,4 @@
-"""What the latency target costs: copies held, their hours and their price, summed as they run."""
+"""Metrics of the cost of the copies: their number, their running time, and their price."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -12,26 +12,26 @@
 
 @dataclass(frozen=True)
 class HeldCopy:
-    """A copy that counts as licence, with what its VM costs."""
+    """A copy that uses a licence, with the price of its VM."""
 
     machine_class: str
     price_per_hour: float
 
 
 class CostMeter:
-    """Adds up what the copies of a zone cost while this process leads it.
+    """Sums the cost of a zone's copies while this process leads the zone.
 
     Explanation
     ===========
 
-    Every pass of the leader records the copies that are held; the time since the last record is
-    charged at their price. After a longer gap, as when another process led, nothing is charged,
-    so that the sum over all controllers counts no hour twice.
+    Each pass of the leader records the current copies, and charges the time since the previous record at
+    their price. After a gap longer than `LONGEST_GAP_MS`, for instance while another process led, nothing is
+    charged, so that the sum over all controllers counts no hour twice.
 
     Parameters
     ==========
 
-    registry : where the metrics are kept.
+    registry : the registry of the metrics.
     clock : the process's clock.
     """
 
@@ -55,7 +55,7 @@
         )
 
     def record(self, target: str, copies: Iterable[HeldCopy]) -> None:
-        """Charge the time since the last record of `target` to the copies held now."""
+        """Charge the time since the previous record of `target` for the current copies."""
         held = list(copies)
         now_ms = self._clock.now_ms()
         elapsed_ms = now_ms - self._last_ms.get(target, now_ms)
--- a/hemlockswitch/process/copies/demand.py
+++ b/hemlockswitch/process/copies/demand.py
@@ -1,4 +1,4 @@
-"""The demand on each model and service, from samples of the zone's reported load."""
+"""The demand on each model and service, measured from samples of the reported load."""
 
 import math
 from collections import deque
@@ -22,19 +22,20 @@
 
 
 class DemandMeter:
-    """Smooths samples over about one holding time upwards and some downwards, and keeps the peak.
+    """Smooths load samples, and records their peak in a time window.
 
     Explanation
     ===========
 
-    Requests in progress change by chance within a holding time; what is left after one is the
-    demand. Falls are believed later than rises.
+    The number of requests in progress fluctuates randomly within a holding time; a change that persists
+    longer is a change of demand. The time constant is one holding time for rises and `FALL_FACTOR` times that
+    for falls.
 
     Parameters
     ==========
 
     clock : monotonic milliseconds.
-    window_ms : how far back the peak reaches; the time that the planner waits before it shrinks.
+    window_ms : window of the peak, which is the time that the planner waits before it shrinks.
 
     Examples
     ========
@@ -63,11 +64,11 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether a whole window was seen, so that the peak means something."""
+        """Whether a complete window has been measured, so that the peak is meaningful."""
         return self._clock.now_ms() - self._since_ms >= self._window_ms
 
     def add_sample(self, target: str, busy: float, holding_ms: float | None = None) -> None:
-        """Take in what is running and waiting, and how long a request holds its slot."""
+        """Add a sample of the running and waiting requests, and of the holding time of a slot."""
         series = self._series.setdefault(target, _Series())
         series.holding_ms = holding_ms or series.holding_ms
         now_ms = self._clock.now_ms()
@@ -78,11 +79,11 @@
             series.peaks.popleft()
 
     def get_now(self, target: str) -> Demand:
-        """Return the demand to grow for."""
+        """Return the current demand."""
         return self._make(target, lambda series: series.busy)
 
     def get_peak(self, target: str) -> Demand:
-        """Return the highest demand of the window."""
+        """Return the maximum demand of the window."""
         return self._make(target, lambda series: max(busy for _, busy in series.peaks))
 
     def _make(self, target: str, choose: Callable[[_Series], float]) -> Demand:
@@ -93,7 +94,7 @@
 
 
 def _compute_share(series: _Series, busy: float, now_ms: float) -> float:
-    """Return how far the smoothed value moves to a sample, by the time since the last one."""
+    """Return the weight of a new sample, given the time since the previous one."""
     if series.sampled_ms is None:
         return 1.0
     over_ms = series.holding_ms * (1 if busy > series.busy else FALL_FACTOR)
--- a/hemlockswitch/process/copies/observed_zone.py
+++ b/hemlockswitch/process/copies/observed_zone.py
@@ -1,4 +1,4 @@
-"""What one zone's leader sees: its VMs, their load, the demand, and the places to start in."""
+"""The leader's view of its zone: the VMs, their load, the demand, and the places for starts."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -30,17 +30,17 @@
 
 @dataclass(frozen=True)
 class Sources:
-    """Where the view comes from.
+    """The sources of the observed state of a zone.
 
     Parameters
     ==========
 
-    platform : VM list.
+    platform : provides the VM list.
     clock : monotonic milliseconds.
-    orders : asks engines for their load.
-    daemons : asks entry daemons for their use of servers.
-    reclaims : the zone's notices.
-    summaries : the other zones' words.
+    orders : queries engines for their load.
+    daemons : queries entry daemons for their use of servers.
+    reclaims : the zone's reclaim notices.
+    summaries : the summaries of the other zones.
     """
 
     platform: PlatformClient
@@ -52,14 +52,14 @@
 
 
 class Refusals:
-    """What refused requests would have kept busy, from the daemons' counts."""
+    """Estimates the load of refused requests from the daemons' counts."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._last: dict[str, tuple[float, int]] = {}
 
     def estimate_busy(self, target: str, usage: Usage | None, holding_ms: float | None) -> float:
-        """Return the slots that the requests refused since the last call would have held."""
+        """Return the number of slots that the requests refused since the last call would have occupied."""
         if usage is None:
             return 0.0
         now_ms, count = self._clock.now_ms(), usage.refused.get(target, 0)
@@ -71,16 +71,16 @@
 
 
 class ObservedZone:
-    """The zone as its leader sees it in this pass.
+    """The leader's view of its zone in the current pass.
 
     Parameters
     ==========
 
     zone : the availability zone.
-    sources : where the view comes from.
-    shrink_after_ms : how far back the peak demand reaches.
-    gone_after_ms : how long a VM is missing from the lagging list before it counts as gone.
-    is_open : whether a machine class is not left alone after refused starts.
+    sources : the sources of the observed state.
+    shrink_after_ms : window of the peak demand.
+    gone_after_ms : time for which a VM must be missing from the lagging list to count as removed.
+    is_open : returns whether a machine class is not in a back-off after a refused start.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         self._refusals = Refusals(sources.clock)
 
     def refresh(self, wanted: list[WantedTarget]) -> None:
-        """Take in the VM list, the engines' reports and the other zones' summaries."""
+        """Update the view from the VM list, the engines' reports, and the other zones' summaries."""
         listed = self._sources.platform.list_vms(self.zone).vms
         self.vms = {vm.name: vm for vm in listed}
         now_ms = self._sources.clock.now_ms()
@@ -127,15 +127,15 @@
         return (vm is not None and vm.state == LEAVING) or self._sources.reclaims.is_leaving(name)
 
     def is_past(self, record: CopyRecord) -> bool:
-        """Return whether a copy's VM is gone, by its notice or for want of any sign of it.
+        """Return whether a copy's VM was removed, by its reclaim notice or because it is unreachable.
 
-        The notice's deadline is wall time of another machine, so the VM must be off the list too.
+        The deadline of a notice is wall-clock time of another machine, so the VM must also be unlisted.
         """
         is_over = record.vm not in self.vms and self._sources.reclaims.is_past(record.vm)
         return is_over or self.is_gone(record)
 
     def is_gone(self, record: CopyRecord) -> bool:
-        """Return whether a VM is long missing from the list and does not answer either."""
+        """Return whether a VM has been unlisted for the removal delay and is unreachable."""
         now_ms = self._sources.clock.now_ms()
         last_ms = self._last_listed_ms.setdefault(record.vm, now_ms)
         if record.vm in self.vms or now_ms - last_ms < self._gone_after_ms:
@@ -143,14 +143,14 @@
         return not self._sources.orders.is_reachable(record.address)
 
     def is_loading(self, record: CopyRecord) -> bool:
-        """Return whether a running record's VM does not serve yet."""
+        """Return whether the VM of a running record is still starting."""
         vm = self.vms.get(record.vm)
         if vm is None:
             return record.vm not in self._last_listed_ms
         return vm.state == STARTING
 
     def list_unknown(self, target: str, known: set[str]) -> list[ListedVm]:
-        """Return listed VMs that serve the target, answer, and are not among `known`."""
+        """Return listed VMs that serve the target, are reachable, and are not in `known`."""
         return [
             vm
             for vm in self.vms.values()
@@ -160,7 +160,7 @@
         ]
 
     def list_free(self, one: WantedTarget) -> list[Place]:
-        """Return the places where a copy of the target may be started now."""
+        """Return the places in which a copy of the target may be started now."""
         own = [
             Place(self.zone, offer.machine_class, offer.price_per_hour, offer.reclaims_per_hour)
             for offer in self._list_offers()
@@ -169,7 +169,7 @@
         return [place for place in everywhere if place.machine_class in one.classes]
 
     def make_place(self, record: CopyRecord) -> Place:
-        """Return the planner's place of a recorded copy."""
+        """Return the place of a recorded copy for the planner."""
         rate = self._find_rate(record.zone, record.machine_class)
         return Place(record.zone, record.machine_class, record.price_per_hour, rate)
 
--- a/hemlockswitch/process/copies/reclaims.py
+++ b/hemlockswitch/process/copies/reclaims.py
@@ -1,4 +1,4 @@
-"""Reclaim notices of a zone: which VMs leave by when, and how often waves come."""
+"""Reclaim notices of a zone: the leaving VMs with their deadlines, and the rate of reclaim waves."""
 
 from collections.abc import Callable
 
@@ -14,16 +14,16 @@
 
 
 class Reclaims:
-    """What the cloud API's notices say of one zone; the same notice twice is one.
+    """The cloud API's reclaim notices of one zone; a repeated notice counts once.
 
     Parameters
     ==========
 
     platform : the cloud API's client.
-    clock : wall time for the notices' deadlines.
+    clock : wall-clock time for the deadlines of the notices.
     zone : the availability zone.
-    window_ms : how far back waves count for the expected rate.
-    wait_ms : how long one call waits for a notice.
+    window_ms : window of the waves that determine the expected rate.
+    wait_ms : maximum time that one call waits for a notice.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._waves: list[int] = []
 
     def is_leaving(self, vm: str) -> bool:
-        """Return whether a notice for `vm` came."""
+        """Return whether a notice for `vm` was received."""
         return vm in self._deadlines
 
     def is_past(self, vm: str) -> bool:
@@ -52,7 +52,7 @@
         return vm in self._deadlines and self._clock.wall_ms() > self._deadlines[vm]
 
     def compute_rate(self, machine_class: MachineClass) -> float:
-        """Return the expected reclaim waves an hour for VMs of this zone."""
+        """Return the expected reclaim waves per hour for VMs of this zone."""
         prior = PRIOR_PER_HOUR[machine_class]
         if machine_class != MachineClass.RECLAIMABLE:
             return prior
@@ -61,7 +61,7 @@
         return prior + waves * MS_PER_HOUR / self._window_ms
 
     def watch_once(self) -> bool:
-        """Wait for notices once; return whether there were any."""
+        """Wait for notices once; return whether any were received."""
         page = self._platform.watch_notices(self._zone, self._since, self._wait_ms)
         self._since = max(self._since, page.number)
         for notice in page.notices:
@@ -80,8 +80,8 @@
     ) -> None:
         """Watch until killed, and set `wake` at each notice so that the controller acts at once.
 
-        A candidate does not watch, which would cost the platform a call for each; a new leader
-        gets all notices that the cloud API still has.
+        A candidate does not watch, to avoid one platform call for each candidate; a new leader receives all
+        notices that the cloud API still has.
         """
         while True:
             if not is_leader():
--- a/hemlockswitch/process/copies/records.py
+++ b/hemlockswitch/process/copies/records.py
@@ -1,8 +1,8 @@
-"""The record of licensed copies: one platform object for each model or service.
+"""The records of licensed copies: one platform object for each model or service.
 
-A copy's record is written before its VM is asked for and removed after its VM is certainly gone,
-so the number of records is never below the number of licensed copies running. All zones' leaders
-write the same object, each under its version; the licence is checked inside that write.
+A copy's record is written before its VM is requested, and removed after its VM has certainly stopped, so
+the number of records is never below the number of running licensed copies. The leaders of all zones write
+the same object with conditional writes on its version; the licence is checked within that update.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 
 class CopyState(StrEnum):
-    """How far a copy has come; it only moves down this list."""
+    """The state of a copy; it only advances in this order."""
 
     WANTED = "wanted"
     RUNNING = "running"
@@ -34,9 +34,9 @@
     ==========
 
     zone, machine_class, price_per_hour : its place.
-    vm, address : the VM; empty until the cloud API gave one.
-    state : how far it has come.
-    since_wall_ms : when it came into `state`; for people and for measuring starts.
+    vm, address : the VM; empty until the cloud API has started one.
+    state : its state.
+    since_wall_ms : when it entered `state`; for display and for measuring starts.
     """
 
     model_config = ConfigDict(frozen=True)
@@ -51,7 +51,7 @@
 
 
 class CopyTable(BaseModel):
-    """All copies of one target, by the token under which each was asked for."""
+    """All copies of one target, by the token of each start request."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -64,7 +64,7 @@
     def move(
         self, token: str, state: CopyState, wall_ms: int, vm: str = "", address: str = ""
     ) -> "CopyTable":
-        """Return the table with one copy in a later state; a state never goes back."""
+        """Return the table with one copy advanced to a later state; an earlier state is ignored."""
         record = self.copies.get(token)
         if record is None:
             return self
@@ -89,13 +89,13 @@
 
 
 class CopyRecords:
-    """Reads and changes the tables of copies.
+    """Reads and updates the tables of copies.
 
     Parameters
     ==========
 
-    platform : its object service keeps the tables.
-    tries : how often a change that met another writer begins anew.
+    platform : provides the object service that stores the tables.
+    tries : maximum number of attempts of an update that conflicts with other writers.
     """
 
     def __init__(self, platform: PlatformClient, tries: int = 4) -> None:
@@ -103,22 +103,22 @@
         self._tries = tries
 
     def read(self, target: str) -> CopyTable:
-        """Return the table of `target`; empty where there is none."""
+        """Return the table of `target`, or an empty one."""
         return self._read(target)[1]
 
     def change(self, target: str, change: Change) -> CopyTable:
-        """Apply `change` to the newest table and return what is stored then.
+        """Apply `change` to the newest table and return the table stored after it.
 
         Explanation
         ===========
 
-        `change` may be called again on a newer table, so it decides from its argument alone. A
-        lost answer is an error here: the next pass reads what became of it.
+        `change` may be called again on a newer table, so it must depend on its argument only. A lost answer
+        is an error; the next pass reads the actual outcome.
 
         Raises
         ======
 
-        PlatformError : the service does not answer, or others kept writing.
+        PlatformError : the service does not answer, or all attempts conflicted with other writers.
         """
         for _ in range(self._tries):
             version, table = self._read(target)
--- a/hemlockswitch/process/copies/targets.py
+++ b/hemlockswitch/process/copies/targets.py
@@ -1,4 +1,4 @@
-"""What the controller keeps for each model and service of the configuration."""
+"""The controller's targets: the models and services of the configuration."""
 
 from dataclasses import dataclass
 from functools import singledispatch
@@ -12,14 +12,15 @@
 
 @dataclass(frozen=True)
 class WantedTarget:
-    """One model or service with what the controller needs beside the planner.
+    """One model or service with the controller's data about it.
 
     Parameters
     ==========
 
-    target : what the planner keeps.
+    target : the planner's data.
     classes : machine classes that its copies may run on.
-    takes_orders : a model engine takes orders and reports its load, a plain service does not.
+    takes_orders : whether it is a model engine, which takes orders and reports its load; a plain service
+        does not.
     """
 
     target: Target
@@ -34,7 +35,7 @@
 
 @singledispatch
 def describe_wanted(item: object) -> WantedTarget:
-    """Return what the controller keeps for one model or service."""
+    """Return the target of one model or service."""
     raise TypeError(f"not a target: {item!r}")
 
 
--- a/hemlockswitch/process/copies/usage.py
+++ b/hemlockswitch/process/copies/usage.py
@@ -1,7 +1,7 @@
-"""What the entry daemons say of the backend servers they use, asked by the controller.
+"""The controller's queries to the entry daemons for their use of backend servers.
 
-The controller asks one daemon, which asks all others that it counts as running. A backend server
-is empty when each of them knows that it leaves and has no request in progress there.
+The controller queries one daemon, which queries all other daemons that it counts as running. A backend
+server is empty if each of them has received that it is leaving and has no request in progress there.
 """
 
 from collections import Counter
@@ -22,7 +22,7 @@
 @register_message("usage_question")
 @dataclass(frozen=True)
 class UsageQuestion:
-    """Asks for the use of some backend servers, of one daemon or through it of all."""
+    """Query for the use of some backend servers by one daemon, or through it by all."""
 
     names: list[str]
     of_all: bool = False
@@ -31,16 +31,16 @@
 @register_message("usage")
 @dataclass(frozen=True)
 class Usage:
-    """The use of the asked backend servers.
+    """The use of the queried backend servers.
 
     Parameters
     ==========
 
     in_flight : requests in progress by server name.
-    closed : names that get no new work from any daemon that answered.
-    holding_ms : mean time that a request holds its slot, by model or service.
-    refused : requests refused for want of a backend server's time since the daemons began, by
-        model or service.
+    closed : servers that get no new work from any daemon that answered.
+    holding_ms : mean time for which a request occupies its slot, by model or service.
+    refused : requests refused for lack of backend capacity since the daemons started, by model or
+        service.
     silent : daemons that count as running and did not answer.
     answered : peer addresses of the daemons that answered.
     """
@@ -53,14 +53,14 @@
     answered: list[str]
 
     def is_empty(self, name: str) -> bool:
-        """Return whether all daemons confirm that the server has and gets no work."""
+        """Return whether all daemons confirm that the server has no requests and gets no new ones."""
         return not self.silent and name in self.closed and self.in_flight.get(name, 0) == 0
 
 
 @register_message("planned_stop")
 @dataclass(frozen=True)
 class PlannedStop:
-    """Says that backend servers will be stopped, so that no daemon gives them new work."""
+    """Announces that backend servers will be stopped, so that no daemon sends them new work."""
 
     names: list[str]
     to_all: bool = False
@@ -73,23 +73,23 @@
 
 
 class UsedBackends(Protocol):
-    """What the answering daemon needs of its directory of backend servers."""
+    """The interface that the answering daemon needs of its directory of backend servers."""
 
     def count_in_flight(self, name: str) -> int:
-        """Return this daemon's requests in progress at the server."""
+        """Return the number of this daemon's requests in progress at the server."""
 
     def is_closed(self, name: str) -> bool:
-        """Return whether the server gets no new work from this daemon ever again."""
+        """Return whether this daemon has permanently stopped sending new work to the server."""
 
     def close(self, name: str) -> None:
-        """Give the server no new work ever again, and let what runs there end."""
+        """Permanently send no new work to the server; its requests in progress continue."""
 
     def get_service_ms(self) -> dict[str, float]:
-        """Return the mean time of a request in its slot, by model or service."""
+        """Return the mean time for which a request occupies its slot, by model or service."""
 
 
 def combine_usage(answers: Iterable[Usage]) -> Usage:
-    """Return the use over several daemons.
+    """Return the combined use by several daemons.
 
     Examples
     ========
@@ -122,15 +122,15 @@
 
 
 class UsageReporter:
-    """The entry daemon's side: answers for itself, and asks the others on behalf of a controller.
+    """Answers usage queries in an entry daemon, and queries its peers on behalf of a controller.
 
     Parameters
     ==========
 
-    network : the daemon's peer network; the handlers are registered here.
-    backends : its directory of backend servers.
-    count_refused : requests refused for want of a server's time, by model or service.
-    list_peers : names and peer addresses of the other running daemons.
+    network : the daemon's peer network, in which the handlers are registered.
+    backends : the daemon's directory of backend servers.
+    count_refused : returns the requests refused for lack of backend capacity, by model or service.
+    list_peers : returns the names and peer addresses of the other running daemons.
     """
 
     def __init__(
@@ -173,7 +173,7 @@
         return PlannedStopLearned()
 
     def _ask_all(self, question: UsageQuestion | PlannedStop) -> dict[str, Any]:
-        """Return every other running daemon's answer, None for one that gave none."""
+        """Return the answers of all other running daemons by name; None for a missing answer."""
         tasks = {
             name: gevent.spawn(self._ask, address, question) for name, address in self._list_peers()
         }
@@ -192,18 +192,18 @@
 
 
 class Daemons:
-    """The controller's side: asks whichever known daemon answers.
+    """Queries the first entry daemon that answers on behalf of the controller.
 
     Explanation
     ===========
 
-    The daemons of the settings may all have been replaced since; those that answered last are
-    remembered and asked too.
+    All daemons in the settings may have been replaced, so the daemons that answered last are cached and
+    queried as well.
 
     Parameters
     ==========
 
-    network : the controller's own peer network.
+    network : the controller's peer network.
     seeds : peer addresses of daemons, the nearest first.
     """
 
@@ -213,7 +213,7 @@
         self._answered: list[str] = []
 
     def ask_usage(self, names: Iterable[str]) -> Usage:
-        """Return the use of the named servers over all running daemons.
+        """Return the use of the named servers by all running daemons.
 
         Raises
         ======
@@ -225,7 +225,7 @@
         return usage
 
     def announce_stop(self, names: Iterable[str]) -> None:
-        """Have every daemon learn that the named servers will be stopped."""
+        """Announce to every daemon that the named servers will be stopped."""
         self._ask_any(PlannedStop(sorted(names), to_all=True))
 
     def _ask_any(self, question: UsageQuestion | PlannedStop) -> Any:
@@ -234,4 +234,4 @@
                 return self._network.ask(address, question, ASK_MS * 2)
             except PeerError:
                 continue
-        raise PeerError(ErrorKind.PEER_UNAVAILABLE, "no daemon answered")
+        raise PeerError(ErrorKind.PEER_UNAVAILABLE, "no entry daemon answered")
--- a/hemlockswitch/process/copies/zone_load.py
+++ b/hemlockswitch/process/copies/zone_load.py
@@ -1,4 +1,4 @@
-"""What a zone's leader knows of load: its own engines' reports, and the other zones' summaries."""
+"""The load data of a zone's leader: its own engines' reports, and the other zones' summaries."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -22,13 +22,13 @@
 
 
 class ZoneLoads:
-    """The newest load report of each engine of the zone, a few asked on each pass.
+    """The newest load report of each engine of the zone; each pass queries some of them.
 
     Parameters
     ==========
 
-    orders : asks the engines.
-    samples : how many engines one pass asks; the others keep their last report.
+    orders : queries the engines.
+    samples : number of engines that one pass queries; the last reports of the others are retained.
     """
 
     def __init__(self, orders: OrderClient, samples: int = SAMPLES_PER_PASS) -> None:
@@ -38,21 +38,21 @@
         self._next = 0
 
     def refresh(self, vms: Sequence[ListedVm]) -> None:
-        """Ask the next few of `vms`, all at once, and forget servers that are not among them."""
+        """Query the next few of `vms` concurrently, and evict servers that are not in `vms`."""
         names = {vm.name for vm in vms}
         self._loads = {name: load for name, load in self._loads.items() if name in names}
         tasks = [gevent.spawn(self._ask, vm) for vm in self._take_turn(vms)]
         gevent.joinall(tasks)
 
     def find(self, name: str) -> ReportedLoad | None:
-        """Return the last report of a server, or None if it gives none."""
+        """Return the last report of a server, or None if it did not answer the last query."""
         return self._loads.get(name)
 
     def sum_busy(self, names: Iterable[str]) -> int:
-        """Return the requests running and waiting on the named servers.
+        """Return the number of requests running and waiting on the named servers.
 
-        A long queue tells how long too few copies were there rather than how many are needed, so
-        it counts as no more than what runs.
+        The length of a long queue reflects for how long there were too few copies rather than how many are
+        needed, so at most as many waiting requests count as are running.
         """
         loads = [self._loads[name] for name in names if name in self._loads]
         return sum(load.running + min(load.waiting, load.running) for load in loads)
@@ -73,7 +73,7 @@
 
 
 class OfferedPlace(BaseModel):
-    """A machine class that a zone's leader would start now."""
+    """A machine class in which a zone's leader accepts starts now."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -83,13 +83,13 @@
 
 
 class ZoneSummary(BaseModel):
-    """What one zone's leader tells the others through the platform.
+    """The summary that a zone's leader publishes to the other leaders through the platform.
 
     Parameters
     ==========
 
     busy : requests running and waiting, by model or service.
-    offers : machine classes in which starts are not known to be refused.
+    offers : machine classes without a recent refusal of a start.
     """
 
     model_config = ConfigDict(frozen=True)
@@ -98,7 +98,7 @@
     offers: tuple[OfferedPlace, ...] = ()
 
     def differs_from(self, other: "ZoneSummary") -> bool:
-        """Return whether the others should hear of this one now rather than in a while."""
+        """Return whether this summary differs enough to be published at once."""
         if self.offers != other.offers or set(self.busy) != set(other.busy):
             return True
         steps = [abs(busy - other.busy[name]) for name, busy in self.busy.items()]
@@ -114,15 +114,15 @@
 
 
 class ZoneSummaries:
-    """Writes the own zone's summary and reads the others'.
+    """Writes the local zone's summary and reads those of the other zones.
 
     Parameters
     ==========
 
-    platform : its object service carries the summaries, ``status/zone-<zone>``.
-    clock : ages are counted here from when a change was first seen.
-    zone : the own zone.
-    rest_ms : an unchanged summary is written again after this time, as a sign of life.
+    platform : provides the object service that stores the summaries, ``status/zone-<zone>``.
+    clock : time source; the age of a summary counts from when this process first read it.
+    zone : the local zone.
+    rest_ms : time after which an unchanged summary is written again, as a heartbeat.
     """
 
     def __init__(
@@ -137,7 +137,7 @@
         self._written_ms = 0.0
 
     def exchange(self, own: ZoneSummary) -> None:
-        """Read all summaries and write the own one where it is due."""
+        """Read all summaries, and write the local one if it is due."""
         page = self._platform.list(STATUS_KIND, ZONE_PREFIX)
         for item in page.items:
             self._hear(item)
@@ -146,15 +146,15 @@
             self._write(own)
 
     def sum_others(self, target: str) -> float:
-        """Return the last known load of all other zones on `target`.
+        """Return the last reported load of all other zones on `target`.
 
-        A silent zone counts with its last word: its callers are still there.
+        An unresponsive zone counts with its last summary, since its callers still send requests.
         """
         others = [heard for zone, heard in self._heard.items() if zone != self._zone]
         return sum(heard.summary.busy.get(target, 0.0) for heard in others)
 
     def list_places(self) -> list[Place]:
-        """Return the places that other zones with a living leader offer."""
+        """Return the places offered by other zones that have a live leader."""
         limit_ms = self._clock.now_ms() - 3 * self._rest_ms
         return [
             Place(zone, offer.machine_class, offer.price_per_hour, offer.reclaims_per_hour)
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -1,4 +1,4 @@
-"""The planner: enough for the target, no more, and never above the licence."""
+"""The planner starts enough copies for the latency target, no more, and never exceeds the licence."""
 
 import pytest
 
@@ -28,7 +28,7 @@
     return [Copy(f"llm-{number}", place, staying) for number, place in enumerate(places)]
 
 
-def test_more_copies_are_never_later():
+def test_late_share_never_rises_with_more_copies():
     shares = [compute_late_share(copies, Demand(busy=20), TARGET) for copies in range(1, 7)]
     assert shares == sorted(shares, reverse=True)
 
@@ -40,14 +40,14 @@
     assert len(plan.starts) == copies
 
 
-def test_a_leaving_copy_still_counts_as_licence():
+def test_leaving_copy_still_uses_a_licence():
     demand = Demand(busy=1000)
     copies = make_copies(PLACES, staying=False) + make_copies(PLACES[:2])
     plan = Planner(TARGET, 10_000).plan(copies, PLACES, demand, demand)
     assert len(plan.starts) == 1
 
 
-def test_waves_spread_copies_and_add_a_spare():
+def test_frequent_waves_spread_copies_over_zones_and_add_a_spare():
     demand = Demand(busy=12, holding_ms=1_000)
     often = [make_place(place.zone, rate=60) for place in PLACES]
     plan = Planner(TARGET, 30_000).plan([], often, demand, demand)
@@ -55,7 +55,7 @@
     assert len(plan.starts) > 2
 
 
-def test_a_cheap_place_is_taken_unless_it_is_reclaimed_too_often():
+def test_cheap_place_is_chosen_unless_it_is_reclaimed_too_often():
     demand = Demand(busy=3)
     cheap = make_place("abdoun-hall", price=0.5)
     dear = make_place("khalda-hall", price=1.0)
@@ -65,7 +65,7 @@
     assert Planner(TARGET, 30_000).plan([], [often, steady], demand, demand).starts == (steady,)
 
 
-def test_shrinks_by_one_only_after_the_peak_has_gone():
+def test_shrinks_by_one_only_after_the_peak_has_passed():
     copies = make_copies([*PLACES, make_place("sweileh-hall", price=2.0)])
     calm, busy = Demand(busy=3), Demand(busy=25)
     planner = Planner(TARGET, 10_000)
@@ -73,13 +73,13 @@
     assert planner.plan(copies, PLACES, calm, calm).stops == ("llm-3",)
 
 
-def test_never_shrinks_below_the_least():
+def test_never_shrinks_below_the_minimum():
     target = Target("assistant-llm", 830, slots=8, least=3, licensed=6)
     calm = Demand(busy=0)
     assert Planner(target, 10_000).plan(make_copies(PLACES), PLACES, calm, calm).stops == ()
 
 
-def test_a_lowered_licence_stops_the_dearest():
+def test_reduced_licence_stops_the_most_expensive_copy():
     copies = make_copies([make_place("marka-hall", price=3.0), *PLACES])
     target = Target("assistant-llm", 830, slots=8, least=1, licensed=3)
     assert plan_over_licence(copies, target) == ("llm-0",)
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,4 +1,4 @@
-"""The cost of the copies is summed while a process leads, and only then."""
+"""The cost of the copies is summed only while a process leads, so that no time is charged twice."""
 
 from prometheus_client import CollectorRegistry
 
@@ -9,7 +9,7 @@
 COPIES = [HeldCopy("reclaimable", 2.0), HeldCopy("reclaimable", 4.0)]
 
 
-def test_hours_and_price_add_up_and_a_gap_is_not_charged():
+def test_time_and_price_add_up_and_a_gap_is_not_charged():
     registry, clock = CollectorRegistry(), ManualClock()
     meter = CostMeter(registry, clock)
     meter.record("assistant-llm", COPIES)
