--- a/hemlockswitch/process/copies/changes.py
+++ b/hemlockswitch/process/copies/changes.py
@@ -23,8 +23,8 @@
 from hemlockswitch.process.lease import Lease
 from hemlockswitch.version.machine_class import MachineClass
 
-FIRST_PAUSE_MS = 1_000
-LONGEST_PAUSE_MS = 60_000
+FIRST_BACK_OFF_MS = 1_000
+MAX_BACK_OFF_MS = 60_000
 
 
 @dataclass
@@ -57,8 +57,8 @@
     def add(self, machine_class: MachineClass, retry_after_ms: float) -> None:
         """Start a back-off for a class, twice as long as its previous one."""
         known = self._refusals.get(machine_class)
-        doubled = known.pause_ms * 2 if known else FIRST_PAUSE_MS
-        pause_ms = min(max(doubled, retry_after_ms), LONGEST_PAUSE_MS)
+        doubled = known.pause_ms * 2 if known else FIRST_BACK_OFF_MS
+        pause_ms = min(max(doubled, retry_after_ms), MAX_BACK_OFF_MS)
         self._refusals[machine_class] = _Refusal(pause_ms, self._clock.now_ms() + pause_ms)
 
     def clear(self, machine_class: MachineClass) -> None:
@@ -89,12 +89,12 @@
         self._records = records
         self._lease = lease
         self._clock = clock
-        self._tried_ms: dict[str, float] = {}
+        self._last_attempt_ms: dict[str, float] = {}
         self.refused = RefusedPlaces(clock)
 
-    def sort_by_turn(self, tokens: Iterable[str]) -> list[str]:
+    def sort_by_last_attempt(self, tokens: Iterable[str]) -> list[str]:
         """Return the tokens, least recently tried first, so that no token delays the others forever."""
-        return sorted(tokens, key=lambda token: self._tried_ms.get(token, 0.0))
+        return sorted(tokens, key=lambda token: self._last_attempt_ms.get(token, 0.0))
 
     def start(self, target: str, token: str, record: CopyRecord) -> bool:
         """Start one wanted copy, or remove its record if the start is refused.
@@ -107,16 +107,16 @@
         bool : whether the cloud API answered, so that further starts may be attempted now.
         """
         self._lease.get_fencing()
-        self._tried_ms[token] = self._clock.now_ms()
+        self._last_attempt_ms[token] = self._clock.now_ms()
         try:
             vm = self._platform.start_vm(record.zone, target, record.machine_class, token)
         except PlatformError as error:
             if error.kind == ErrorKind.OVERLOADED:
-                self._take_back(target, token, record, error)
+                self._remove_refused(target, token, record, error)
             else:
                 log_event(Event.COPY_START_UNKNOWN, "warning", target=target, detail=error.detail)
             return error.kind == ErrorKind.OVERLOADED
-        self._tried_ms.pop(token)
+        self._last_attempt_ms.pop(token)
         self.refused.clear(record.machine_class)
         wall_ms = self._clock.wall_ms()
         self._records.change(
@@ -126,8 +126,10 @@
         log_event(Event.COPY_STARTED, target=target, vm=vm.name, zone=record.zone)
         return True
 
-    def _take_back(self, target: str, token: str, record: CopyRecord, error: PlatformError) -> None:
-        self._tried_ms.pop(token)
+    def _remove_refused(
+        self, target: str, token: str, record: CopyRecord, error: PlatformError
+    ) -> None:
+        self._last_attempt_ms.pop(token)
         self.refused.add(record.machine_class, error.answer.retry_after_ms)
         self._records.change(target, lambda table: table.remove(token))
         log_event(
@@ -150,7 +152,7 @@
     vm : its entry in the VM list; None if it is not listed.
     load : the engine's last report; None if there is none.
     takes_orders : whether the copy is a model engine, which takes orders, or a plain service.
-    is_past : whether the VM has been reclaimed or removed.
+    is_vm_removed : whether the VM has been reclaimed or removed.
     """
 
     target: str
@@ -159,17 +161,17 @@
     vm: ListedVm | None
     load: ReportedLoad | None
     takes_orders: bool
-    is_past: bool
+    is_vm_removed: bool
 
 
-class OrderGiver:
+class OrderSender:
     """Sends orders under the lease, and steps down if an engine reports a newer lease holder."""
 
     def __init__(self, orders: OrderClient, lease: Lease) -> None:
         self._orders = orders
         self._lease = lease
 
-    def give(self, vm: ListedVm, wanted: WantedState) -> None:
+    def send(self, vm: ListedVm, wanted: WantedState) -> None:
         """Order the engine on `vm` into `wanted`; a failed order is repeated in the next pass."""
         fencing = self._lease.get_fencing()
         fields: dict[str, Any] = {"vm": vm.name, "fencing": fencing, "state": wanted.state}
@@ -207,13 +209,13 @@
         records: CopyRecords,
         lease: Lease,
         daemons: Daemons,
-        giver: OrderGiver,
+        order_sender: OrderSender,
     ) -> None:
         self._platform = platform
         self._records = records
         self._lease = lease
         self._daemons = daemons
-        self._giver = giver
+        self._order_sender = order_sender
 
     def announce(self, names: list[str]) -> Usage | None:
         """Announce planned stops to the daemons, and return their use of these servers."""
@@ -228,7 +230,7 @@
 
     def advance(self, copy: StoppingCopy, usage: Usage | None) -> None:
         """Execute the next permitted step for a stopping copy."""
-        if copy.is_past:
+        if copy.is_vm_removed:
             self._stop(copy)
             return
         if usage is None or not usage.is_empty(copy.record.vm):
@@ -240,7 +242,7 @@
         """Return whether the engine reports that it is drained and empty; order it to drain if not."""
         load = copy.load
         if load is None or not load.draining:
-            self._giver.give(vm, WantedState((copy.target,), state=EngineState.DRAINED))
+            self._order_sender.send(vm, WantedState((copy.target,), state=EngineState.DRAINED))
             return False
         return load.running + load.waiting == 0
 
--- a/hemlockswitch/process/copies/control.py
+++ b/hemlockswitch/process/copies/control.py
@@ -11,9 +11,9 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.identifiers import make_identifier
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.copies.changes import CopyStarter, CopyStopper, OrderGiver, StoppingCopy
-from hemlockswitch.process.copies.copies import Copy, Plan, Planner, plan_over_licence
-from hemlockswitch.process.copies.cost import CostMeter, HeldCopy
+from hemlockswitch.process.copies.changes import CopyStarter, CopyStopper, OrderSender, StoppingCopy
+from hemlockswitch.process.copies.copies import Copy, Plan, Planner, plan_excess_stops
+from hemlockswitch.process.copies.cost import CostMeter, LicensedCopy
 from hemlockswitch.process.copies.observed_zone import LIVE, ObservedZone, Sources
 from hemlockswitch.process.copies.records import CopyRecord, CopyRecords, CopyState, CopyTable
 from hemlockswitch.process.copies.targets import WantedTarget, list_wanted
@@ -71,9 +71,11 @@
         self._records = records
         self._clock = sources.clock
         self._times = times or ControlTimes()
-        self._giver = OrderGiver(sources.orders, lease)
+        self._order_sender = OrderSender(sources.orders, lease)
         self._starter = CopyStarter(sources.platform, records, lease, sources.clock)
-        self._stopper = CopyStopper(sources.platform, records, lease, sources.daemons, self._giver)
+        self._stopper = CopyStopper(
+            sources.platform, records, lease, sources.daemons, self._order_sender
+        )
         self._view = ObservedZone(
             zone,
             sources,
@@ -91,7 +93,7 @@
         self._view.refresh(wanted)
         for one in wanted:
             if self._lease.is_held:
-                self._control(one, frozenset(file.draining))
+                self._reconcile(one, frozenset(file.draining))
 
     def describe(self) -> Mapping[str, object]:
         """Return the latest plans for the status page."""
@@ -106,7 +108,7 @@
             for name, plan in self._plans.items()
         }
 
-    def _control(self, one: WantedTarget, draining: frozenset[str]) -> None:
+    def _reconcile(self, one: WantedTarget, draining: frozenset[str]) -> None:
         """Reconcile one target: update the records first, then act on them."""
 
         def revise(found: CopyTable) -> CopyTable:
@@ -124,7 +126,7 @@
         if self._cost is None:
             return
         held = [
-            HeldCopy(record.machine_class.value, record.price_per_hour)
+            LicensedCopy(record.machine_class.value, record.price_per_hour)
             for record in table.copies.values()
             if record.zone == self._zone and record.state != CopyState.WANTED
         ]
@@ -139,7 +141,7 @@
         if any(self._is_own(copy, CopyState.WANTED) for copy in table.copies.values()):
             return table
         known = {record.vm for record in table.copies.values()}
-        for vm in self._view.list_unknown(target, known):
+        for vm in self._view.list_unrecorded(target, known):
             record = CopyRecord(
                 zone=vm.zone,
                 machine_class=MachineClass(vm.machine_class),
@@ -161,7 +163,7 @@
             if not self._is_own(record, CopyState.RUNNING):
                 continue
             is_leaving = record.vm in draining or self._view.is_leaving(record.vm)
-            if is_leaving or self._view.is_gone(record):
+            if is_leaving or self._view.is_vm_missing(record):
                 table = table.move(token, CopyState.STOPPING, self._clock.wall_ms())
         return table
 
@@ -190,12 +192,12 @@
             Copy(token, self._view.make_place(record), record.state != CopyState.STOPPING)
             for token, record in table.copies.items()
         ]
-        over = plan_over_licence(copies, one.target)
-        if over:
-            return Plan(stops=over)
+        excess = plan_excess_stops(copies, one.target)
+        if excess:
+            return Plan(stops=excess)
         meter = self._view.meter
         planner = Planner(one.target, self._times.replace_ms)
-        free = self._view.list_free(one)
+        free = self._view.list_startable_places(one)
         plan = planner.plan(copies, free, meter.get_now(one.name), meter.get_peak(one.name))
         is_stopping = any(not copy.is_staying for copy in copies)
         if plan.stops and (is_stopping or not meter.is_settled):
@@ -211,7 +213,7 @@
         loading = sum(1 for copy in running if self._view.is_loading(copy))
         wanted = [token for token, copy in own.items() if copy.state == CopyState.WANTED]
         room = max(0, self._times.parallel_starts - loading)
-        for token in self._starter.sort_by_turn(wanted)[:room]:
+        for token in self._starter.sort_by_last_attempt(wanted)[:room]:
             if not self._starter.start(one.name, token, own[token]):
                 return
 
@@ -230,7 +232,7 @@
                 self._view.vms.get(record.vm),
                 self._view.find_load(record.vm),
                 one.takes_orders,
-                self._view.is_past(record),
+                self._view.is_vm_removed(record),
             )
             self._stopper.advance(copy, usage)
 
@@ -244,4 +246,4 @@
             if record.state != CopyState.RUNNING or vm is None or vm.state != LIVE:
                 continue
             if load is not None and not load.is_in(wanted):
-                self._giver.give(vm, wanted)
+                self._order_sender.send(vm, wanted)
--- a/hemlockswitch/process/copies/copies.py
+++ b/hemlockswitch/process/copies/copies.py
@@ -18,7 +18,7 @@
 """Below the 5 % of a p95 target, as a margin for effects that the model does not include."""
 LATE_SHARE_TO_SHRINK = 0.015
 POOL_EFFICIENCY = 0.9
-LEAST_PRICE = 1e-6
+MIN_PRICE = 1e-6
 
 
 @dataclass(frozen=True)
@@ -63,7 +63,7 @@
     name: str
     latency_ms: float
     slots: int
-    least: int
+    min_copies: int
     licensed: int
 
 
@@ -105,7 +105,7 @@
     Examples
     ========
 
-    >>> target = Target("assistant-llm", latency_ms=830, slots=16, least=1, licensed=6)
+    >>> target = Target("assistant-llm", latency_ms=830, slots=16, min_copies=1, licensed=6)
     >>> compute_late_share(1, Demand(busy=30), target) > 1
     True
     >>> compute_late_share(3, Demand(busy=30), target) < 0.01
@@ -152,14 +152,16 @@
         if place.machine_class == MachineClass.RECLAIMABLE:
             waves.setdefault(place.zone, []).append(place)
         else:
-            shares = _convolve(shares, 1, _compute_missing(place.reclaims_per_hour, replace_ms))
+            shares = _convolve(
+                shares, 1, _compute_unavailability(place.reclaims_per_hour, replace_ms)
+            )
     for zone in waves.values():
         rate = max(place.reclaims_per_hour for place in zone)
-        shares = _convolve(shares, len(zone), _compute_missing(rate, replace_ms))
+        shares = _convolve(shares, len(zone), _compute_unavailability(rate, replace_ms))
     return shares
 
 
-def _compute_missing(reclaims_per_hour: float, replace_ms: float) -> float:
+def _compute_unavailability(reclaims_per_hour: float, replace_ms: float) -> float:
     expected = reclaims_per_hour * replace_ms / MS_PER_HOUR
     return expected / (1 + expected)
 
@@ -188,7 +190,7 @@
         self._replace_ms = replace_ms
         self._late = lru_cache(maxsize=256)(compute_late_share)
 
-    def compute_late(self, places: Iterable[Place], demand: Demand) -> float:
+    def compute_expected_late_share(self, places: Iterable[Place], demand: Demand) -> float:
         """Return the late share of a set of copies under `demand`, including the effect of reclaims."""
         survivors = compute_survivors(places, self._replace_ms)
         return sum(
@@ -213,10 +215,10 @@
         staying = [copy for copy in copies if copy.is_staying]
         starts = self._choose_starts([copy.place for copy in staying], free, now, len(copies))
         if starts:
-            late = self.compute_late([copy.place for copy in staying] + starts, now)
+            late = self.compute_expected_late_share([copy.place for copy in staying] + starts, now)
             return Plan(starts=tuple(starts), late_share=late)
         stop = self._choose_stop(staying, peak)
-        late = self.compute_late([copy.place for copy in staying], now)
+        late = self.compute_expected_late_share([copy.place for copy in staying], now)
         return Plan(stops=(stop,) if stop else (), late_share=late)
 
     def _choose_starts(
@@ -226,11 +228,14 @@
         starts: list[Place] = []
         room = self._target.licensed - licences_used
         while free and len(starts) < room:
-            late = self.compute_late(places + starts, demand)
+            late = self.compute_expected_late_share(places + starts, demand)
             is_late = late > LATE_SHARE_ALLOWED
-            if not is_late and len(places) + len(starts) >= self._target.least:
+            if not is_late and len(places) + len(starts) >= self._target.min_copies:
                 break
-            gains = [late - self.compute_late(places + starts + [at], demand) for at in free]
+            gains = [
+                late - self.compute_expected_late_share(places + starts + [at], demand)
+                for at in free
+            ]
             if is_late and max(gains) <= 0:
                 break
             starts.append(_choose_place(free, gains, is_late))
@@ -238,11 +243,11 @@
 
     def _choose_stop(self, staying: Sequence[Copy], peak: Demand) -> str:
         """Return the most expensive copy that can be stopped with a margin in the late share, or ``""``."""
-        if len(staying) <= max(self._target.least, 0):
+        if len(staying) <= max(self._target.min_copies, 0):
             return ""
         for copy in sorted(staying, key=lambda one: one.place.price_per_hour, reverse=True):
-            rest = [other.place for other in staying if other is not copy]
-            if self.compute_late(rest, peak) <= LATE_SHARE_TO_SHRINK:
+            remaining = [other.place for other in staying if other is not copy]
+            if self.compute_expected_late_share(remaining, peak) <= LATE_SHARE_TO_SHRINK:
                 return copy.name
         return ""
 
@@ -251,13 +256,13 @@
     """Return the place with the largest gain per price if requests are late, otherwise the cheapest one."""
 
     def rate(at: int) -> tuple[float, float]:
-        price = max(free[at].price_per_hour, LEAST_PRICE)
+        price = max(free[at].price_per_hour, MIN_PRICE)
         return (gains[at] / price, -price) if is_late else (-price, gains[at])
 
     return free[max(range(len(free)), key=rate)]
 
 
-def plan_over_licence(copies: Sequence[Copy], target: Target) -> tuple[str, ...]:
+def plan_excess_stops(copies: Sequence[Copy], target: Target) -> tuple[str, ...]:
     """Return the copies to stop because they exceed a reduced licence, most expensive first."""
     over = len(copies) - target.licensed
     staying = [copy for copy in copies if copy.is_staying]
--- a/hemlockswitch/process/copies/cost.py
+++ b/hemlockswitch/process/copies/cost.py
@@ -7,11 +7,11 @@
 
 from hemlockswitch.core.clock import MS_PER_HOUR, MS_PER_SECOND, Clock
 
-LONGEST_GAP_MS = 30_000.0
+MAX_CHARGED_GAP_MS = 30_000.0
 
 
 @dataclass(frozen=True)
-class HeldCopy:
+class LicensedCopy:
     """A copy that uses a licence, with the price of its VM."""
 
     machine_class: str
@@ -25,7 +25,7 @@
     ===========
 
     Each pass of the leader records the current copies, and charges the time since the previous record at
-    their price. After a gap longer than `LONGEST_GAP_MS`, for instance while another process led, nothing is
+    their price. After a gap longer than `MAX_CHARGED_GAP_MS`, for instance while another process led, nothing is
     charged, so that the sum over all controllers counts no hour twice.
 
     Parameters
@@ -38,7 +38,7 @@
     def __init__(self, registry: CollectorRegistry, clock: Clock) -> None:
         self._clock = clock
         self._last_ms: dict[str, float] = {}
-        self._held = Gauge(
+        self._copies = Gauge(
             "hemlock_copies", "copies that count as licence", ["target"], registry=registry
         )
         self._seconds = Counter(
@@ -54,14 +54,14 @@
             registry=registry,
         )
 
-    def record(self, target: str, copies: Iterable[HeldCopy]) -> None:
+    def record(self, target: str, copies: Iterable[LicensedCopy]) -> None:
         """Charge the time since the previous record of `target` for the current copies."""
         held = list(copies)
         now_ms = self._clock.now_ms()
         elapsed_ms = now_ms - self._last_ms.get(target, now_ms)
         self._last_ms[target] = now_ms
-        self._held.labels(target).set(len(held))
-        if elapsed_ms > LONGEST_GAP_MS:
+        self._copies.labels(target).set(len(held))
+        if elapsed_ms > MAX_CHARGED_GAP_MS:
             return
         for copy in held:
             labels = (target, copy.machine_class)
--- a/hemlockswitch/process/copies/demand.py
+++ b/hemlockswitch/process/copies/demand.py
@@ -80,13 +80,13 @@
 
     def get_now(self, target: str) -> Demand:
         """Return the current demand."""
-        return self._make(target, lambda series: series.busy)
+        return self._build_demand(target, lambda series: series.busy)
 
     def get_peak(self, target: str) -> Demand:
         """Return the maximum demand of the window."""
-        return self._make(target, lambda series: max(busy for _, busy in series.peaks))
+        return self._build_demand(target, lambda series: max(busy for _, busy in series.peaks))
 
-    def _make(self, target: str, choose: Callable[[_Series], float]) -> Demand:
+    def _build_demand(self, target: str, choose: Callable[[_Series], float]) -> Demand:
         series = self._series.get(target)
         if series is None:
             return Demand(0.0)
--- a/hemlockswitch/process/copies/observed_zone.py
+++ b/hemlockswitch/process/copies/observed_zone.py
@@ -24,7 +24,7 @@
 )
 from hemlockswitch.version.machine_class import MachineClass
 
-GUESSED_PRICES = {MachineClass.RECLAIMABLE: 1.0, MachineClass.ON_DEMAND: 3.0}
+DEFAULT_PRICES = {MachineClass.RECLAIMABLE: 1.0, MachineClass.ON_DEMAND: 3.0}
 STARTING, LIVE, LEAVING = "starting", "live", "leaving"
 
 
@@ -98,7 +98,7 @@
         self._gone_after_ms = gone_after_ms
         self._is_open = is_open
         self._loads = ZoneLoads(sources.orders)
-        self._prices: dict[MachineClass, float] = dict(GUESSED_PRICES)
+        self._prices: dict[MachineClass, float] = dict(DEFAULT_PRICES)
         self._last_listed_ms: dict[str, float] = {}
         self._usage: Usage | None = None
         self._refusals = Refusals(sources.clock)
@@ -126,15 +126,15 @@
         vm = self.vms.get(name)
         return (vm is not None and vm.state == LEAVING) or self._sources.reclaims.is_leaving(name)
 
-    def is_past(self, record: CopyRecord) -> bool:
+    def is_vm_removed(self, record: CopyRecord) -> bool:
         """Return whether a copy's VM was removed, by its reclaim notice or because it is unreachable.
 
         The deadline of a notice is wall-clock time of another machine, so the VM must also be unlisted.
         """
-        is_over = record.vm not in self.vms and self._sources.reclaims.is_past(record.vm)
-        return is_over or self.is_gone(record)
+        is_over = record.vm not in self.vms and self._sources.reclaims.is_deadline_past(record.vm)
+        return is_over or self.is_vm_missing(record)
 
-    def is_gone(self, record: CopyRecord) -> bool:
+    def is_vm_missing(self, record: CopyRecord) -> bool:
         """Return whether a VM has been unlisted for the removal delay and is unreachable."""
         now_ms = self._sources.clock.now_ms()
         last_ms = self._last_listed_ms.setdefault(record.vm, now_ms)
@@ -149,17 +149,17 @@
             return record.vm not in self._last_listed_ms
         return vm.state == STARTING
 
-    def list_unknown(self, target: str, known: set[str]) -> list[ListedVm]:
-        """Return listed VMs that serve the target, are reachable, and are not in `known`."""
+    def list_unrecorded(self, target: str, recorded: set[str]) -> list[ListedVm]:
+        """Return listed VMs that serve the target, are reachable, and are not in `recorded`."""
         return [
             vm
             for vm in self.vms.values()
             if vm.serves == target
-            and vm.name not in known
+            and vm.name not in recorded
             and self._sources.orders.is_reachable(vm.address)
         ]
 
-    def list_free(self, one: WantedTarget) -> list[Place]:
+    def list_startable_places(self, one: WantedTarget) -> list[Place]:
         """Return the places in which a copy of the target may be started now."""
         own = [
             Place(self.zone, offer.machine_class, offer.price_per_hour, offer.reclaims_per_hour)
--- a/hemlockswitch/process/copies/reclaims.py
+++ b/hemlockswitch/process/copies/reclaims.py
@@ -47,7 +47,7 @@
         """Return whether a notice for `vm` was received."""
         return vm in self._deadlines
 
-    def is_past(self, vm: str) -> bool:
+    def is_deadline_past(self, vm: str) -> bool:
         """Return whether the deadline of the notice for `vm` has passed."""
         return vm in self._deadlines and self._clock.wall_ms() > self._deadlines[vm]
 
@@ -65,10 +65,10 @@
         page = self._platform.watch_notices(self._zone, self._since, self._wait_ms)
         self._since = max(self._since, page.number)
         for notice in page.notices:
-            self._learn(notice.vm, notice.deadline_wall_ms)
+            self._record_notice(notice.vm, notice.deadline_wall_ms)
         return bool(page.notices)
 
-    def _learn(self, vm: str, deadline_wall_ms: int) -> None:
+    def _record_notice(self, vm: str, deadline_wall_ms: int) -> None:
         if vm in self._deadlines:
             return
         self._deadlines[vm] = deadline_wall_ms
--- a/hemlockswitch/process/copies/usage.py
+++ b/hemlockswitch/process/copies/usage.py
@@ -15,8 +15,8 @@
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.core.errors import ErrorKind, PeerError
 
-ASK_MS = 1_000
-MOST_REMEMBERED = 8
+QUERY_TIMEOUT_MS = 1_000
+MAX_CACHED_DAEMONS = 8
 
 
 @register_message("usage_question")
@@ -145,16 +145,16 @@
         self._backends = backends
         self._list_peers = list_peers
         network.handle(UsageQuestion, self._answer)
-        network.handle(PlannedStop, self._learn_stop)
+        network.handle(PlannedStop, self._apply_stop)
 
     def _answer(self, _: str, question: UsageQuestion) -> Usage:
         own = self._report(question.names)
         if not question.of_all:
             return own
         single = replace(question, of_all=False)
-        answers = self._ask_all(single)
+        answers = self._query_peers(single)
         others = [
-            answer if isinstance(answer, Usage) else _report_silent(name, question.names)
+            answer if isinstance(answer, Usage) else _report_unresponsive(name, question.names)
             for name, answer in answers.items()
         ]
         return combine_usage([own, *others])
@@ -165,29 +165,30 @@
         holding_ms, refused = self._backends.get_service_ms(), self._count_refused()
         return Usage(in_flight, closed, holding_ms, refused, [], [self._network.address])
 
-    def _learn_stop(self, _: str, stop: PlannedStop) -> PlannedStopLearned:
+    def _apply_stop(self, _: str, stop: PlannedStop) -> PlannedStopLearned:
         for name in stop.names:
             self._backends.close(name)
         if stop.to_all:
-            self._ask_all(replace(stop, to_all=False))
+            self._query_peers(replace(stop, to_all=False))
         return PlannedStopLearned()
 
-    def _ask_all(self, question: UsageQuestion | PlannedStop) -> dict[str, Any]:
+    def _query_peers(self, question: UsageQuestion | PlannedStop) -> dict[str, Any]:
         """Return the answers of all other running daemons by name; None for a missing answer."""
         tasks = {
-            name: gevent.spawn(self._ask, address, question) for name, address in self._list_peers()
+            name: gevent.spawn(self._query, address, question)
+            for name, address in self._list_peers()
         }
         gevent.joinall(list(tasks.values()))
         return {name: task.value for name, task in tasks.items()}
 
-    def _ask(self, address: str, question: UsageQuestion | PlannedStop) -> Any:
+    def _query(self, address: str, question: UsageQuestion | PlannedStop) -> Any:
         try:
-            return self._network.ask(address, question, ASK_MS)
+            return self._network.ask(address, question, QUERY_TIMEOUT_MS)
         except PeerError:
             return None
 
 
-def _report_silent(name: str, names: list[str]) -> Usage:
+def _report_unresponsive(name: str, names: list[str]) -> Usage:
     return Usage({}, list(names), {}, {}, [name], [])
 
 
@@ -220,18 +221,18 @@
 
         PeerError : no daemon answered.
         """
-        usage = self._ask_any(UsageQuestion(sorted(names), of_all=True))
-        self._answered = usage.answered[:MOST_REMEMBERED]
+        usage = self._query_any(UsageQuestion(sorted(names), of_all=True))
+        self._answered = usage.answered[:MAX_CACHED_DAEMONS]
         return usage
 
     def announce_stop(self, names: Iterable[str]) -> None:
         """Announce to every daemon that the named servers will be stopped."""
-        self._ask_any(PlannedStop(sorted(names), to_all=True))
+        self._query_any(PlannedStop(sorted(names), to_all=True))
 
-    def _ask_any(self, question: UsageQuestion | PlannedStop) -> Any:
+    def _query_any(self, question: UsageQuestion | PlannedStop) -> Any:
         for address in dict.fromkeys(self._seeds + self._answered):
             try:
-                return self._network.ask(address, question, ASK_MS * 2)
+                return self._network.ask(address, question, QUERY_TIMEOUT_MS * 2)
             except PeerError:
                 continue
         raise PeerError(ErrorKind.PEER_UNAVAILABLE, "no entry daemon answered")
--- a/hemlockswitch/process/copies/zone_load.py
+++ b/hemlockswitch/process/copies/zone_load.py
@@ -107,7 +107,7 @@
 
 
 @dataclass
-class _Heard:
+class _ReceivedSummary:
     version: int
     since_ms: float
     summary: ZoneSummary
@@ -122,17 +122,17 @@
     platform : provides the object service that stores the summaries, ``status/zone-<zone>``.
     clock : time source; the age of a summary counts from when this process first read it.
     zone : the local zone.
-    rest_ms : time after which an unchanged summary is written again, as a heartbeat.
+    rewrite_interval_ms : time after which an unchanged summary is written again, as a heartbeat.
     """
 
     def __init__(
-        self, platform: PlatformClient, clock: Clock, zone: str, rest_ms: float = 10_000
+        self, platform: PlatformClient, clock: Clock, zone: str, rewrite_interval_ms: float = 10_000
     ) -> None:
         self._platform = platform
         self._clock = clock
         self._zone = zone
-        self._rest_ms = rest_ms
-        self._heard: dict[str, _Heard] = {}
+        self._rewrite_interval_ms = rewrite_interval_ms
+        self._received: dict[str, _ReceivedSummary] = {}
         self._written: ZoneSummary | None = None
         self._written_ms = 0.0
 
@@ -140,8 +140,8 @@
         """Read all summaries, and write the local one if it is due."""
         page = self._platform.list(STATUS_KIND, ZONE_PREFIX)
         for item in page.items:
-            self._hear(item)
-        is_due = self._clock.now_ms() - self._written_ms >= self._rest_ms
+            self._receive(item)
+        is_due = self._clock.now_ms() - self._written_ms >= self._rewrite_interval_ms
         if self._written is None or is_due or own.differs_from(self._written):
             self._write(own)
 
@@ -150,39 +150,41 @@
 
         An unresponsive zone counts with its last summary, since its callers still send requests.
         """
-        others = [heard for zone, heard in self._heard.items() if zone != self._zone]
+        others = [heard for zone, heard in self._received.items() if zone != self._zone]
         return sum(heard.summary.busy.get(target, 0.0) for heard in others)
 
     def list_places(self) -> list[Place]:
         """Return the places offered by other zones that have a live leader."""
-        limit_ms = self._clock.now_ms() - 3 * self._rest_ms
+        limit_ms = self._clock.now_ms() - 3 * self._rewrite_interval_ms
         return [
             Place(zone, offer.machine_class, offer.price_per_hour, offer.reclaims_per_hour)
-            for zone, heard in sorted(self._heard.items())
+            for zone, heard in sorted(self._received.items())
             if zone != self._zone and heard.since_ms >= limit_ms
             for offer in heard.summary.offers
         ]
 
-    def _hear(self, item: StoredObject) -> None:
+    def _receive(self, item: StoredObject) -> None:
         zone = item.name.removeprefix(ZONE_PREFIX)
-        known = self._heard.get(zone)
+        known = self._received.get(zone)
         if known is not None and known.version >= item.version:
             return
         try:
             summary = ZoneSummary.model_validate(item.value)
         except ValidationError:
             return
-        self._heard[zone] = _Heard(item.version, self._clock.now_ms(), summary)
+        self._received[zone] = _ReceivedSummary(item.version, self._clock.now_ms(), summary)
 
     def _write(self, own: ZoneSummary) -> None:
         name = ZONE_PREFIX + self._zone
         value = own.model_dump(mode="json")
-        known = self._heard.get(self._zone)
+        known = self._received.get(self._zone)
         if known is None:
             outcome = self._platform.create(STATUS_KIND, name, value)
         else:
             outcome = self._platform.update(STATUS_KIND, name, value, known.version)
         if isinstance(outcome, Written):
-            self._heard[self._zone] = _Heard(outcome.version, self._clock.now_ms(), own)
+            self._received[self._zone] = _ReceivedSummary(
+                outcome.version, self._clock.now_ms(), own
+            )
             self._written = own
             self._written_ms = self._clock.now_ms()
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -9,12 +9,12 @@
     Planner,
     Target,
     compute_late_share,
-    plan_over_licence,
+    plan_excess_stops,
 )
 from hemlockswitch.version.machine_class import MachineClass
 
 RECLAIMABLE = MachineClass.RECLAIMABLE
-TARGET = Target("assistant-llm", latency_ms=830, slots=8, least=1, licensed=6)
+TARGET = Target("assistant-llm", latency_ms=830, slots=8, min_copies=1, licensed=6)
 
 
 def make_place(zone, price=1.0, rate=0.1, machine_class=RECLAIMABLE):
@@ -74,12 +74,12 @@
 
 
 def test_never_shrinks_below_the_minimum():
-    target = Target("assistant-llm", 830, slots=8, least=3, licensed=6)
+    target = Target("assistant-llm", 830, slots=8, min_copies=3, licensed=6)
     calm = Demand(busy=0)
     assert Planner(target, 10_000).plan(make_copies(PLACES), PLACES, calm, calm).stops == ()
 
 
 def test_reduced_licence_stops_the_most_expensive_copy():
     copies = make_copies([make_place("marka-hall", price=3.0), *PLACES])
-    target = Target("assistant-llm", 830, slots=8, least=1, licensed=3)
-    assert plan_over_licence(copies, target) == ("llm-0",)
+    target = Target("assistant-llm", 830, slots=8, min_copies=1, licensed=3)
+    assert plan_excess_stops(copies, target) == ("llm-0",)
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -3,10 +3,10 @@
 from prometheus_client import CollectorRegistry
 
 from hemlockswitch.core.clock import ManualClock
-from hemlockswitch.process.copies.cost import LONGEST_GAP_MS, CostMeter, HeldCopy
+from hemlockswitch.process.copies.cost import MAX_CHARGED_GAP_MS, CostMeter, LicensedCopy
 
 LABELS = {"target": "assistant-llm", "machine_class": "reclaimable"}
-COPIES = [HeldCopy("reclaimable", 2.0), HeldCopy("reclaimable", 4.0)]
+COPIES = [LicensedCopy("reclaimable", 2.0), LicensedCopy("reclaimable", 4.0)]
 
 
 def test_time_and_price_add_up_and_a_gap_is_not_charged():
@@ -15,7 +15,7 @@
     meter.record("assistant-llm", COPIES)
     clock.advance(18_000)
     meter.record("assistant-llm", COPIES)
-    clock.advance(LONGEST_GAP_MS + 1)
+    clock.advance(MAX_CHARGED_GAP_MS + 1)
     meter.record("assistant-llm", COPIES[:1])
     assert registry.get_sample_value("hemlock_copies", {"target": "assistant-llm"}) == 1
     assert registry.get_sample_value("hemlock_copy_seconds_total", LABELS) == 36
--- a/tools/copies_baselines.py
+++ b/tools/copies_baselines.py
@@ -43,7 +43,7 @@
 
 def _count_by_utilisation(target: Target, demand: Demand) -> int:
     wanted = math.ceil(demand.busy / (target.slots * BUSY_SHARE))
-    return max(wanted, target.least, 1)
+    return max(wanted, target.min_copies, 1)
 
 
 class Utilisation(CountRule):
