--- a/hemlockswitch/process/shares/__init__.py
+++ b/hemlockswitch/process/shares/__init__.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts as shares that daemons hold, lend and give back.
+"""Limits of client accounts, divided into shares that daemons hold, lend, and return.
 
-`shares` is what a request asks; `members` wires the parts of a daemon.
+`shares` is the interface for requests; `members` connects the components of a daemon.
 """
--- a/hemlockswitch/process/shares/anchor.py
+++ b/hemlockswitch/process/shares/anchor.py
@@ -1,4 +1,4 @@
-"""The anchor of the shares: one object for each zone in the platform's object service."""
+"""The anchor of the shares: one object per zone in the platform's object service."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -27,31 +27,31 @@
 
 @dataclass(frozen=True)
 class _Waiting:
-    """A word that waits to be written."""
+    """A renewal that waits to be written."""
 
     ask: RenewShares
     result: AsyncResult
 
 
 class ShareAnchor:
-    """Writes the words of a zone's daemons into its record, several with one write.
+    """Writes the renewals of a zone's daemons into its record, several in one write.
 
     Explanation
     ===========
 
-    Any daemon of the zone may write: a conditional update lets one of two writers win, and the
-    other reads again. A word is answered only after the platform has confirmed the write that
-    holds it; a write whose answer was lost is read back and, at worst, written again, which
-    changes nothing since a word is known by its counter.
+    Any daemon of the zone may write: of two concurrent conditional updates one succeeds, and the other
+    writer reads again. A renewal is answered only after the platform has confirmed the write that contains
+    it. A write with a lost answer is read back and, at worst, repeated, which has no effect because a
+    renewal is identified by its counter.
 
     Parameters
     ==========
 
     store : the platform's object service.
     zone : name of the record.
-    find_totals : what the zone divides now, of the configuration in force.
-    watch : how long entries have been silent.
-    batch_ms : words that come within this time are written together.
+    find_totals : returns what the zone divides now, according to the active configuration.
+    watch : tracks for how long entries have not been renewed.
+    batch_ms : renewals that arrive within this time are written together.
     """
 
     def __init__(
@@ -71,42 +71,44 @@
         self._task: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Start the task that writes."""
+        """Start the writing task."""
         self._task = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the task; words that wait are not answered."""
+        """Stop the task; pending renewals are not answered."""
         if self._task is not None:
             self._task.kill(block=False)
 
     def renew(self, ask: RenewShares) -> SharesRenewed:
-        """Write one word and return the grants, once the platform has them.
+        """Write one renewal and return the grants after the platform has confirmed the write.
 
         Raises
         ======
 
-        PlatformError : the platform did not confirm it.
+        PlatformError : the platform did not confirm the write.
         """
         waiting = _Waiting(ask, AsyncResult())
         self._queue.put(waiting)
         return waiting.result.get()
 
     def write(self, asks: list[RenewShares]) -> list[SharesRenewed | None]:
-        """Write several words at once; None in place of a word that came too late.
+        """Write several renewals in one write; the reply to an outdated renewal is None.
 
         Raises
         ======
 
-        PlatformError : the platform did not confirm it.
+        PlatformError : the platform did not confirm the write.
         """
         for _ in range(MOST_ATTEMPTS):
             replies = self._try_write(asks)
             if replies is not None:
                 return replies
-        raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "no write was confirmed")
+        raise PlatformError(
+            ErrorKind.PLATFORM_UNAVAILABLE, "the platform confirmed no write of the share record"
+        )
 
     def _try_write(self, asks: list[RenewShares]) -> list[SharesRenewed | None] | None:
-        """Read, apply and write once; None when the write is not known to have taken effect."""
+        """Read, apply, and write once; return None if the write was not confirmed."""
         stored = self._store.read(KIND, self._zone)
         record = ShareRecord() if stored is None else ShareRecord.from_value(stored.value)
         self._watch.observe(record.entries.values())
@@ -116,7 +118,7 @@
         names = {entry.name for entry in entries if not self._watch.is_expired(entry)}
         names |= {ask.member for ask in asks} | divided.names
         names -= {ask.member for ask in asks if ask.leaving}
-        # The words that give back go first, so that what they free is there for the others.
+        # Renewals that return units are applied first, so that the freed units are available to the others.
         order = sorted(range(len(asks)), key=lambda index: not asks[index].leaving)
         replies: list[SharesRenewed | None] = [None] * len(asks)
         for index in order:
@@ -136,9 +138,9 @@
                 _refuse(batch, error)
                 continue
             except Exception as error:
-                # A record that cannot be read must not end the task, and with it every renewal.
+                # A malformed record must not end the task, which would stop all renewals.
                 log_event(Event.TASK_FAILED, "error", task="shares anchor", error=repr(error))
-                _refuse(batch, PlatformError(ErrorKind.INTERNAL, "the record is not readable"))
+                _refuse(batch, PlatformError(ErrorKind.INTERNAL, "the share record is malformed"))
                 continue
             for waiting, reply in zip(batch, replies, strict=True):
                 self._answer(waiting, reply)
@@ -147,7 +149,7 @@
         if reply is not None:
             waiting.result.set(reply)
             return
-        late = PlatformError(ErrorKind.STALE_FENCING, "a newer word of this process is recorded")
+        late = PlatformError(ErrorKind.STALE_FENCING, "a newer renewal of this process is recorded")
         waiting.result.set_exception(late)
 
     def _collect(self) -> list[_Waiting]:
--- a/hemlockswitch/process/shares/book.py
+++ b/hemlockswitch/process/shares/book.py
@@ -1,4 +1,4 @@
-"""What one daemon holds of each account's limits: its grant, what it lent, what it borrowed."""
+"""One daemon's shares of each account's limits: its grant, and the loans given and taken."""
 
 import itertools
 import secrets
@@ -25,23 +25,22 @@
 
 
 class ShareBook:
-    """The daemon's own record; it talks to nobody.
+    """The daemon's local record of grants and loans; it does no communication.
 
     Explanation
     ===========
 
-    *Own* is the grant of the anchor while its term lasts, and the floor after it: the part
-    that the anchor keeps for this process until its VM is known to be gone. *Held* is what may be
-    admitted: own, less what was lent, with what was borrowed. Every end is read from the clock
-    at each look, so that a process that was paused finds its grant and its loans ended before it
-    admits.
+    *Own* is the grant of the anchor during its term, and the floor after it: the part that the anchor
+    reserves for this process until the removal of its VM is confirmed. *Held* is what may be admitted: own,
+    minus the loans given, plus the loans taken. All expiry times are compared with the clock at each access,
+    so that a process that was paused finds its grant and its loans expired before it admits a request.
 
     Parameters
     ==========
 
     clock : the process's clock.
-    on_change : called with the account after each change of what is held.
-    on_short : called when the anchor should be told that more is lent.
+    on_change : called with the account after each change of the held units.
+    on_short : called when the anchor should receive that more is lent.
     """
 
     def __init__(
@@ -59,33 +58,33 @@
         self._given: dict[int, Loan] = {}
         self._taken: dict[tuple[str, int], Loan] = {}
         self._held: dict[str, tuple[Units, float]] = {}
-        # Numbers of an earlier process at the same address must not match.
+        # Loan numbers must not match those of an earlier process at the same address.
         self._numbers = itertools.count(secrets.randbits(NUMBER_BITS))
 
     @property
     def in_term(self) -> bool:
-        """Whether the grant's term still lasts."""
+        """Whether the term of the grant has not expired."""
         return self._clock.now_ms() < self._valid_until_ms
 
     def list_accounts(self) -> list[str]:
-        """Return the accounts of which something was granted or borrowed."""
+        """Return the accounts with a grant or a loan taken."""
         taken = {loan.account for loan in self._taken.values()}
         return sorted(taken | set(self._granted.grants))
 
     def set_grants(self, held: Granted, valid_until_ms: float) -> None:
-        """Take what the anchor granted."""
+        """Apply the grants of the anchor."""
         self._valid_until_ms = valid_until_ms
         self._replace(held)
 
     def lower(self, kept: dict[str, Units]) -> Granted:
-        """Fall to `kept` at once and return what to say to the anchor.
+        """Reduce the grants to `kept` at once, and return the contents of the renewal for the anchor.
 
-        The floors and the part that may be lent never rise by this; the anchor raises them.
+        This never raises the floors and the lendable parts; only the anchor does.
         """
         grants = {account: self.find_grant(account).limit(kept[account]) for account in kept}
         floors, lendable, wanted = {}, {}, {}
         for account, units in grants.items():
-            # After the term the floor stays: several words without an answer must not halve it.
+            # After the term the floor stays, so that repeated unanswered renewals do not halve it each time.
             most = units.halve() if self.in_term else units
             floors[account] = self._granted.floors.get(account, NOTHING).limit(most)
             wanted[account] = self._find_lendable(account, units)
@@ -95,7 +94,10 @@
         return Granted(grants, floors, wanted)
 
     def _find_lendable(self, account: str, kept: Units) -> Units:
-        """Return what may be lent: half of what is not, or all while others ask for it."""
+        """Return what may be lent: the loans given and half of the remainder, or all of `kept`.
+
+        It is all for `ASKED_MS` after a peer requested a loan.
+        """
         given = self.count_given(account)
         asked_ms = self._asked_ms.get(account)
         if asked_ms is not None and self._clock.now_ms() - asked_ms < ASKED_MS:
@@ -110,39 +112,39 @@
             self._note_change(account)
 
     def find_grant(self, account: str) -> Units:
-        """Return what the anchor granted, in its term or not."""
+        """Return the grant of the anchor, even if its term has expired."""
         return self._granted.grants.get(account, NOTHING)
 
     def count_own(self, account: str) -> Units:
-        """Return the grant, or its floor after the term."""
+        """Return the grant during its term, and its floor afterwards."""
         if self.in_term:
             return self.find_grant(account)
         return self._granted.floors.get(account, NOTHING)
 
     def count_keepable(self, account: str) -> Units:
-        """Return what the anchor cannot have given to others yet."""
+        """Return the units that the anchor cannot have granted to other daemons yet."""
         own = self.count_own(account)
         slots_bound = self._clock.now_ms() < self._valid_until_ms + SLOT_LOAN_MS
         slots = self.find_grant(account).slots if slots_bound else own.slots
         return Units(own.requests, own.tokens, slots)
 
     def count_given(self, account: str) -> Units:
-        """Return what is lent out now."""
+        """Return the units currently lent."""
         return sum_loans(self._list_given(), account)
 
     def list_given(self, account: str, resource: Resource) -> list[Loan]:
-        """Return the loans of one resource that others have now."""
+        """Return the current loans given of one resource."""
         given = self._list_given()
         return [loan for loan in given if loan.account == account and loan.resource is resource]
 
     def count_taken(self, account: str) -> Units:
-        """Return what is borrowed and not ended, usable for new requests or not."""
+        """Return the units currently borrowed, including those not usable for new requests."""
         now_ms = self._clock.now_ms()
         lasting = (loan for loan in self._taken.values() if now_ms < loan.until_ms)
         return sum_loans(lasting, account)
 
     def count_held(self, account: str) -> Units:
-        """Return what may be admitted now."""
+        """Return the units that may be admitted now."""
         now_ms = self._clock.now_ms()
         known = self._held.get(account)
         if known is None or now_ms >= known[1]:
@@ -151,9 +153,9 @@
         return known[0]
 
     def lend(self, peer: str, account: str, resource: Resource, units: int) -> Loan | None:
-        """Deduct up to `units` of the daemon's own and return the loan, or None.
+        """Deduct up to `units` from the daemon's own units and return the loan, or None.
 
-        The caller has made sure that the daemon does not need them itself.
+        The caller must ensure that the daemon does not need them itself.
         """
         now_ms = self._clock.now_ms()
         lendable = min(self._count_lendable(account, resource), units)
@@ -175,7 +177,7 @@
         return (most - self.count_given(account)).get(resource)
 
     def extend(self, peer: str, number: int, units: int) -> Loan | None:
-        """Let a given loan last longer with at most `units`; None when it has ended."""
+        """Extend a given loan with at most `units`; return None if it has expired or is not extended."""
         given = self._given.get(number)
         now_ms = self._clock.now_ms()
         if given is None or given.peer != peer or now_ms >= given.until_ms:
@@ -185,7 +187,7 @@
             return None
         kept = min(units, given.units)
         if kept < given.units:
-            # The borrower may not hear of the smaller loan: the rest keeps the old end.
+            # The borrower may not receive the reduction, so the remaining units stay lent until the old end.
             rest = replace(given, number=next(self._numbers), peer="", units=given.units - kept)
             self._given[rest.number] = rest
         until_ms = max(now_ms + duration_ms * DRIFT, given.until_ms)
@@ -193,7 +195,7 @@
         return replace(given, units=kept, until_ms=now_ms + duration_ms)
 
     def shrink_given(self, peer: str, number: int, units: int) -> None:
-        """Take back all but `units` of a given loan: the borrower says it uses no more."""
+        """Reduce a given loan to `units`, which the borrower has confirmed as its remaining use."""
         given = self._given.get(number)
         if given is None or given.peer != peer or units >= given.units:
             return
@@ -204,17 +206,17 @@
         self._note_change(given.account)
 
     def measure_left_ms(self, loan: Loan) -> float:
-        """Return how long a loan still lasts."""
+        """Return the remaining duration of a loan."""
         return max(loan.until_ms - self._clock.now_ms(), 0.0)
 
     def find_given(self, peer: str, number: int) -> Loan | None:
-        """Return a loan given to `peer` that has not ended."""
+        """Return a loan given to `peer`, or None if there is none or it has expired."""
         loan = self._given.get(number)
         ended = loan is None or loan.peer != peer or self._clock.now_ms() >= loan.until_ms
         return None if ended else loan
 
     def take(self, loan: Loan) -> None:
-        """Record a loan received, or a longer or smaller form of it."""
+        """Record a loan taken, or a change of its duration or size."""
         key = (loan.peer, loan.number)
         if loan.units > 0:
             self._taken[key] = loan
@@ -223,16 +225,16 @@
         self._note_change(loan.account)
 
     def find_taken(self, peer: str, number: int) -> Loan | None:
-        """Return a loan received from `peer`."""
+        """Return a loan taken from `peer`, or None."""
         return self._taken.get((peer, number))
 
     def list_taken(self) -> list[Loan]:
-        """Return the loans received that have not ended, and forget the others."""
+        """Return the current loans taken, and evict all expired loans."""
         self._forget_ended()
         return list(self._taken.values())
 
     def _is_overlent(self, loan: Loan) -> bool:
-        # After the term only the floor may stay lent for longer.
+        # After the term, only loans within the floor may be extended.
         given = self.count_given(loan.account).get(loan.resource)
         return given > self.count_own(loan.account).get(loan.resource)
 
@@ -252,8 +254,8 @@
                 self._note_change(taken.account)
 
     def _find_duration_ms(self, resource: Resource, *, first: bool) -> float:
-        # The anchor waits for slot loans on top of the term, so the term does not bound them.
-        # A first loan of slots is short: its answer may be lost; the extension confirms it.
+        # The anchor waits for slot loans in addition to the term, so the term does not limit them.
+        # The first loan of slots is short because its answer may be lost; an extension confirms it.
         if resource is Resource.SLOTS:
             return LOAN_MS if first else SLOT_LOAN_MS
         if not self.in_term:
--- a/hemlockswitch/process/shares/borrower.py
+++ b/hemlockswitch/process/shares/borrower.py
@@ -1,4 +1,4 @@
-"""The borrower's end of a loan: it adds after the lender deducted, and gives back what is idle."""
+"""The borrower of loans: it adds units after the lender deducted them, and returns idle ones."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass, replace
@@ -33,14 +33,14 @@
 
 @dataclass(frozen=True)
 class _BorrowKey:
-    """What is sought together, so that requests that lack the same wait for one search."""
+    """Identifies a search, so that requests that lack the same resources wait for a single search."""
 
     account: str
     resources: tuple[Resource, ...]
 
 
 class ShareBorrower(LoanEnd):
-    """Borrows what requests lack, keeps what is used and gives the rest back."""
+    """Borrows units that requests lack, extends loans in use, and returns idle ones."""
 
     def __init__(self, parts: LoanParts) -> None:
         super().__init__(parts)
@@ -54,12 +54,12 @@
         self._network.handle(RecallLoan, self.return_idle)
 
     def borrow(self, account: str, asked: Units, lenders: list[str], wait_ms: float) -> bool:
-        """Ask lenders in turn until `asked` is there or `wait_ms` is over.
+        """Query lenders in turn until `asked` is received or `wait_ms` has passed.
 
         Returns
         =======
 
-        bool : whether anything came.
+        bool : whether any units were received.
         """
         key = _BorrowKey(account, tuple(kind for kind in Resource if asked.get(kind) > 0))
         if key in self._running:
@@ -77,10 +77,10 @@
         return received
 
     def return_idle(self, sender: str, ask: RecallLoan) -> LoanReturned:
-        """Deduct what is not needed of a loan that its lender recalls, and answer with it."""
+        """Deduct the idle units of a loan that its lender recalls, and return them in the answer."""
         loan = self._book.find_taken(sender, ask.number)
         if loan is None:
-            # Never received or given back already.
+            # The loan was never received, or has already been returned.
             return LoanReturned(0, 0.0, 0.0)
         account, resource = loan.account, loan.resource
         idle = self._book.count_held(account) - self._count_needed(account)
@@ -94,7 +94,7 @@
         return LoanReturned(loan.units - units, credit.requests, credit.tokens)
 
     def _note_barren(self, key: _BorrowKey, received: bool) -> None:
-        """Ask less and less often while nobody has anything; slots come free at any moment."""
+        """Back off after a fruitless search; the limit is lower for slots, which may free up at any time."""
         if received:
             self._barren_ms.pop(key, None)
             return
@@ -105,7 +105,7 @@
         self._barren_ms[key] = min(pause_ms * 2, longest_ms)
 
     def extend_loans(self) -> None:
-        """Keep the loans that are needed; give back slots that were idle for a while."""
+        """Extend the loans that are needed; return slots that were idle for `IDLE_TICKS` calls."""
         by_account: dict[str, list[Loan]] = defaultdict(list)
         for loan in self._book.list_taken():
             by_account[loan.account].append(loan)
@@ -116,7 +116,7 @@
         self._extend_at_all(wanted)
 
     def return_all(self) -> None:
-        """Give every loan back."""
+        """Return all loans."""
         wanted: dict[str, Terms] = defaultdict(list)
         for loan in self._book.list_taken():
             self._return(loan)
@@ -124,7 +124,7 @@
         self._extend_at_all(wanted)
 
     def _return(self, loan: Loan) -> None:
-        """Deduct a loan; its lender is told until it has answered."""
+        """Deduct a loan; the return is sent to its lender repeatedly until the lender has answered."""
         self._book.take(replace(loan, units=0))
         self._returned[loan.peer, loan.number] = loan
 
@@ -159,7 +159,7 @@
         return received
 
     def _order(self, lenders: list[str]) -> list[str]:
-        """Order lenders: who gave last first, then by zone, without the silent ones."""
+        """Return the responsive lenders, those that lent most recently first, then by zone."""
         now_ms = self._clock.now_ms()
         heard = [peer for peer in lenders if now_ms >= self._silent_until_ms.get(peer, 0)]
         return sorted(heard, key=lambda peer: -self._generous.get(peer, 0))
@@ -178,7 +178,7 @@
         until_ms = sent_ms + lent.duration_ms
         loan = Loan(lent.number, address, ask.account, resource, lent.units, until_ms)
         if resource is Resource.SLOTS:
-            # A short loan until the lender knows that it arrived.
+            # The loan is short until the extension confirms its receipt to the lender.
             self._book.take(loan)
             self._extend_at(address, [[loan.number, loan.units]])
         else:
--- a/hemlockswitch/process/shares/end.py
+++ b/hemlockswitch/process/shares/end.py
@@ -1,4 +1,4 @@
-"""What both ends of a loan have: the daemon's record, the peers, and the demand here."""
+"""The common base of lenders and borrowers: the daemon's record, its peers, and its demand."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class LoanParts:
-    """What the ends of a daemon's loans are built from.
+    """The components that lenders and borrowers need.
 
     Parameters
     ==========
@@ -19,8 +19,8 @@
     book : the daemon's record.
     network : the peer network.
     clock : the process's clock.
-    count_needed : the units that an account's own demand here needs.
-    credits : moves what the buckets hold.
+    count_needed : returns the units that cover an account's demand at this daemon.
+    credits : moves the contents of token buckets.
     """
 
     book: ShareBook
@@ -31,7 +31,7 @@
 
 
 class LoanEnd:
-    """One end of the loans of a daemon."""
+    """Base class of the lender and the borrower of a daemon."""
 
     def __init__(self, parts: LoanParts) -> None:
         self._book = parts.book
--- a/hemlockswitch/process/shares/lender.py
+++ b/hemlockswitch/process/shares/lender.py
@@ -1,4 +1,4 @@
-"""The lender's end of a loan: it deducts first, and recalls what its borrowers do not need."""
+"""The lender of loans: it deducts units first, and recalls units that its borrowers do not need."""
 
 import gevent
 
@@ -21,7 +21,7 @@
 
 
 class Lender(LoanEnd):
-    """Lends what this daemon does not need, and recalls idle loans for another borrower."""
+    """Lends units that this daemon does not need, and recalls idle loans for other borrowers."""
 
     def __init__(self, parts: LoanParts) -> None:
         super().__init__(parts)
@@ -30,7 +30,7 @@
         self._network.handle(ExtendLoans, self.extend)
 
     def lend(self, sender: str, ask: BorrowShare) -> ShareLent:
-        """Deduct what can be spared and answer with it."""
+        """Deduct the requested units as far as they are spare, and return them as a loan."""
         resource = Resource(ask.resource)
         if self._count_spare(ask.account, resource) < ask.units:
             self._recall(sender, ask.account, resource, ask.units)
@@ -46,7 +46,7 @@
         return ShareLent(loan.number, loan.units, duration_ms, credit.requests, credit.tokens)
 
     def extend(self, sender: str, ask: ExtendLoans) -> LoansExtended:
-        """Let loans last, smaller where this daemon needs them itself."""
+        """Extend loans, reduced by the units that this daemon needs itself."""
         extended = []
         for number, wanted in ask.loans:
             self._book.shrink_given(sender, number, wanted)
@@ -60,7 +60,7 @@
         return LoansExtended(extended)
 
     def recall(self, account: str, asked: Units) -> bool:
-        """Take back for this daemon's own requests what its borrowers do not need."""
+        """Recall idle units from borrowers for this daemon's own requests; return whether any came."""
         came = False
         for resource in Resource:
             if asked.get(resource) > 0:
--- a/hemlockswitch/process/shares/members.py
+++ b/hemlockswitch/process/shares/members.py
@@ -1,4 +1,4 @@
-"""What the shares know of the other entry daemons."""
+"""Connects the shares with the membership of the entry daemons and the VM records."""
 
 from collections.abc import Callable
 
@@ -20,7 +20,7 @@
 def build_shares(
     settings: EntrySettings, facts: Facts, clock: Clock, find_file: Callable[[], OperatorFile]
 ) -> Shares:
-    """Return the daemon's shares of the limits, on a platform client of their own."""
+    """Return the daemon's shares of the limits, with a separate platform client."""
     store = PlatformClient(settings.platform, "limits", settings.name, timeout_ms=CALL_MS)
     return Shares(
         name=settings.name,
@@ -35,7 +35,7 @@
 
 
 def list_share_members(membership: Membership | None) -> list[ShareMember]:
-    """Return the live daemons that serve callers; none before the membership started."""
+    """Return the live daemons that serve callers; none before the membership has started."""
     return [
         ShareMember(member.name, member.zone, member.peer_address)
         for member in (membership.list_live() if membership is not None else ())
@@ -44,12 +44,13 @@
 
 
 def is_vm_gone(board: NewsBoard, name: str) -> bool:
-    """Return whether the platform's VM list once showed a VM and shows it no more.
+    """Return whether a VM was removed from the platform's VM list after it had been listed.
 
     Explanation
     ===========
 
-    A member that is counted as dead is no proof: it may be cut off and still admit.
+    Death according to the membership is not sufficient: the daemon may be disconnected and still admit
+    requests.
     """
     item = board.find(f"{VM_PREFIX}{name}")
     return item is not None and item.value.get("state") == BackendState.GONE.value
--- a/hemlockswitch/process/shares/messages.py
+++ b/hemlockswitch/process/shares/messages.py
@@ -1,4 +1,4 @@
-"""Messages of loans of shares, and what both ends of a loan need from others."""
+"""The messages of share loans, and the interfaces that lenders and borrowers need."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 @register_message("borrow-share")
 @dataclass(frozen=True)
 class BorrowShare:
-    """Asks for units of one resource of an account."""
+    """Requests units of one resource of an account."""
 
     account: str
     resource: str
@@ -24,13 +24,13 @@
 @register_message("share-lent")
 @dataclass(frozen=True)
 class ShareLent:
-    """What the lender deducted; no units when it has none to spare.
+    """A loan; its units are 0 if the lender has none to spare.
 
     Parameters
     ==========
 
-    duration_ms : counted by the borrower from before it asked.
-    requests_credit, tokens_credit : taken out of the lender's buckets, once.
+    duration_ms : duration of the loan; the borrower counts it from before it sent the request.
+    requests_credit, tokens_credit : one-time credit, taken from the lender's token buckets.
     """
 
     number: int
@@ -43,7 +43,7 @@
 @register_message("extend-loans")
 @dataclass(frozen=True)
 class ExtendLoans:
-    """Asks that loans last longer: pairs of number and units wanted; 0 gives a loan back."""
+    """Requests to extend loans, as pairs of number and wanted units; 0 units return a loan."""
 
     loans: Terms
 
@@ -51,7 +51,10 @@
 @register_message("loans-extended")
 @dataclass(frozen=True)
 class LoansExtended:
-    """Triples of number, units and duration in milliseconds; a loan not listed ends as it was."""
+    """Extended loans, as triples of number, units, and duration in milliseconds.
+
+    A loan that is not listed keeps its previous end.
+    """
 
     loans: Terms
 
@@ -59,7 +62,7 @@
 @register_message("recall-loan")
 @dataclass(frozen=True)
 class RecallLoan:
-    """A lender asks for up to so many units of a loan that the borrower does not need now."""
+    """A lender's request for up to `units` units of a loan that the borrower does not need."""
 
     number: int
     units: int
@@ -68,7 +71,7 @@
 @register_message("loan-returned")
 @dataclass(frozen=True)
 class LoanReturned:
-    """How many units of a recalled loan the borrower has left; never more than before."""
+    """The units of a recalled loan that the borrower retains, never more than before."""
 
     units_left: int
     requests_credit: float
@@ -82,14 +85,14 @@
         """Return the peer's reply, or raise `PeerError`."""
 
     def handle(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
-        """Serve messages of a type."""
+        """Register the handler of a message type."""
 
 
 class CreditMover(Protocol):
-    """Moves what the buckets hold along with a loan."""
+    """Moves the contents of token buckets along with a loan."""
 
     def take(self, account: str, units: Units) -> Credit:
-        """Take at most what `units` hold out of the account's buckets."""
+        """Remove at most the bucket capacity of `units` from the account's buckets."""
 
     def add(self, account: str, credit: Credit) -> None:
-        """Put `credit` into the account's buckets."""
+        """Add `credit` to the account's buckets."""
--- a/hemlockswitch/process/shares/parts.py
+++ b/hemlockswitch/process/shares/parts.py
@@ -1,4 +1,4 @@
-"""How an account's limit divides: between the zones, between a zone's daemons, into units."""
+"""Divides an account's limit into units, between the zones, and between a zone's daemons."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class ShareMember:
-    """A daemon that may hold shares, or generations handed over."""
+    """A daemon that may receive shares or handed-over generations."""
 
     name: str
     zone: str
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True)
 class ZoneTotals:
-    """What a zone divides, and between whom.
+    """The units that a zone divides, and the daemons between which it divides them.
 
     Parameters
     ==========
 
-    totals : by account, the units that fall to the zone.
+    totals : the zone's units by account.
     names : the zone's live daemons.
     """
 
@@ -37,14 +37,14 @@
 
 
 class ShareParts:
-    """What falls to this daemon and its zone, by the file in force and the live members.
+    """Computes the parts of this daemon and its zone from the active operator file and the live members.
 
     Parameters
     ==========
 
-    name, zone : of this daemon.
-    find_file : the operator file in force.
-    list_members : the live daemons that are not leaving.
+    name, zone : name and zone of this daemon.
+    find_file : returns the active operator file.
+    list_members : returns the live daemons that are not leaving.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._sizes_of: OperatorFile | None = None
 
     def find_sizes(self, account: str) -> UnitSizes | None:
-        """Return the size of an account's units, or None for an unknown account."""
+        """Return the size of an account's units, or None if the account is not configured."""
         file = self._find_file()
         if file is not self._sizes_of:
             self._sizes = {
@@ -73,7 +73,7 @@
         return self._sizes.get(account)
 
     def find_totals(self) -> ZoneTotals:
-        """Return what the zone divides between its live daemons."""
+        """Return the units that the zone divides between its live daemons."""
         file = self._find_file()
         zones = sorted(file.zones)
         totals = {
@@ -84,7 +84,7 @@
         return ZoneTotals(totals, names)
 
     def find_own(self) -> dict[str, Units]:
-        """Return the even part of each account that falls to this daemon."""
+        """Return this daemon's even part of each account."""
         divided = self.find_totals()
         names = sorted(divided.names)
         return {
@@ -93,19 +93,19 @@
         }
 
     def list_names(self) -> frozenset[str]:
-        """Return the zone's live daemons, this one among them."""
+        """Return the zone's live daemons, including this one."""
         members = self._list_members()
         return frozenset({one.name for one in members if one.zone == self.zone} | {self.name})
 
     def list_writers(self) -> list[str]:
-        """Return the addresses to send a word to, in order; an empty one is this daemon."""
+        """Return the addresses to send a renewal to, in order; an empty address is this daemon."""
         addresses = {member.name: member.address for member in self._list_members()}
         order = rank_rendezvous(f"shares/{self.zone}", self.list_names())
         first = ["" if name == self.name else addresses.get(name, "") for name in order[:WRITERS]]
         return first if "" in first else [*first, ""]
 
     def list_lenders(self) -> list[str]:
-        """Return the addresses of the other daemons, the own zone's first."""
+        """Return the addresses of the other daemons in random order, those of the local zone first."""
         members = [member for member in self._list_members() if member.name != self.name]
         random.shuffle(members)
         members.sort(key=lambda member: member.zone != self.zone)
--- a/hemlockswitch/process/shares/record.py
+++ b/hemlockswitch/process/shares/record.py
@@ -1,4 +1,4 @@
-"""The anchor's record of one zone: which daemon was granted how much, and when it comes back."""
+"""The anchor's record of one zone: the grant of each daemon, and when its units become free again."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field, replace
@@ -21,17 +21,17 @@
 @register_message("renew-shares")
 @dataclass(frozen=True)
 class RenewShares:
-    """A daemon's word that it lives, and what it keeps of its grants; it uses no more already.
+    """A daemon's renewal with the part of its grants that it keeps; it has already stopped using more.
 
     Parameters
     ==========
 
     member, incarnation : the daemon's name, and an identifier of its process.
-    counter : rises with each word of the process.
-    kept : by account, units of requests, tokens and slots.
-    floors : what of it the process goes on with when its term ends without a word.
-    lendable : what of it may be lent to others from now on.
-    leaving : the daemon gives everything back and wants nothing.
+    counter : increases with each renewal of the process.
+    kept : units of requests, tokens, and slots by account.
+    floors : part of `kept` that the process continues to use if its term expires without a renewal.
+    lendable : part of `kept` that may be lent from now on.
+    leaving : whether the daemon returns all units and requests none.
     """
 
     member: str
@@ -46,7 +46,7 @@
 @register_message("shares-renewed")
 @dataclass(frozen=True)
 class SharesRenewed:
-    """What the anchor grants to a daemon, written before this is sent."""
+    """The grants of a daemon, stored by the anchor before this message is sent."""
 
     counter: int
     grants: Counts
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """One process's line in the record.
+    """The entry of one process in the record.
 
     Parameters
     ==========
 
-    replaced : another process of the same name has begun, so this one has ended.
+    replaced : whether a later process of the same name has started, so that this one has ended.
     """
 
     name: str
@@ -78,7 +78,7 @@
 
 @dataclass
 class _Sighting:
-    """When an entry was first seen with its counter, and when its process was known gone."""
+    """When an entry was first read with its counter, and when the end of its process was detected."""
 
     counter: int
     since_ms: float
@@ -87,13 +87,13 @@
 
 @dataclass
 class EntryWatch:
-    """How long entries have been without a new word, by this process's own clock.
+    """Measures the time since the last renewal of each entry on this process's clock.
 
     Parameters
     ==========
 
-    clock : only differences of its readings are used.
-    is_gone : whether the platform says that the VM of this name is no more.
+    clock : time source; only differences of its readings are used.
+    is_gone : returns whether the platform has removed the VM of a name.
     """
 
     clock: Clock
@@ -101,7 +101,7 @@
     _seen: dict[str, _Sighting] = field(default_factory=dict)
 
     def observe(self, entries: Iterable[Entry]) -> None:
-        """Note the counters read from the platform just now."""
+        """Record the counters of entries that were just read from the platform."""
         now_ms = self.clock.now_ms()
         by_key = {entry.key: entry for entry in entries}
         for key in set(self._seen) - set(by_key):
@@ -113,18 +113,18 @@
         self._note_gone(by_key, now_ms)
 
     def is_expired(self, entry: Entry) -> bool:
-        """Return whether the entry's term is over."""
+        """Return whether the entry's term has expired."""
         return self._measure_age_ms(entry) >= RETURN_RATES_MS
 
     def count_bound(self, entry: Entry, account: str) -> Units:
-        """Return what of an entry's grant nobody else may have yet.
+        """Return the part of an entry's grant that must not be granted to other daemons yet.
 
         Explanation
         ===========
 
-        After the term the floor stays with its holder, which may be cut off from the platform
-        and go on with it; slots wait for the requests that still use them. Of a process that
-        is known to have ended only what it may have lent stays, until such loans are over.
+        After the term, the floor stays reserved for its holder, which may be disconnected from the platform
+        and still use it; slots stay reserved until the requests that may use them have ended. For a process
+        that has ended, only the part that it may have lent stays reserved, until such loans have expired.
         """
         units = entry.held.grants.get(account, NOTHING)
         if self._is_ended(entry):
@@ -139,7 +139,7 @@
         return Units(floor.requests, floor.tokens, slots.slots)
 
     def is_over(self, entry: Entry) -> bool:
-        """Return whether nothing of the entry is bound any more."""
+        """Return whether no part of the entry is reserved any longer."""
         return self._is_ended(entry) and self._measure_gone_ms(entry) >= GONE_SLOTS_MS
 
     def _is_ended(self, entry: Entry) -> bool:
@@ -174,7 +174,7 @@
 
     @classmethod
     def from_value(cls, value: Any) -> "ShareRecord":
-        """Read the object's value."""
+        """Decode the object's value."""
         record = cls()
         for key, stored in value["entries"].items():
             name, incarnation = key.split("/")
@@ -185,7 +185,7 @@
         return record
 
     def to_value(self) -> dict[str, Any]:
-        """Return the object's value, ready for JSON."""
+        """Encode the record as the object's JSON value."""
         return {
             "entries": {
                 key: {
@@ -198,7 +198,7 @@
         }
 
     def drop_over(self, watch: EntryWatch) -> None:
-        """Remove the entries of which all has returned."""
+        """Remove the entries without reserved units."""
         self.entries = {
             key: entry for key, entry in self.entries.items() if not watch.is_over(entry)
         }
@@ -206,24 +206,24 @@
     def renew(
         self, ask: RenewShares, totals: dict[str, Units], names: set[str], watch: EntryWatch
     ) -> SharesRenewed | None:
-        """Write one daemon's word into the record.
+        """Apply one daemon's renewal to the record.
 
         Explanation
         ===========
 
-        First the entry falls to what the daemon kept; then it may rise to its even part, from
-        what is bound by nobody. So units leave one daemon before another gets them.
+        The entry is first reduced to what the daemon keeps, and then raised towards its even part from
+        units that no entry reserves. Units are therefore taken from one daemon before another receives them.
 
         Parameters
         ==========
 
-        totals : by account, the units of this zone.
+        totals : the zone's units by account.
         names : the daemons that divide them.
 
         Returns
         =======
 
-        SharesRenewed or None : None for a word older than the one recorded.
+        SharesRenewed or None : None for a renewal older than the recorded one.
         """
         key = f"{ask.member}/{ask.incarnation}"
         known = self.entries.get(key)
@@ -244,13 +244,13 @@
         return _build_reply(entry)
 
     def _replace_earlier(self, name: str) -> None:
-        """Note that the earlier processes of a name have ended, since a name is one VM's."""
+        """Mark earlier processes of a name as replaced: a name belongs to one VM, so they have ended."""
         for key, entry in self.entries.items():
             if entry.name == name:
                 self.entries[key] = replace(entry, replaced=True)
 
     def count_free(self, account: str, total: Units, watch: EntryWatch) -> Units:
-        """Return what of `total` is bound by no entry."""
+        """Return the part of `total` that no entry reserves."""
         bound = NOTHING
         for entry in self.entries.values():
             bound += watch.count_bound(entry, account)
@@ -278,7 +278,7 @@
 
 
 def _set_rest(held: Granted, ask: RenewShares) -> None:
-    """Set what follows from the grants; a daemon that leaves does not get more."""
+    """Set the floors and lendable parts for the grants; a leaving daemon's floors are not raised."""
     floors, lendable = decode_grants(ask.floors), decode_grants(ask.lendable)
     for account, units in held.grants.items():
         least = NOTHING if ask.leaving else units.halve()
--- a/hemlockswitch/process/shares/renewal.py
+++ b/hemlockswitch/process/shares/renewal.py
@@ -1,4 +1,4 @@
-"""Keeping a daemon's shares alive: its words to the anchor, and the grants that come back."""
+"""Periodic renewal of a daemon's shares at the anchor."""
 
 from collections.abc import Callable
 
@@ -33,17 +33,17 @@
 
 
 class ShareRenewal:
-    """Says to the anchor that this daemon lives and what it keeps, again and again.
+    """Sends renewals with the units that this daemon keeps to the anchor, and applies the grants.
 
     Parameters
     ==========
 
-    parts : what falls to this daemon.
+    parts : computes this daemon's even part.
     book : the daemon's record.
-    anchor : this daemon's own way to the platform.
-    network : the peer network, to daemons that write for all.
+    anchor : this daemon's anchor, which writes to the platform directly.
+    network : the peer network, for renewals through the zone's writers.
     clock : the process's clock.
-    count_running : an account's requests in progress here.
+    count_running : returns the slots that an account's demand at this daemon needs.
     """
 
     def __init__(
@@ -71,9 +71,9 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the even part was granted, or there was time enough to grant it.
+        """Whether the even part was granted, or `FIRST_GRANT_MS` has passed.
 
-        What is missing after that time can be borrowed.
+        Units that are missing after that time can be borrowed.
         """
         if not self._complete and self._begun_ms is not None:
             waited = self._clock.now_ms() - self._begun_ms > FIRST_GRANT_MS
@@ -81,11 +81,11 @@
         return self._complete
 
     def hurry(self) -> None:
-        """Renew soon: the anchor should know something new."""
+        """Renew soon, because the anchor should receive a change."""
         self._wake.set()
 
     def renew(self) -> bool:
-        """Send one word; return whether it was written."""
+        """Send one renewal; return whether it was stored."""
         self._counter += 1
         said = self._book.lower(self._find_kept())
         sent_ms = self._clock.now_ms()
@@ -106,7 +106,7 @@
         return True
 
     def run(self) -> None:
-        """Renew for ever."""
+        """Renew periodically until killed."""
         self._begun_ms = self._clock.now_ms()
         was_in_term = False
         while True:
@@ -120,7 +120,7 @@
             self._wait(RENEW_MS if renewed else RETRY_MS)
 
     def _wait(self, longest_ms: float) -> None:
-        """Wait for the next word; it comes soon while the zone's daemons come and go."""
+        """Wait until the next renewal is due, which is soon after the set of the zone's daemons changed."""
         until_ms = self._clock.now_ms() + longest_ms
         gevent.sleep(SHORTEST_RENEW_MS / MS_PER_SECOND)
         while self._clock.now_ms() < until_ms:
@@ -140,12 +140,12 @@
                     return self._anchor.renew(ask)
                 return self._network.ask(address, ask, RENEW_TIMEOUT_MS)
             except HemlockError:
-                # The next writer may reach the platform; the end of the term is logged.
+                # The next writer may reach the platform; if none does, the expiry of the term is logged.
                 continue
         return None
 
     def _find_kept(self) -> dict[str, Units]:
-        """Return what to keep of the grants: the even part, and what is lent or in use."""
+        """Return the units to keep: at least the even part and the units lent or in use."""
         kept = {}
         for account, part in self._parts.find_own().items():
             in_use = Units(slots=self._count_running(account))
@@ -154,7 +154,7 @@
         return kept
 
     def _has_part(self) -> bool:
-        # A process that replaces another one gets half at once, and the rest a little later.
+        # A process that replaces another one receives half at once, and the remaining units later.
         return self._book.in_term and all(
             self._book.find_grant(account).raise_to(part - part.halve())
             == self._book.find_grant(account)
--- a/hemlockswitch/process/shares/shares.py
+++ b/hemlockswitch/process/shares/shares.py
@@ -1,4 +1,4 @@
-"""Shares of each account's limits between daemons: renewed at the anchor, moved between peers."""
+"""A daemon's shares of each account's limits: renewed at the anchor, and lent between peers."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -26,27 +26,27 @@
 
 
 class Shares:
-    """The daemon's `Allowances`: its shares, kept alive and moved on demand.
+    """The daemon's `Allowances`: its shares, which are renewed periodically and lent on demand.
 
     Explanation
     ===========
 
-    Each zone divides its part of an account's limits evenly between its daemons, in one object
-    of the platform that the first daemons of a rendezvous order write for all. What one daemon
-    has and does not use, another borrows: the lender deducts first. Nothing is given out twice
-    whatever message is lost, since every end is a duration from before it was asked for.
+    Each zone divides its part of an account's limits evenly between its daemons, in one object of the
+    platform, which the first daemons of a rendezvous order write for all. Units that one daemon does not use
+    can be borrowed by another; the lender deducts them first. No unit is granted twice even if messages are
+    lost, since every expiry counts as a duration from before the request for it was sent.
 
     Parameters
     ==========
 
-    name, zone : of this daemon.
+    name, zone : name and zone of this daemon.
     clock : the process's clock.
     store : the platform's object service.
     network : the peer network.
-    find_file : the operator file in force.
-    list_members : the live daemons that are not leaving.
-    is_gone : whether the platform says that the VM of a name is no more.
-    batch_ms : words to the anchor that come within this time are written together.
+    find_file : returns the active operator file.
+    list_members : returns the live daemons that are not leaving.
+    is_gone : returns whether the platform has removed the VM of a name.
+    batch_ms : renewals that arrive at the anchor within this time are written together.
     """
 
     def __init__(
@@ -83,15 +83,15 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this daemon has its shares, or waited long enough for them."""
+        """Whether this daemon has its shares, or the time to wait for them has passed."""
         return self.renewal.is_ready
 
     def set_use(self, use: AccountUse) -> None:
-        """Connect the admission that uses these shares."""
+        """Set the admission that uses these shares."""
         self._use = use
 
     def start(self) -> None:
-        """Start the tasks that keep the shares alive; a second call does nothing."""
+        """Start the tasks that renew the shares and extend loans; further calls have no effect."""
         if self._tasks:
             return
         self.anchor.start()
@@ -99,23 +99,23 @@
         self._tasks = [gevent.spawn(_keep_running, run) for run in runs]
 
     def stop(self) -> None:
-        """End the tasks; what is held lapses."""
+        """Stop the tasks; the held units expire."""
         self.anchor.stop()
         gevent.killall(self._tasks, block=False)
 
     def leave(self) -> None:
-        """Give back what is not in use; call it again once the last request has ended."""
+        """Return all units that are not in use; must be called again after the last request has ended."""
         self.parts.leaving = True
         self.borrower.return_all()
         self.renewal.renew()
 
     def find_allowance(self, account: str) -> Allowance | None:
-        """Return what may be admitted now, or None for an unknown account."""
+        """Return what may be admitted now, or None if the account is not configured."""
         sizes = self.parts.find_sizes(account)
         return None if sizes is None else sizes.build_allowance(self.book.count_held(account))
 
     def seek_more(self, account: str, shortage: Shortage, wait_ms: float) -> bool:
-        """Borrow what a request lacks from other daemons; return whether anything came."""
+        """Borrow what a request lacks from other daemons; return whether any units were received."""
         sizes = self.parts.find_sizes(account)
         if sizes is None or self.parts.leaving:
             return False
@@ -126,7 +126,7 @@
                 shortage.concurrent_requests,
             )
         )
-        # Slots are asked for one by one; rates up to the demand, so that one move serves many.
+        # Slots are borrowed as needed, rates up to the demand, so that one loan serves many requests.
         beyond = self.count_needed(account) - self.book.count_held(account)
         wanted = lacking.raise_to(Units(beyond.requests, beyond.tokens, 0))
         asked = Units(
@@ -160,17 +160,17 @@
         }
 
     def take_credit(self, account: str, units: Units) -> Credit:
-        """Take at most what `units` hold out of the account's buckets."""
+        """Remove at most the bucket capacity of `units` from the account's buckets."""
         sizes = self.parts.find_sizes(account)
         if sizes is None or self._use is None:
             return Credit()
-        # Buckets hold what the rate brings in one second.
+        # The capacity of a bucket is the amount of one second at its rate.
         rates = sizes.build_allowance(units)
         most = Credit(rates.requests_per_second, rates.tokens_per_second)
         return self._use.take_credit(account, most)
 
     def add_credit(self, account: str, credit: Credit) -> None:
-        """Put `credit` into the account's buckets."""
+        """Add `credit` to the account's buckets."""
         if self._use is not None and self.parts.find_sizes(account) is not None:
             self._use.add_credit(account, credit)
 
@@ -185,7 +185,7 @@
 
 
 def _keep_running(run: Callable[[], None]) -> None:
-    """Run a task for ever; one that fails is logged and started again."""
+    """Run a task until killed; a failure is logged, and the task restarted."""
     while True:
         try:
             run()
@@ -195,15 +195,15 @@
 
 
 class _Credits:
-    """The `CreditMover` of the loans: the buckets of the admission that uses the shares."""
+    """The `CreditMover` of the loans, for the buckets of the admission that uses the shares."""
 
     def __init__(self, shares: Shares) -> None:
         self._shares = shares
 
     def take(self, account: str, units: Units) -> Credit:
-        """Take at most what `units` hold out of the account's buckets."""
+        """Remove at most the bucket capacity of `units` from the account's buckets."""
         return self._shares.take_credit(account, units)
 
     def add(self, account: str, credit: Credit) -> None:
-        """Put `credit` into the account's buckets."""
+        """Add `credit` to the account's buckets."""
         self._shares.add_credit(account, credit)
--- a/hemlockswitch/process/shares/terms.py
+++ b/hemlockswitch/process/shares/terms.py
@@ -1,4 +1,4 @@
-"""Grants and loans of shares, and how long they last."""
+"""Grants and loans of shares, and their durations."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -15,15 +15,15 @@
 
 @dataclass(frozen=True)
 class Loan:
-    """Units that moved from one daemon to another for a while.
+    """Units that one daemon lends to another for a limited time.
 
     Parameters
     ==========
 
-    number : given by the lender.
+    number : assigned by the lender.
     peer : address of the other daemon.
-    until_ms : own clock's reading at which the loan ends: late at the lender, early at the
-        borrower.
+    until_ms : reading of this daemon's clock at which the loan ends, which is later at the lender than at
+        the borrower.
     """
 
     number: int
@@ -34,9 +34,9 @@
     until_ms: float
 
     def is_usable(self, now_ms: float) -> bool:
-        """Return whether a request may be admitted on the loan at the borrower.
+        """Return whether the borrower may admit a request on the loan.
 
-        A borrowed slot is used only by requests that end before the loan does.
+        A borrowed slot may be used only by requests that end before the loan.
         """
         needed_ms = REQUEST_MS if self.resource is Resource.SLOTS else 0
         return now_ms < self.until_ms - needed_ms
@@ -44,15 +44,15 @@
 
 @dataclass(frozen=True)
 class Granted:
-    """What the anchor holds for one process, by account.
+    """The anchor's grants to one process, by account.
 
     Parameters
     ==========
 
-    grants : what it may use in its term.
-    floors : what of it the process goes on with when its term ends without a word.
-    lendable : what of it may be lent; of a process that was replaced, only this may be in use
-        elsewhere still.
+    grants : units that it may use in its term.
+    floors : part of the grants that it continues to use if its term expires without a renewal.
+    lendable : part of the grants that may be lent; only this part of a replaced process's grants may still
+        be in use by other daemons.
     """
 
     grants: dict[str, Units]
@@ -61,7 +61,7 @@
 
 
 def sum_loans(loans: Iterable[Loan], account: str) -> Units:
-    """Return the units of an account in some loans."""
+    """Return the sum of an account's units in `loans`."""
     total = NOTHING
     for loan in loans:
         if loan.account == account:
--- a/hemlockswitch/process/shares/units.py
+++ b/hemlockswitch/process/shares/units.py
@@ -1,4 +1,4 @@
-"""Limits as whole units, so that they divide between daemons without a remainder."""
+"""Limits as integer units, so that they divide between daemons without a fraction."""
 
 from collections.abc import Iterable
 from dataclasses import astuple, dataclass
@@ -13,7 +13,7 @@
 
 
 class Resource(StrEnum):
-    """What a limit bounds."""
+    """The resource that a limit applies to."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Units:
-    """Whole units of requests a second, tokens a second and concurrent requests.
+    """Integer units of requests per second, tokens per second, and concurrent requests.
 
     Examples
     ========
@@ -44,7 +44,7 @@
 
     @classmethod
     def from_limits(cls, limits: AccountLimits) -> "Units":
-        """Return how many units an account's limits have; never none of a resource."""
+        """Return the number of units in an account's limits, with at least one of each rate."""
         return cls(
             max(int(limits.requests_per_second), 1),
             max(int(limits.tokens_per_second), 1),
@@ -83,14 +83,14 @@
 
 @dataclass(frozen=True)
 class UnitSizes:
-    """How much of a limit one unit stands for; at least one request a second where possible."""
+    """The part of a limit that one unit represents, at least one request per second where possible."""
 
     requests_per_second: float
     tokens_per_second: float
 
     @classmethod
     def from_limits(cls, limits: AccountLimits) -> "UnitSizes":
-        """Return the sizes that make the units add up to the limits exactly."""
+        """Return the sizes for which the units add up to the limits exactly."""
         units = Units.from_limits(limits)
         return cls(
             limits.requests_per_second / units.requests,
@@ -98,7 +98,7 @@
         )
 
     def build_allowance(self, held: Units) -> Allowance:
-        """Return what `held` lets a daemon admit."""
+        """Return the allowance of a daemon that holds `held`."""
         return Allowance(
             held.requests * self.requests_per_second,
             held.tokens * self.tokens_per_second,
@@ -106,7 +106,7 @@
         )
 
     def count_units(self, rate_of: Allowance) -> Units:
-        """Return the units that cover a demand, rounded up but for what is next to nothing."""
+        """Return the units that cover a demand, rounded up except for negligible fractions."""
         return Units(
             max(ceil(rate_of.requests_per_second / self.requests_per_second - NEGLIGIBLE), 0),
             max(ceil(rate_of.tokens_per_second / self.tokens_per_second - NEGLIGIBLE), 0),
@@ -115,13 +115,13 @@
 
 
 def find_part(total: Units, key: str, name: str, names: Iterable[str]) -> Units:
-    """Return the part of `total` that falls to `name` when `names` divide it evenly.
+    """Return the part of `name` if `names` divide `total` evenly.
 
     Explanation
     ===========
 
-    What does not divide goes, one unit each, to the first names of the rendezvous order of
-    `key` and the resource, so that few units of different accounts lie at different daemons.
+    The remainder is distributed, one unit each, to the first names in the rendezvous order of `key` and the
+    resource, so that the remainders of different accounts are assigned to different daemons.
 
     Examples
     ========
--- a/tests/share_fleet.py
+++ b/tests/share_fleet.py
@@ -1,4 +1,4 @@
-"""A few daemons that share limits in one process: a fake network, a fake object service."""
+"""Daemons that share limits, simulated in one process with a fake network and object service."""
 
 from hemlockswitch.connection.stored_objects import Conflict, StoredObject, Unknown, Written
 from hemlockswitch.core.clock import ManualClock
@@ -24,7 +24,7 @@
 
 
 class DriftingClock:
-    """A clock of one daemon: another origin, and a rate that is not quite the same."""
+    """The clock of one daemon, with an offset and a slightly different rate."""
 
     def __init__(self, base, offset_ms, rate):
         self._base = base
@@ -39,7 +39,7 @@
 
 
 class FakeStore:
-    """Conditional updates; faults: down, or the answers of writes lost."""
+    """An object service with conditional updates, which may be down or lose the answers of writes."""
 
     def __init__(self):
         self.objects = {}
@@ -69,7 +69,7 @@
 
 
 class FakeNetwork:
-    """One daemon's end; `fleet.cut` holds pairs of zones, `lose_reply` decides for each ask."""
+    """One daemon's network; `fleet.cut` has the disconnected pairs of zones, `lose_reply` loses replies."""
 
     def __init__(self, fleet, name):
         self._fleet = fleet
@@ -121,7 +121,7 @@
 
 
 class Fleet:
-    """Daemons by name, on clocks that drift, with faults."""
+    """Daemons by name, with drifting clocks and faults."""
 
     def __init__(self, file=None, make_clock=None):
         self.base = ManualClock()
@@ -161,7 +161,7 @@
                     daemon.shares.renewal.renew()
 
     def tick(self, duration_ms, step_ms=500.0, renew_every=6):
-        """Let time pass: renewals every 3 s and loans every step."""
+        """Advance the time, with loan extensions every step and renewals every `renew_every` steps (3 s)."""
         for number in range(int(duration_ms / step_ms)):
             self.base.advance(step_ms)
             for daemon in list(self.daemons.values()):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares never add up to more than the limit, whatever is lost, cut, frozen or killed."""
+"""Shares never add up to more than the limit, despite lost messages, partitions, freezes, and kills."""
 
 import random
 from dataclasses import replace
@@ -19,20 +19,20 @@
 
 
 def let_lend(fleet, hot):
-    """Ask the others once, so that the anchor knows that they lend from now on."""
+    """Request a loan from each daemon once, so that the anchor records that they lend from now on."""
     others = [name for name in fleet.daemons if name != hot.name]
     for resource in ("requests", "tokens", "slots"):
         hot.shares.borrower.borrow("abdoun", Units(**{resource: 4_000}), others, 100)
     fleet.tick(3_000)
 
 
-def test_daemons_divide_the_whole_limit():
+def test_daemons_divide_the_entire_limit():
     fleet = make_fleet()
     assert fleet.sum_held() == fleet.limit == Units(8, 4_000, 4)
     assert {daemon.held() for daemon in fleet.daemons.values()} == {Units(2, 1_000, 1)}
 
 
-def test_one_daemon_can_use_the_whole_limit_and_gives_it_back():
+def test_one_daemon_can_borrow_the_entire_limit_and_returns_it():
     fleet = make_fleet()
     hot = fleet.daemons["entry-0"]
     let_lend(fleet, hot)
@@ -48,7 +48,7 @@
     assert {daemon.held() for daemon in fleet.daemons.values()} == {Units(2, 1_000, 1)}
 
 
-def test_a_cut_leaves_each_side_what_it_holds_and_borrowed_rates_return_in_their_term():
+def test_partition_keeps_shares_of_both_sides_and_borrowed_rates_expire():
     fleet = make_fleet()
     hot = fleet.daemons["entry-0"]
     let_lend(fleet, hot)
@@ -64,7 +64,7 @@
     assert fleet.sum_held().tokens <= 4_000
 
 
-def test_a_frozen_daemon_finds_its_term_over_before_it_admits():
+def test_frozen_daemon_has_only_its_floor_after_its_term():
     fleet = make_fleet()
     frozen = fleet.daemons["entry-0"]
     frozen.frozen = True
@@ -74,7 +74,7 @@
     assert fleet.sum_held().requests <= 8
 
 
-def test_a_killed_daemons_rates_return_after_the_term_and_the_rest_once_its_vm_is_gone():
+def test_killed_daemon_frees_rates_after_its_term_and_all_after_its_vm_is_removed():
     fleet = make_fleet()
     fleet.kill("entry-0")
     fleet.tick(30_000)
@@ -84,7 +84,7 @@
     assert fleet.sum_held() == fleet.limit
 
 
-def test_slots_that_may_be_lent_return_after_the_longest_loan():
+def test_lendable_slots_are_freed_after_the_longest_loan():
     fleet = make_fleet()
     let_lend(fleet, fleet.daemons["entry-1"])
     fleet.kill("entry-0")
@@ -95,7 +95,7 @@
     assert fleet.sum_held() == fleet.limit
 
 
-def test_a_restarted_daemon_has_half_at_once_and_all_after_the_loans():
+def test_restarted_daemon_has_half_at_once_and_all_after_the_loans():
     fleet = Fleet(make_file(zones=("a",), concurrent=5))
     fleet.add("entry-0", "a")
     fleet.renew_all(rounds=2)
@@ -109,7 +109,7 @@
     assert restarted.held() == fleet.limit
 
 
-def test_a_leaving_daemon_gives_back_at_once():
+def test_leaving_daemon_returns_its_shares_at_once():
     fleet = make_fleet()
     fleet.daemons["entry-0"].shares.leave()
     fleet.kill("entry-0")
@@ -117,7 +117,7 @@
     assert fleet.sum_held() == fleet.limit
 
 
-def test_without_the_platform_daemons_go_on_with_half():
+def test_without_the_platform_daemons_continue_with_half():
     fleet = make_fleet(make_file(requests=16))
     for daemon in fleet.daemons.values():
         daemon.store.down = True
@@ -125,7 +125,7 @@
     assert fleet.sum_held() == Units(8, 2_000, 4)
 
 
-def test_a_lowered_limit_is_reached_with_the_next_words():
+def test_reduced_limit_applies_with_the_next_renewals():
     fleet = make_fleet()
     fleet.file = make_file(requests=4, tokens=2_000, concurrent=2)
     fleet.renew_all(rounds=2)
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_sum_never_exceeds_the_limit_under_random_faults(seed):
+def test_sum_never_exceeds_the_limit_under_random_faults(seed):
     rng = random.Random(seed)
     fleet = Fleet(
         make_file(requests=7, tokens=3_000, concurrent=5),
@@ -158,7 +158,7 @@
         fleet.kill(name)
         running[:] = [one for one in running if one[0] is not daemon]
         if rng.random() < 0.5:
-            # A VM's name is not used again once it is gone.
+            # The name of a removed VM is never reused.
             fleet.gone.add(name)
             names[names.index(name)] = f"{name}x"
     elif choice < 0.06:
@@ -198,7 +198,7 @@
     assert len(running) <= limit.slots
 
 
-def test_a_record_that_cannot_be_read_ends_no_task():
+def test_malformed_record_does_not_end_the_anchor_task():
     fleet = make_fleet()
     daemon = fleet.daemons["entry-0"]
     stored = fleet.store.objects["shares", "a"]
