--- a/hemlockswitch/process/shares/anchor.py
+++ b/hemlockswitch/process/shares/anchor.py
@@ -22,11 +22,11 @@
 
 KIND = "shares"
 BATCH_MS = 300.0
-MOST_ATTEMPTS = 4
+MAX_WRITE_ATTEMPTS = 4
 
 
 @dataclass(frozen=True)
-class _Waiting:
+class _PendingRenewal:
     """A renewal that waits to be written."""
 
     ask: RenewShares
@@ -67,7 +67,7 @@
         self._find_totals = find_totals
         self._watch = watch
         self._batch_ms = batch_ms
-        self._queue: Queue[_Waiting] = Queue()
+        self._queue: Queue[_PendingRenewal] = Queue()
         self._task: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -87,7 +87,7 @@
 
         PlatformError : the platform did not confirm the write.
         """
-        waiting = _Waiting(ask, AsyncResult())
+        waiting = _PendingRenewal(ask, AsyncResult())
         self._queue.put(waiting)
         return waiting.result.get()
 
@@ -99,7 +99,7 @@
 
         PlatformError : the platform did not confirm the write.
         """
-        for _ in range(MOST_ATTEMPTS):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             replies = self._try_write(asks)
             if replies is not None:
                 return replies
@@ -112,7 +112,7 @@
         stored = self._store.read(KIND, self._zone)
         record = ShareRecord() if stored is None else ShareRecord.from_value(stored.value)
         self._watch.observe(record.entries.values())
-        record.drop_over(self._watch)
+        record.remove_unreserved(self._watch)
         divided = self._find_totals()
         entries = record.entries.values()
         names = {entry.name for entry in entries if not self._watch.is_expired(entry)}
@@ -145,14 +145,14 @@
             for waiting, reply in zip(batch, replies, strict=True):
                 self._answer(waiting, reply)
 
-    def _answer(self, waiting: _Waiting, reply: SharesRenewed | None) -> None:
+    def _answer(self, waiting: _PendingRenewal, reply: SharesRenewed | None) -> None:
         if reply is not None:
             waiting.result.set(reply)
             return
         late = PlatformError(ErrorKind.STALE_FENCING, "a newer renewal of this process is recorded")
         waiting.result.set_exception(late)
 
-    def _collect(self) -> list[_Waiting]:
+    def _collect(self) -> list[_PendingRenewal]:
         batch = [self._queue.get()]
         gevent.sleep(self._batch_ms / MS_PER_SECOND)
         while True:
@@ -162,6 +162,6 @@
                 return batch
 
 
-def _refuse(batch: list[_Waiting], error: HemlockError) -> None:
+def _refuse(batch: list[_PendingRenewal], error: HemlockError) -> None:
     for waiting in batch:
         waiting.result.set_exception(error)
--- a/hemlockswitch/process/shares/borrower.py
+++ b/hemlockswitch/process/shares/borrower.py
@@ -8,7 +8,7 @@
 
 from hemlockswitch.core.clock import MS_PER_SECOND
 from hemlockswitch.core.errors import PeerError
-from hemlockswitch.process.shares.end import LoanEnd, LoanParts
+from hemlockswitch.process.shares.end import LoanParts, LoanParty
 from hemlockswitch.process.shares.messages import (
     BorrowShare,
     ExtendLoans,
@@ -22,12 +22,12 @@
 
 ASK_TIMEOUT_MS = 100.0
 LOAN_TIMEOUT_MS = 1_000.0
-SHORTEST_BARREN_MS = 100.0
-LONGEST_SLOTS_BARREN_MS = 400.0
-LONGEST_RATES_BARREN_MS = 1_600.0
-SILENT_MS = 1_000.0
-PARALLEL_ASKS = 4
-MOST_ASKS = 4
+MIN_SEARCH_PAUSE_MS = 100.0
+MAX_SLOTS_SEARCH_PAUSE_MS = 400.0
+MAX_RATES_SEARCH_PAUSE_MS = 1_600.0
+UNRESPONSIVE_LENDER_PAUSE_MS = 1_000.0
+PARALLEL_QUERIES = 4
+MAX_QUERIED_LENDERS = 4
 IDLE_TICKS = 4
 
 
@@ -39,17 +39,17 @@
     resources: tuple[Resource, ...]
 
 
-class ShareBorrower(LoanEnd):
+class ShareBorrower(LoanParty):
     """Borrows units that requests lack, extends loans in use, and returns idle ones."""
 
     def __init__(self, parts: LoanParts) -> None:
         super().__init__(parts)
         self._running: dict[_BorrowKey, Event] = {}
-        self._barren_until_ms: dict[_BorrowKey, float] = {}
-        self._silent_until_ms: dict[str, float] = {}
-        self._generous: dict[str, float] = {}
+        self._paused_until_ms: dict[_BorrowKey, float] = {}
+        self._unresponsive_until_ms: dict[str, float] = {}
+        self._last_lent_ms: dict[str, float] = {}
         self._surplus: dict[str, deque[int]] = defaultdict(lambda: deque(maxlen=IDLE_TICKS))
-        self._barren_ms: dict[_BorrowKey, float] = {}
+        self._search_pauses_ms: dict[_BorrowKey, float] = {}
         self._returned: dict[tuple[str, int], Loan] = {}
         self._network.handle(RecallLoan, self.return_idle)
 
@@ -64,16 +64,16 @@
         key = _BorrowKey(account, tuple(kind for kind in Resource if asked.get(kind) > 0))
         if key in self._running:
             return self._running[key].wait(timeout=wait_ms / MS_PER_SECOND)
-        if self._clock.now_ms() < self._barren_until_ms.get(key, 0):
+        if self._clock.now_ms() < self._paused_until_ms.get(key, 0):
             return False
         done = Event()
         self._running[key] = done
         try:
-            received = self._ask_in_turn(account, asked, lenders, wait_ms)
+            received = self._query_lenders(account, asked, lenders, wait_ms)
         finally:
             del self._running[key]
             done.set()
-        self._note_barren(key, received)
+        self._update_search_pause(key, received)
         return received
 
     def return_idle(self, sender: str, ask: RecallLoan) -> LoanReturned:
@@ -88,21 +88,21 @@
         if units <= 0:
             return LoanReturned(loan.units, 0.0, 0.0)
         credit = self._credits.take(account, Units.only(resource, units))
-        self._book.take(replace(loan, units=loan.units - units))
+        self._book.record_taken(replace(loan, units=loan.units - units))
         if loan.units == units:
             self._returned[sender, loan.number] = loan
         return LoanReturned(loan.units - units, credit.requests, credit.tokens)
 
-    def _note_barren(self, key: _BorrowKey, received: bool) -> None:
+    def _update_search_pause(self, key: _BorrowKey, received: bool) -> None:
         """Back off after a fruitless search; the limit is lower for slots, which may free up at any time."""
         if received:
-            self._barren_ms.pop(key, None)
+            self._search_pauses_ms.pop(key, None)
             return
-        pause_ms = self._barren_ms.get(key, SHORTEST_BARREN_MS)
-        self._barren_until_ms[key] = self._clock.now_ms() + pause_ms
+        pause_ms = self._search_pauses_ms.get(key, MIN_SEARCH_PAUSE_MS)
+        self._paused_until_ms[key] = self._clock.now_ms() + pause_ms
         for_slots = Resource.SLOTS in key.resources
-        longest_ms = LONGEST_SLOTS_BARREN_MS if for_slots else LONGEST_RATES_BARREN_MS
-        self._barren_ms[key] = min(pause_ms * 2, longest_ms)
+        longest_ms = MAX_SLOTS_SEARCH_PAUSE_MS if for_slots else MAX_RATES_SEARCH_PAUSE_MS
+        self._search_pauses_ms[key] = min(pause_ms * 2, longest_ms)
 
     def extend_loans(self) -> None:
         """Extend the loans that are needed; return slots that were idle for `IDLE_TICKS` calls."""
@@ -112,7 +112,7 @@
         wanted: dict[str, Terms] = defaultdict(list)
         for account, loans in by_account.items():
             self._choose(account, loans, self._count_needed(account), wanted)
-        self._return_again(wanted)
+        self._repeat_returns(wanted)
         self._extend_at_all(wanted)
 
     def return_all(self) -> None:
@@ -120,15 +120,15 @@
         wanted: dict[str, Terms] = defaultdict(list)
         for loan in self._book.list_taken():
             self._return(loan)
-        self._return_again(wanted)
+        self._repeat_returns(wanted)
         self._extend_at_all(wanted)
 
     def _return(self, loan: Loan) -> None:
         """Deduct a loan; the return is sent to its lender repeatedly until the lender has answered."""
-        self._book.take(replace(loan, units=0))
+        self._book.record_taken(replace(loan, units=0))
         self._returned[loan.peer, loan.number] = loan
 
-    def _return_again(self, wanted: dict[str, Terms]) -> None:
+    def _repeat_returns(self, wanted: dict[str, Terms]) -> None:
         now_ms = self._clock.now_ms()
         for key, loan in list(self._returned.items()):
             if now_ms >= loan.until_ms:
@@ -140,51 +140,57 @@
         asks = [gevent.spawn(self._extend_at, peer, terms) for peer, terms in wanted.items()]
         gevent.joinall(asks)
 
-    def _ask_in_turn(self, account: str, asked: Units, lenders: list[str], wait_ms: float) -> bool:
+    def _query_lenders(
+        self, account: str, asked: Units, lenders: list[str], wait_ms: float
+    ) -> bool:
         end_ms = self._clock.now_ms() + wait_ms
         received = False
         for resource in Resource:
             missing = asked.get(resource)
-            waiting = self._order(lenders)[:MOST_ASKS]
+            waiting = self._order_lenders(lenders)[:MAX_QUERIED_LENDERS]
             while missing > 0 and waiting and self._clock.now_ms() < end_ms:
-                count = min(PARALLEL_ASKS, missing)
+                count = min(PARALLEL_QUERIES, missing)
                 chosen, waiting = waiting[:count], waiting[count:]
                 each = -(-missing // len(chosen))
                 ask = BorrowShare(account, resource.value, each)
-                tasks = [gevent.spawn(self._ask_one, address, ask) for address in chosen]
+                tasks = [gevent.spawn(self._query_lender, address, ask) for address in chosen]
                 gevent.joinall(tasks, timeout=(end_ms - self._clock.now_ms()) / MS_PER_SECOND)
                 came = sum(task.value or 0 for task in tasks)
                 missing -= came
                 received = received or came > 0
         return received
 
-    def _order(self, lenders: list[str]) -> list[str]:
+    def _order_lenders(self, lenders: list[str]) -> list[str]:
         """Return the responsive lenders, those that lent most recently first, then by zone."""
         now_ms = self._clock.now_ms()
-        heard = [peer for peer in lenders if now_ms >= self._silent_until_ms.get(peer, 0)]
-        return sorted(heard, key=lambda peer: -self._generous.get(peer, 0))
+        responsive = [
+            peer for peer in lenders if now_ms >= self._unresponsive_until_ms.get(peer, 0)
+        ]
+        return sorted(responsive, key=lambda peer: -self._last_lent_ms.get(peer, 0))
 
-    def _ask_one(self, address: str, ask: BorrowShare) -> int:
+    def _query_lender(self, address: str, ask: BorrowShare) -> int:
         sent_ms = self._clock.now_ms()
         try:
             lent = self._network.ask(address, ask, ASK_TIMEOUT_MS)
         except PeerError:
-            self._silent_until_ms[address] = self._clock.now_ms() + SILENT_MS
+            self._unresponsive_until_ms[address] = (
+                self._clock.now_ms() + UNRESPONSIVE_LENDER_PAUSE_MS
+            )
             return 0
         if lent.units <= 0:
-            self._generous.pop(address, None)
+            self._last_lent_ms.pop(address, None)
             return 0
         resource = Resource(ask.resource)
         until_ms = sent_ms + lent.duration_ms
         loan = Loan(lent.number, address, ask.account, resource, lent.units, until_ms)
         if resource is Resource.SLOTS:
             # The loan is short until the extension confirms its receipt to the lender.
-            self._book.take(loan)
+            self._book.record_taken(loan)
             self._extend_at(address, [[loan.number, loan.units]])
         else:
-            self._book.take(loan)
+            self._book.record_taken(loan)
             self._credits.add(ask.account, Credit(lent.requests_credit, lent.tokens_credit))
-        self._generous[address] = self._clock.now_ms()
+        self._last_lent_ms[address] = self._clock.now_ms()
         return lent.units
 
     def _choose(
@@ -207,7 +213,7 @@
             kept = min(loan.units, missing)
             missing -= kept
             if kept > 0 and loan.until_ms - now_ms < LOAN_MS / 2:
-                self._book.take(replace(loan, units=kept))
+                self._book.record_taken(replace(loan, units=kept))
                 wanted[loan.peer].append([loan.number, kept])
 
     def _choose_slots(
@@ -238,4 +244,4 @@
             loan = self._book.find_taken(peer, number)
             if loan is not None:
                 longer = replace(loan, units=min(units, loan.units), until_ms=sent_ms + duration_ms)
-                self._book.take(longer)
+                self._book.record_taken(longer)
--- a/hemlockswitch/process/shares/end.py
+++ b/hemlockswitch/process/shares/end.py
@@ -30,7 +30,7 @@
     credits: CreditMover
 
 
-class LoanEnd:
+class LoanParty:
     """Base class of the lender and the borrower of a daemon."""
 
     def __init__(self, parts: LoanParts) -> None:
--- a/hemlockswitch/process/shares/lender.py
+++ b/hemlockswitch/process/shares/lender.py
@@ -3,7 +3,7 @@
 import gevent
 
 from hemlockswitch.core.errors import PeerError
-from hemlockswitch.process.shares.end import LoanEnd, LoanParts
+from hemlockswitch.process.shares.end import LoanParts, LoanParty
 from hemlockswitch.process.shares.messages import (
     BorrowShare,
     ExtendLoans,
@@ -16,16 +16,16 @@
 from hemlockswitch.request.allowances import Credit
 
 RECALL_TIMEOUT_MS = 60.0
-FRUITLESS_MS = 100.0
+RECALL_PAUSE_MS = 100.0
 PARALLEL_RECALLS = 4
 
 
-class Lender(LoanEnd):
+class Lender(LoanParty):
     """Lends units that this daemon does not need, and recalls idle loans for other borrowers."""
 
     def __init__(self, parts: LoanParts) -> None:
         super().__init__(parts)
-        self._fruitless_until_ms: dict[tuple[str, Resource], float] = {}
+        self._recall_paused_until_ms: dict[tuple[str, Resource], float] = {}
         self._network.handle(BorrowShare, self.lend)
         self._network.handle(ExtendLoans, self.extend)
 
@@ -42,21 +42,21 @@
         if loan is None:
             self._credits.add(ask.account, credit)
             return ShareLent(0, 0, 0.0, 0.0, 0.0)
-        duration_ms = self._book.measure_left_ms(loan)
+        duration_ms = self._book.compute_remaining_ms(loan)
         return ShareLent(loan.number, loan.units, duration_ms, credit.requests, credit.tokens)
 
     def extend(self, sender: str, ask: ExtendLoans) -> LoansExtended:
         """Extend loans, reduced by the units that this daemon needs itself."""
         extended = []
         for number, wanted in ask.loans:
-            self._book.shrink_given(sender, number, wanted)
+            self._book.reduce_given(sender, number, wanted)
             given = self._book.find_given(sender, number)
             if given is None:
                 continue
             short = max(-self._count_spare(given.account, given.resource), 0)
             loan = self._book.extend(sender, number, given.units - short)
             if loan is not None:
-                extended.append([number, loan.units, int(self._book.measure_left_ms(loan))])
+                extended.append([number, loan.units, int(self._book.compute_remaining_ms(loan))])
         return LoansExtended(extended)
 
     def recall(self, account: str, asked: Units) -> bool:
@@ -69,7 +69,7 @@
 
     def _recall(self, sender: str, account: str, resource: Resource, units: int) -> bool:
         key = (account, resource)
-        if self._clock.now_ms() < self._fruitless_until_ms.get(key, 0):
+        if self._clock.now_ms() < self._recall_paused_until_ms.get(key, 0):
             return False
         loans = [
             loan
@@ -81,7 +81,7 @@
         gevent.joinall(asks)
         came = any(ask.value for ask in asks)
         if not came:
-            self._fruitless_until_ms[key] = self._clock.now_ms() + FRUITLESS_MS
+            self._recall_paused_until_ms[key] = self._clock.now_ms() + RECALL_PAUSE_MS
         return came
 
     def _recall_one(self, loan: Loan, units: int) -> bool:
@@ -94,7 +94,7 @@
         given = self._book.find_given(loan.peer, loan.number)
         if given is None or reply.units_left >= given.units:
             return False
-        self._book.shrink_given(loan.peer, loan.number, reply.units_left)
+        self._book.reduce_given(loan.peer, loan.number, reply.units_left)
         self._credits.add(loan.account, Credit(reply.requests_credit, reply.tokens_credit))
         return True
 
--- a/hemlockswitch/process/shares/record.py
+++ b/hemlockswitch/process/shares/record.py
@@ -11,8 +11,8 @@
 
 RETURN_RATES_MS = TERM_MS * DRIFT
 RETURN_SLOTS_MS = (TERM_MS + SLOT_LOAN_MS) * DRIFT
-GONE_RATES_MS = LOAN_MS * DRIFT
-GONE_SLOTS_MS = SLOT_LOAN_MS * DRIFT
+ENDED_RATES_RETENTION_MS = LOAN_MS * DRIFT
+ENDED_SLOTS_RETENTION_MS = SLOT_LOAN_MS * DRIFT
 PARTS = ("grants", "floors", "lendable")
 
 Counts = dict[str, list[int]]
@@ -82,7 +82,7 @@
 
     counter: int
     since_ms: float
-    gone_ms: float | None = None
+    ended_ms: float | None = None
 
 
 @dataclass
@@ -110,13 +110,13 @@
             known = self._seen.get(key)
             if known is None or known.counter != entry.counter:
                 self._seen[key] = _Sighting(entry.counter, now_ms)
-        self._note_gone(by_key, now_ms)
+        self._record_ends(by_key, now_ms)
 
     def is_expired(self, entry: Entry) -> bool:
         """Return whether the entry's term has expired."""
         return self._measure_age_ms(entry) >= RETURN_RATES_MS
 
-    def count_bound(self, entry: Entry, account: str) -> Units:
+    def count_reserved(self, entry: Entry, account: str) -> Units:
         """Return the part of an entry's grant that must not be granted to other daemons yet.
 
         Explanation
@@ -129,8 +129,8 @@
         units = entry.held.grants.get(account, NOTHING)
         if self._is_ended(entry):
             lent = units.limit(entry.held.lendable.get(account, NOTHING))
-            gone_for_ms = self._measure_gone_ms(entry)
-            rates = NOTHING if gone_for_ms >= GONE_RATES_MS else lent
+            gone_for_ms = self._measure_ended_ms(entry)
+            rates = NOTHING if gone_for_ms >= ENDED_RATES_RETENTION_MS else lent
             return Units(rates.requests, rates.tokens, lent.slots)
         if not self.is_expired(entry):
             return units
@@ -138,20 +138,20 @@
         slots = floor if self._measure_age_ms(entry) >= RETURN_SLOTS_MS else units
         return Units(floor.requests, floor.tokens, slots.slots)
 
-    def is_over(self, entry: Entry) -> bool:
+    def is_unreserved(self, entry: Entry) -> bool:
         """Return whether no part of the entry is reserved any longer."""
-        return self._is_ended(entry) and self._measure_gone_ms(entry) >= GONE_SLOTS_MS
+        return self._is_ended(entry) and self._measure_ended_ms(entry) >= ENDED_SLOTS_RETENTION_MS
 
     def _is_ended(self, entry: Entry) -> bool:
         sighting = self._seen.get(entry.key)
-        return entry.replaced or (sighting is not None and sighting.gone_ms is not None)
+        return entry.replaced or (sighting is not None and sighting.ended_ms is not None)
 
-    def _note_gone(self, entries: dict[str, Entry], now_ms: float) -> None:
+    def _record_ends(self, entries: dict[str, Entry], now_ms: float) -> None:
         for key, entry in entries.items():
             sighting = self._seen[key]
             ended = entry.replaced or (self.is_expired(entry) and self.is_gone(entry.name))
-            if sighting.gone_ms is None and ended:
-                sighting.gone_ms = now_ms
+            if sighting.ended_ms is None and ended:
+                sighting.ended_ms = now_ms
 
     def _measure_age_ms(self, entry: Entry) -> float:
         sighting = self._seen.get(entry.key)
@@ -159,11 +159,11 @@
             return 0.0
         return self.clock.now_ms() - sighting.since_ms
 
-    def _measure_gone_ms(self, entry: Entry) -> float:
+    def _measure_ended_ms(self, entry: Entry) -> float:
         sighting = self._seen.get(entry.key)
-        if sighting is None or sighting.gone_ms is None:
+        if sighting is None or sighting.ended_ms is None:
             return 0.0
-        return self.clock.now_ms() - sighting.gone_ms
+        return self.clock.now_ms() - sighting.ended_ms
 
 
 @dataclass
@@ -197,10 +197,10 @@
             }
         }
 
-    def drop_over(self, watch: EntryWatch) -> None:
+    def remove_unreserved(self, watch: EntryWatch) -> None:
         """Remove the entries without reserved units."""
         self.entries = {
-            key: entry for key, entry in self.entries.items() if not watch.is_over(entry)
+            key: entry for key, entry in self.entries.items() if not watch.is_unreserved(entry)
         }
 
     def renew(
@@ -240,7 +240,7 @@
             del self.entries[key]
         if not ask.leaving:
             self._raise_to_part(entry, totals, names, watch)
-        _set_rest(held, ask)
+        _set_floors_and_lendable(held, ask)
         return _build_reply(entry)
 
     def _replace_earlier(self, name: str) -> None:
@@ -253,7 +253,7 @@
         """Return the part of `total` that no entry reserves."""
         bound = NOTHING
         for entry in self.entries.values():
-            bound += watch.count_bound(entry, account)
+            bound += watch.count_reserved(entry, account)
         return (total - bound).raise_to(NOTHING)
 
     def _raise_to_part(
@@ -277,7 +277,7 @@
     }
 
 
-def _set_rest(held: Granted, ask: RenewShares) -> None:
+def _set_floors_and_lendable(held: Granted, ask: RenewShares) -> None:
     """Set the floors and lendable parts for the grants; a leaving daemon's floors are not raised."""
     floors, lendable = decode_grants(ask.floors), decode_grants(ask.lendable)
     for account, units in held.grants.items():
--- a/hemlockswitch/process/shares/renewal.py
+++ b/hemlockswitch/process/shares/renewal.py
@@ -24,12 +24,12 @@
 from hemlockswitch.process.shares.terms import TERM_MS, Granted
 from hemlockswitch.process.shares.units import Units
 
-RENEW_MS = TERM_MS / 3
-RETRY_MS = 500.0
-SHORTEST_RENEW_MS = 300.0
+RENEW_INTERVAL_MS = TERM_MS / 3
+RENEW_RETRY_INTERVAL_MS = 500.0
+MIN_RENEW_INTERVAL_MS = 300.0
 RENEW_TIMEOUT_MS = 2_000.0
 FIRST_GRANT_MS = 3_000.0
-HURRY_MS = 3_000.0
+FAST_RENEWAL_MS = 3_000.0
 
 
 class ShareRenewal:
@@ -67,7 +67,7 @@
         self._complete = False
         self._begun_ms: float | None = None
         self._names: frozenset[str] = frozenset()
-        self._hurry_until_ms = 0.0
+        self._fast_renewal_until_ms = 0.0
 
     @property
     def is_ready(self) -> bool:
@@ -80,22 +80,22 @@
             self._complete = waited or self._has_part()
         return self._complete
 
-    def hurry(self) -> None:
+    def renew_soon(self) -> None:
         """Renew soon, because the anchor should receive a change."""
         self._wake.set()
 
     def renew(self) -> bool:
         """Send one renewal; return whether it was stored."""
         self._counter += 1
-        said = self._book.lower(self._find_kept())
+        reduced = self._book.reduce_to(self._find_kept())
         sent_ms = self._clock.now_ms()
         ask = RenewShares(
             member=self._parts.name,
             incarnation=self.incarnation,
             counter=self._counter,
-            kept=encode_grants(said.grants),
-            floors=encode_grants(said.floors),
-            lendable=encode_grants(said.lendable),
+            kept=encode_grants(reduced.grants),
+            floors=encode_grants(reduced.floors),
+            lendable=encode_grants(reduced.lendable),
             leaving=self._parts.leaving,
         )
         reply = self._send(ask)
@@ -117,20 +117,20 @@
                 event = Event.SHARES_GRANTED if in_term else Event.SHARES_EXPIRED
                 log_event(event, "info" if in_term else "warning", zone=self._parts.zone)
             was_in_term = in_term
-            self._wait(RENEW_MS if renewed else RETRY_MS)
+            self._wait(RENEW_INTERVAL_MS if renewed else RENEW_RETRY_INTERVAL_MS)
 
-    def _wait(self, longest_ms: float) -> None:
+    def _wait(self, max_wait_ms: float) -> None:
         """Wait until the next renewal is due, which is soon after the set of the zone's daemons changed."""
-        until_ms = self._clock.now_ms() + longest_ms
-        gevent.sleep(SHORTEST_RENEW_MS / MS_PER_SECOND)
+        until_ms = self._clock.now_ms() + max_wait_ms
+        gevent.sleep(MIN_RENEW_INTERVAL_MS / MS_PER_SECOND)
         while self._clock.now_ms() < until_ms:
-            if self._wake.wait(timeout=RETRY_MS / MS_PER_SECOND):
+            if self._wake.wait(timeout=RENEW_RETRY_INTERVAL_MS / MS_PER_SECOND):
                 return
             names = self._parts.list_names()
             if names != self._names:
                 self._names = names
-                self._hurry_until_ms = self._clock.now_ms() + HURRY_MS
-            if self._clock.now_ms() < self._hurry_until_ms:
+                self._fast_renewal_until_ms = self._clock.now_ms() + FAST_RENEWAL_MS
+            if self._clock.now_ms() < self._fast_renewal_until_ms:
                 return
 
     def _send(self, ask: RenewShares) -> SharesRenewed | None:
--- a/hemlockswitch/process/shares/shares.py
+++ b/hemlockswitch/process/shares/shares.py
@@ -65,7 +65,7 @@
         self._use: AccountUse | None = None
         self._tasks: list[gevent.Greenlet] = []
         self.parts = ShareParts(name, zone, find_file, list_members)
-        self.book = ShareBook(clock, self._refresh, lambda: self.renewal.hurry())
+        self.book = ShareBook(clock, self._refresh, lambda: self.renewal.renew_soon())
         watch = EntryWatch(clock, is_gone)
         self.anchor = ShareAnchor(store, zone, self.parts.find_totals, watch, batch_ms)
         self.renewal = ShareRenewal(
--- a/hemlockswitch/process/shares/terms.py
+++ b/hemlockswitch/process/shares/terms.py
@@ -7,7 +7,7 @@
 
 TERM_MS = 10_000.0
 LOAN_MS = 3_000.0
-SHORTEST_LOAN_MS = 500.0
+MIN_LOAN_MS = 500.0
 REQUEST_MS = 60_000.0
 SLOT_LOAN_MS = 2 * REQUEST_MS
 DRIFT = 1.1
