--- a/hemlockswitch/process/copies/changes.py
+++ b/hemlockswitch/process/copies/changes.py
@@ -56,8 +56,8 @@
 
     def add(self, machine_class: MachineClass, retry_after_ms: float) -> None:
         """Start a back-off for a class, twice as long as its previous one."""
-        known = self._refusals.get(machine_class)
-        doubled = known.pause_ms * 2 if known else FIRST_BACK_OFF_MS
+        previous = self._refusals.get(machine_class)
+        doubled = previous.pause_ms * 2 if previous else FIRST_BACK_OFF_MS
         pause_ms = min(max(doubled, retry_after_ms), MAX_BACK_OFF_MS)
         self._refusals[machine_class] = _Refusal(pause_ms, self._clock.now_ms() + pause_ms)
 
@@ -67,8 +67,8 @@
 
     def is_open(self, machine_class: MachineClass) -> bool:
         """Return whether a start may be attempted now."""
-        known = self._refusals.get(machine_class)
-        return known is None or self._clock.now_ms() >= known.until_ms
+        refusal = self._refusals.get(machine_class)
+        return refusal is None or self._clock.now_ms() >= refusal.until_ms
 
 
 class CopyStarter:
--- a/hemlockswitch/process/copies/control.py
+++ b/hemlockswitch/process/copies/control.py
@@ -140,8 +140,8 @@
         """
         if any(self._is_own(copy, CopyState.WANTED) for copy in table.copies.values()):
             return table
-        known = {record.vm for record in table.copies.values()}
-        for vm in self._view.list_unrecorded(target, known):
+        recorded = {record.vm for record in table.copies.values()}
+        for vm in self._view.list_unrecorded(target, recorded):
             record = CopyRecord(
                 zone=vm.zone,
                 machine_class=MachineClass(vm.machine_class),
--- a/hemlockswitch/process/copies/records.py
+++ b/hemlockswitch/process/copies/records.py
@@ -81,8 +81,8 @@
 
     def remove(self, token: str) -> "CopyTable":
         """Return the table without one copy."""
-        rest = {key: record for key, record in self.copies.items() if key != token}
-        return CopyTable(copies=rest)
+        remaining = {key: record for key, record in self.copies.items() if key != token}
+        return CopyTable(copies=remaining)
 
 
 Change = Callable[[CopyTable], CopyTable]
--- a/hemlockswitch/process/copies/zone_load.py
+++ b/hemlockswitch/process/copies/zone_load.py
@@ -150,7 +150,7 @@
 
         An unresponsive zone counts with its last summary, since its callers still send requests.
         """
-        others = [heard for zone, heard in self._received.items() if zone != self._zone]
+        others = [received for zone, received in self._received.items() if zone != self._zone]
         return sum(heard.summary.busy.get(target, 0.0) for heard in others)
 
     def list_places(self) -> list[Place]:
@@ -165,8 +165,8 @@
 
     def _receive(self, item: StoredObject) -> None:
         zone = item.name.removeprefix(ZONE_PREFIX)
-        known = self._received.get(zone)
-        if known is not None and known.version >= item.version:
+        previous = self._received.get(zone)
+        if previous is not None and previous.version >= item.version:
             return
         try:
             summary = ZoneSummary.model_validate(item.value)
@@ -177,11 +177,11 @@
     def _write(self, own: ZoneSummary) -> None:
         name = ZONE_PREFIX + self._zone
         value = own.model_dump(mode="json")
-        known = self._received.get(self._zone)
-        if known is None:
+        stored = self._received.get(self._zone)
+        if stored is None:
             outcome = self._platform.create(STATUS_KIND, name, value)
         else:
-            outcome = self._platform.update(STATUS_KIND, name, value, known.version)
+            outcome = self._platform.update(STATUS_KIND, name, value, stored.version)
         if isinstance(outcome, Written):
             self._received[self._zone] = _ReceivedSummary(
                 outcome.version, self._clock.now_ms(), own
--- a/hemlockswitch/process/servers/backends.py
+++ b/hemlockswitch/process/servers/backends.py
@@ -213,8 +213,8 @@
 
     def learn_offer(self, zone: str, servers: Iterable[BackendServer], asked_ms: float) -> None:
         """Record the answer of another zone's daemon to a query sent at `asked_ms`."""
-        known = self._offers.get(zone)
-        if known is None or asked_ms > known.asked_ms:
+        current = self._offers.get(zone)
+        if current is None or asked_ms > current.asked_ms:
             self._offers[zone] = _ZoneOffer({one.name: one for one in servers}, asked_ms)
 
     def learn_leaving(self, name: str, deadline_wall_ms: int = 0) -> None:
--- a/hemlockswitch/process/servers/dispatches.py
+++ b/hemlockswitch/process/servers/dispatches.py
@@ -58,29 +58,29 @@
         """Count a request as in progress at the server."""
         now_ms = self._clock.now_ms()
         ticket = Ticket(make_identifier("tkt"), name, prompt_tokens, now_ms, serves, max_tokens)
-        known = self._get_state(name)
-        known.load.begin(ticket)
-        known.circuit.record_trial(now_ms)
+        state = self._get_state(name)
+        state.load.begin(ticket)
+        state.circuit.record_trial(now_ms)
         return ticket
 
     def note_first_token(self, ticket: Ticket) -> None:
         """Record that the request's prompt has been computed."""
-        known = self._get_state(ticket.server_name)
-        known.load.note_first_token(ticket, self._clock.now_ms())
-        known.circuit.record_success()
+        state = self._get_state(ticket.server_name)
+        state.load.note_first_token(ticket, self._clock.now_ms())
+        state.circuit.record_success()
 
     def end(self, ticket: Ticket, failed: bool) -> None:
         """Count the request as ended; further calls for the ticket have no effect."""
         now_ms = self._clock.now_ms()
-        known = self._get_state(ticket.server_name)
-        first_token_ms = known.load.first_token_ms.get(ticket.identifier)
-        if not known.load.end(ticket, now_ms):
+        state = self._get_state(ticket.server_name)
+        first_token_ms = state.load.first_token_ms.get(ticket.identifier)
+        if not state.load.end(ticket, now_ms):
             return
         if failed:
-            known.circuit.record_failure(now_ms)
+            state.circuit.record_failure(now_ms)
             log_event(Event.BACKEND_FAILED, "warning", vm=ticket.server_name)
         else:
-            known.circuit.record_success()
+            state.circuit.record_success()
             self._record_service_time(ticket, now_ms)
             if first_token_ms is not None and ticket.max_tokens > 1:
                 pace = self._paces.setdefault(ticket.serves, _TokenRate())
@@ -92,23 +92,23 @@
 
     def count_waiting(self) -> int:
         """Return the number of requests at all servers that wait for their first token."""
-        return sum(len(known.load.waiting) for known in self._states.values())
+        return sum(len(state.load.waiting) for state in self._states.values())
 
     def count_in_flight(self, name: str) -> int:
         """Return the number of requests in progress at the server."""
-        known = self._states.get(name)
-        return len(known.load.tickets) if known else 0
+        state = self._states.get(name)
+        return len(state.load.tickets) if state else 0
 
     def is_draining(self, name: str) -> bool:
         """Return whether the server's last report says that it accepts no new requests."""
-        known = self._states.get(name)
-        report = known.load.report if known else None
+        state = self._states.get(name)
+        report = state.load.report if state else None
         return report is not None and report.draining
 
     def is_failing(self, name: str) -> bool:
         """Return whether the server is in a back-off after failures."""
-        known = self._states.get(name)
-        return known is not None and known.circuit.is_open(self._clock.now_ms())
+        state = self._states.get(name)
+        return state is not None and state.circuit.is_open(self._clock.now_ms())
 
     def evict(self, name: str) -> None:
         """Evict the state of a removed server, unless requests are in progress there."""
@@ -150,10 +150,10 @@
         return self.service_ms.get(server.serves, DEFAULT_SERVICE_MS)
 
     def _get_state(self, name: str) -> _ServerState:
-        known = self._states.get(name)
-        if known is None:
-            known = self._states[name] = _ServerState()
-        return known
+        state = self._states.get(name)
+        if state is None:
+            state = self._states[name] = _ServerState()
+        return state
 
     def _record_service_time(self, ticket: Ticket, now_ms: float) -> None:
         """Update the target's moving average of the time in a slot."""
--- a/hemlockswitch/process/servers/loads.py
+++ b/hemlockswitch/process/servers/loads.py
@@ -134,10 +134,10 @@
         if age_ms > MAX_REPORT_AGE_MS:
             return typical
         trust = math.exp(-age_ms / REPORT_DECAY_MS)
-        known = self._reading.others
+        reported = self._reading.others
         return PeerLoad(
-            trust * known.requests + (1 - trust) * typical.requests,
-            trust * known.prefill_tokens + (1 - trust) * typical.prefill_tokens,
+            trust * reported.requests + (1 - trust) * typical.requests,
+            trust * reported.prefill_tokens + (1 - trust) * typical.prefill_tokens,
         )
 
     def find_reported_peer_load(self, now_ms: float) -> PeerLoad | None:
@@ -170,10 +170,10 @@
     PeerLoad(requests=0.0, prefill_tokens=0.0)
     """
     reported = [load.find_reported_peer_load(now_ms) for load in loads.values()]
-    known = [others for others in reported if others is not None]
-    if not known:
+    recent = [others for others in reported if others is not None]
+    if not recent:
         return PeerLoad()
     return PeerLoad(
-        sum(others.requests for others in known) / len(known),
-        sum(others.prefill_tokens for others in known) / len(known),
+        sum(others.requests for others in recent) / len(recent),
+        sum(others.prefill_tokens for others in recent) / len(recent),
     )
--- a/hemlockswitch/process/servers/watchers.py
+++ b/hemlockswitch/process/servers/watchers.py
@@ -201,8 +201,8 @@
         return silent_ms <= NOTICE_WAIT_MS + ANSWER_MARGIN_MS
 
     def _publish_heartbeat(self) -> None:
-        known = self._board.find(self._key)
-        version = max(self._clock.wall_ms(), known.version + 1 if known else 0)
+        current = self._board.find(self._key)
+        version = max(self._clock.wall_ms(), current.version + 1 if current else 0)
         self._published_answered = self._is_answered()
         value = {"number": self._number, "answered": self._published_answered}
         self._board.learn(NewsItem(self._key, version, value, tombstone=True))
--- a/hemlockswitch/process/shares/book.py
+++ b/hemlockswitch/process/shares/book.py
@@ -188,8 +188,10 @@
         kept = min(units, given.units)
         if kept < given.units:
             # The borrower may not receive the reduction, so the remaining units stay lent until the old end.
-            rest = replace(given, number=next(self._numbers), peer="", units=given.units - kept)
-            self._loans_given[rest.number] = rest
+            remaining = replace(
+                given, number=next(self._numbers), peer="", units=given.units - kept
+            )
+            self._loans_given[remaining.number] = remaining
         until_ms = max(now_ms + duration_ms * DRIFT, given.until_ms)
         self._loans_given[number] = replace(given, units=kept, until_ms=until_ms)
         return replace(given, units=kept, until_ms=now_ms + duration_ms)
--- a/hemlockswitch/process/shares/record.py
+++ b/hemlockswitch/process/shares/record.py
@@ -107,8 +107,8 @@
         for key in set(self._seen) - set(by_key):
             del self._seen[key]
         for key, entry in by_key.items():
-            known = self._seen.get(key)
-            if known is None or known.counter != entry.counter:
+            sighting = self._seen.get(key)
+            if sighting is None or sighting.counter != entry.counter:
                 self._seen[key] = _Sighting(entry.counter, now_ms)
         self._record_ends(by_key, now_ms)
 
@@ -226,14 +226,14 @@
         SharesRenewed or None : None for a renewal older than the recorded one.
         """
         key = f"{ask.member}/{ask.incarnation}"
-        known = self.entries.get(key)
-        if known is not None and (known.replaced or known.counter > ask.counter):
+        current = self.entries.get(key)
+        if current is not None and (current.replaced or current.counter > ask.counter):
             return None
-        if known is not None and known.counter == ask.counter:
-            return _build_reply(known)
-        if known is None:
+        if current is not None and current.counter == ask.counter:
+            return _build_reply(current)
+        if current is None:
             self._replace_earlier(ask.member)
-        held = Granted(_lower(known, ask), {}, {})
+        held = Granted(_reduce_to_kept(current, ask), {}, {})
         entry = Entry(ask.member, ask.incarnation, ask.counter, held)
         self.entries[key] = entry
         if ask.leaving and not any(units != NOTHING for units in held.grants.values()):
@@ -266,13 +266,13 @@
             entry.held.grants[account] = has + wanted.limit(self.count_free(account, total, watch))
 
 
-def _lower(known: Entry | None, ask: RenewShares) -> dict[str, Units]:
-    if known is None:
+def _reduce_to_kept(current: Entry | None, ask: RenewShares) -> dict[str, Units]:
+    if current is None:
         return {}
     kept = decode_grants(ask.kept)
     return {
         account: units.limit(kept[account])
-        for account, units in known.held.grants.items()
+        for account, units in current.held.grants.items()
         if account in kept
     }
 
