--- a/hemlockswitch/process/copies/control.py
+++ b/hemlockswitch/process/copies/control.py
@@ -1,7 +1,7 @@
-"""The controller of one availability zone: compares what is wanted with what there is.
+"""The controller of one availability zone: reconciles the wanted copies with the existing ones.
 
-Each pass starts from the platform's truth, so a pass that failed half-way, or a controller that
-died in it, leaves nothing that the next pass does not see.
+Each reconciliation pass starts from the state of the platform, so that the next pass completes one that
+failed half-way or whose controller died.
 """
 
 from collections.abc import Mapping
@@ -11,9 +11,9 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.identifiers import make_identifier
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.copies.changes import CopyStarter, CopyStopper, OrderGiver, StoppingCopy
-from hemlockswitch.process.copies.copies import Copy, Plan, Planner, plan_over_licence
-from hemlockswitch.process.copies.cost import CostMeter, HeldCopy
+from hemlockswitch.process.copies.changes import CopyStarter, CopyStopper, OrderSender, StoppingCopy
+from hemlockswitch.process.copies.copies import Copy, Plan, Planner, plan_excess_stops
+from hemlockswitch.process.copies.cost import CostMeter, LicensedCopy
 from hemlockswitch.process.copies.observed_zone import LIVE, ObservedZone, Sources
 from hemlockswitch.process.copies.records import CopyRecord, CopyRecords, CopyState, CopyTable
 from hemlockswitch.process.copies.targets import WantedTarget, list_wanted
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True)
 class ControlTimes:
-    """The controller's paces.
+    """The time constants and start limit of the controller.
 
     Parameters
     ==========
 
     replace_ms : expected time from a reclaim to a serving replacement.
-    shrink_after_ms : how long the demand stays low before a copy is stopped.
-    gone_after_ms : how long a VM is missing from the lagging list before it counts as gone.
-    parallel_starts : copies of one target that load their weights at once in a zone; the weight
-        store is rate-limited, so more at once would all be late.
+    shrink_after_ms : time for which the demand must stay low before a copy is stopped.
+    gone_after_ms : time for which a VM must be missing from the lagging list to count as removed.
+    parallel_starts : limit on copies of one target that load their weights concurrently in a zone; the
+        weight store is rate-limited, so more would delay each other.
     """
 
     replace_ms: float = 60_000
@@ -43,17 +43,17 @@
 
 
 class Controller:
-    """Makes the passes of one zone's leader.
+    """Runs the reconciliation passes of one zone's leader.
 
     Parameters
     ==========
 
     zone : the availability zone.
-    lease : nothing is ordered, started or stopped without it.
-    records : which copies there are and should be.
-    sources : where the view of the zone comes from.
-    times : paces.
-    cost : adds up what the copies cost; None where nobody asks.
+    lease : the lease required for every order, start, and stop.
+    records : the records of existing and wanted copies.
+    sources : the sources of the observed state of the zone.
+    times : the time constants.
+    cost : sums the cost of the copies; None to disable this.
     """
 
     def __init__(
@@ -71,9 +71,11 @@
         self._records = records
         self._clock = sources.clock
         self._times = times or ControlTimes()
-        self._giver = OrderGiver(sources.orders, lease)
+        self._order_sender = OrderSender(sources.orders, lease)
         self._starter = CopyStarter(sources.platform, records, lease, sources.clock)
-        self._stopper = CopyStopper(sources.platform, records, lease, sources.daemons, self._giver)
+        self._stopper = CopyStopper(
+            sources.platform, records, lease, sources.daemons, self._order_sender
+        )
         self._view = ObservedZone(
             zone,
             sources,
@@ -84,17 +86,17 @@
         self._plans: dict[str, Plan] = {}
 
     def run_pass(self, file: OperatorFile) -> None:
-        """Compare and order once; does nothing without the lease."""
+        """Run one reconciliation pass; without the lease, do nothing."""
         if not self._lease.is_held:
             return
         wanted = list_wanted(file)
         self._view.refresh(wanted)
         for one in wanted:
             if self._lease.is_held:
-                self._control(one, frozenset(file.draining))
+                self._reconcile(one, frozenset(file.draining))
 
     def describe(self) -> Mapping[str, object]:
-        """Return the last plans for the status page."""
+        """Return the latest plans for the status page."""
         return {
             name: {
                 "busy": round(self._view.meter.get_now(name).busy, 2),
@@ -106,8 +108,8 @@
             for name, plan in self._plans.items()
         }
 
-    def _control(self, one: WantedTarget, draining: frozenset[str]) -> None:
-        """Bring one target nearer to what is wanted: record first, then act on the record."""
+    def _reconcile(self, one: WantedTarget, draining: frozenset[str]) -> None:
+        """Reconcile one target: update the records first, then act on them."""
 
         def revise(found: CopyTable) -> CopyTable:
             adopted = self._adopt(found, one.name)
@@ -120,25 +122,26 @@
         self._repair(one, table)
 
     def _record_cost(self, target: str, table: CopyTable) -> None:
-        """Charge this zone's copies that have a VM."""
+        """Record the cost of this zone's copies that have a VM."""
         if self._cost is None:
             return
         held = [
-            HeldCopy(record.machine_class.value, record.price_per_hour)
+            LicensedCopy(record.machine_class.value, record.price_per_hour)
             for record in table.copies.values()
             if record.zone == self._zone and record.state != CopyState.WANTED
         ]
         self._cost.record(target, held)
 
     def _adopt(self, table: CopyTable, target: str) -> CopyTable:
-        """Record VMs that serve the target and have no record, so that they count as licence.
+        """Record VMs that serve the target and have no record, so that they count towards the licence.
 
-        While a wanted copy of this zone has no VM yet, an unknown VM may be that copy's.
+        Nothing is adopted while a wanted copy of this zone has no VM yet, since a VM without a record may
+        belong to that copy.
         """
         if any(self._is_own(copy, CopyState.WANTED) for copy in table.copies.values()):
             return table
-        known = {record.vm for record in table.copies.values()}
-        for vm in self._view.list_unknown(target, known):
+        recorded = {record.vm for record in table.copies.values()}
+        for vm in self._view.list_unrecorded(target, recorded):
             record = CopyRecord(
                 zone=vm.zone,
                 machine_class=MachineClass(vm.machine_class),
@@ -155,17 +158,17 @@
         return record.zone == self._zone and record.state == state
 
     def _mark_stops(self, table: CopyTable, draining: frozenset[str]) -> CopyTable:
-        """Move to stopping what the operators drain, what is reclaimed and what is gone."""
+        """Mark running copies as stopping that are drained by an operator, reclaimed, or removed."""
         for token, record in table.copies.items():
             if not self._is_own(record, CopyState.RUNNING):
                 continue
             is_leaving = record.vm in draining or self._view.is_leaving(record.vm)
-            if is_leaving or self._view.is_gone(record):
+            if is_leaving or self._view.is_vm_missing(record):
                 table = table.move(token, CopyState.STOPPING, self._clock.wall_ms())
         return table
 
     def _apply_plan(self, one: WantedTarget, table: CopyTable) -> CopyTable:
-        """Record the planner's starts as wanted, or its stops as stopping."""
+        """Record the planned starts as wanted, and the planned stops as stopping."""
         plan = self._plan(one, table)
         self._plans[one.name] = plan
         wall_ms = self._clock.wall_ms()
@@ -189,12 +192,12 @@
             Copy(token, self._view.make_place(record), record.state != CopyState.STOPPING)
             for token, record in table.copies.items()
         ]
-        over = plan_over_licence(copies, one.target)
-        if over:
-            return Plan(stops=over)
+        excess = plan_excess_stops(copies, one.target)
+        if excess:
+            return Plan(stops=excess)
         meter = self._view.meter
         planner = Planner(one.target, self._times.replace_ms)
-        free = self._view.list_free(one)
+        free = self._view.list_startable_places(one)
         plan = planner.plan(copies, free, meter.get_now(one.name), meter.get_peak(one.name))
         is_stopping = any(not copy.is_staying for copy in copies)
         if plan.stops and (is_stopping or not meter.is_settled):
@@ -202,7 +205,7 @@
         return plan
 
     def _start_wanted(self, one: WantedTarget, table: CopyTable) -> None:
-        """Ask for this zone's wanted copies, few at a time and within the licence."""
+        """Start wanted copies of this zone, within the licence and the limit on parallel starts."""
         if len(table.copies) > one.target.licensed:
             return
         own = {token: copy for token, copy in table.copies.items() if copy.zone == self._zone}
@@ -210,7 +213,7 @@
         loading = sum(1 for copy in running if self._view.is_loading(copy))
         wanted = [token for token, copy in own.items() if copy.state == CopyState.WANTED]
         room = max(0, self._times.parallel_starts - loading)
-        for token in self._starter.sort_by_turn(wanted)[:room]:
+        for token in self._starter.sort_by_last_attempt(wanted)[:room]:
             if not self._starter.start(one.name, token, own[token]):
                 return
 
@@ -229,12 +232,12 @@
                 self._view.vms.get(record.vm),
                 self._view.find_load(record.vm),
                 one.takes_orders,
-                self._view.is_past(record),
+                self._view.is_vm_removed(record),
             )
             self._stopper.advance(copy, usage)
 
     def _repair(self, one: WantedTarget, table: CopyTable) -> None:
-        """Order engines whose report differs from what is wanted of them."""
+        """Send orders to engines whose report differs from their wanted state."""
         if not one.takes_orders:
             return
         wanted = WantedState((one.name,))
@@ -243,4 +246,4 @@
             if record.state != CopyState.RUNNING or vm is None or vm.state != LIVE:
                 continue
             if load is not None and not load.is_in(wanted):
-                self._giver.give(vm, wanted)
+                self._order_sender.send(vm, wanted)
--- a/hemlockswitch/process/copies/copies.py
+++ b/hemlockswitch/process/copies/copies.py
@@ -1,9 +1,9 @@
-"""How many licensed copies a target needs, and where: pure functions of what was measured.
+"""Plans how many licensed copies a target needs, and where, as pure functions of measurements.
 
-A target is a model or a plain service. The one measure is the *late share*: the expected share
-of requests whose first token comes after the latency target, over what queueing does with so
-many copies and over how many copies a reclaim wave leaves. The smallest set of copies whose late
-share is within the target's percentile is the one wanted.
+A target is a model or a plain service. The only criterion is the *late share*: the expected share of
+requests whose first token arrives after the latency target, given the queueing delay with a number of
+copies and the distribution of the number of copies that survive reclaim waves. The plan is the smallest
+set of copies whose late share is within the target's percentile.
 """
 
 import math
@@ -15,22 +15,22 @@
 from hemlockswitch.version.machine_class import MachineClass
 
 LATE_SHARE_ALLOWED = 0.03
-"""Below the 5 % of a p95 target, for what the model does not see."""
+"""Below the 5 % of a p95 target, as a margin for effects that the model does not include."""
 LATE_SHARE_TO_SHRINK = 0.015
 POOL_EFFICIENCY = 0.9
-LEAST_PRICE = 1e-6
+MIN_PRICE = 1e-6
 
 
 @dataclass(frozen=True)
 class Place:
-    """Where a copy can run, with what it costs and risks there.
+    """A zone and machine class for a copy, with its price and reclaim rate.
 
     Parameters
     ==========
 
-    zone, machine_class : what the cloud API is asked for.
-    price_per_hour : of one VM.
-    reclaims_per_hour : expected reclaim waves; all reclaimable copies of a zone go together.
+    zone, machine_class : the parameters of a start in the cloud API.
+    price_per_hour : price of one VM.
+    reclaims_per_hour : expected reclaim waves; a wave takes all reclaimable copies of a zone.
     """
 
     zone: str
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """What is asked of a target, measured.
+    """The measured demand on a target.
 
     Parameters
     ==========
 
-    busy : requests running or waiting at once, averaged over the last seconds.
-    holding_ms : the time that one request holds its slot.
-    prefill_ms : the part of the first token's time that no number of copies shortens.
+    busy : concurrently running or waiting requests, averaged over the last seconds.
+    holding_ms : time for which one request occupies its slot.
+    prefill_ms : part of the time to the first token that is independent of the number of copies.
     """
 
     busy: float
@@ -58,24 +58,24 @@
 
 @dataclass(frozen=True)
 class Target:
-    """What the configuration asks for one model or service."""
+    """The configured requirements of one model or service."""
 
     name: str
     latency_ms: float
     slots: int
-    least: int
+    min_copies: int
     licensed: int
 
 
 @dataclass(frozen=True)
 class Copy:
-    """One copy as the planner sees it.
+    """The planner's view of one copy.
 
     Parameters
     ==========
 
-    name : what a removal names.
-    is_staying : serving or on its way there; a leaving or stopping copy only counts as licence.
+    name : identifies the copy in `Plan.stops`.
+    is_staying : whether the copy is serving or starting; a leaving or stopping copy only uses a licence.
     """
 
     name: str
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """The difference that the planner wants; one of the two is empty."""
+    """The planned changes; `starts` or `stops` is empty."""
 
     starts: tuple[Place, ...] = ()
     stops: tuple[str, ...] = ()
@@ -98,14 +98,14 @@
     Explanation
     ===========
 
-    Waiting is that of an M/M/c queue (Erlang C) over the slots of all copies, fewer than there
-    are because routing does not balance perfectly. Without enough slots the share is above 1 and
-    grows with what is missing, so that more copies are better even then.
+    The delay is that of an M/M/c queue (Erlang C) over a reduced number of the slots of all copies, since
+    routing does not balance perfectly. With too few slots the result exceeds 1 and grows with the deficit,
+    so that additional copies improve it even then.
 
     Examples
     ========
 
-    >>> target = Target("assistant-llm", latency_ms=830, slots=16, least=1, licensed=6)
+    >>> target = Target("assistant-llm", latency_ms=830, slots=16, min_copies=1, licensed=6)
     >>> compute_late_share(1, Demand(busy=30), target) > 1
     True
     >>> compute_late_share(3, Demand(busy=30), target) < 0.01
@@ -131,13 +131,13 @@
 
 
 def compute_survivors(places: Iterable[Place], replace_ms: float) -> list[float]:
-    """Return the probability of each number of copies being there, from 0 up.
+    """Return the probability of each number of available copies, from 0 up.
 
     Explanation
     ===========
 
-    A copy is missing while its replacement starts. A zone's reclaimable copies go in one wave;
-    on-demand copies go one by one.
+    A copy is unavailable while its replacement starts. A zone's reclaimable copies are reclaimed in one
+    wave, on-demand copies independently of each other.
 
     Examples
     ========
@@ -152,20 +152,22 @@
         if place.machine_class == MachineClass.RECLAIMABLE:
             waves.setdefault(place.zone, []).append(place)
         else:
-            shares = _convolve(shares, 1, _compute_missing(place.reclaims_per_hour, replace_ms))
+            shares = _convolve(
+                shares, 1, _compute_unavailability(place.reclaims_per_hour, replace_ms)
+            )
     for zone in waves.values():
         rate = max(place.reclaims_per_hour for place in zone)
-        shares = _convolve(shares, len(zone), _compute_missing(rate, replace_ms))
+        shares = _convolve(shares, len(zone), _compute_unavailability(rate, replace_ms))
     return shares
 
 
-def _compute_missing(reclaims_per_hour: float, replace_ms: float) -> float:
+def _compute_unavailability(reclaims_per_hour: float, replace_ms: float) -> float:
     expected = reclaims_per_hour * replace_ms / MS_PER_HOUR
     return expected / (1 + expected)
 
 
 def _convolve(shares: Sequence[float], copies: int, missing: float) -> list[float]:
-    """Add `copies` that are there together or missing together."""
+    """Extend the distribution by `copies` copies that are all available or all missing."""
     result = [0.0] * (len(shares) + copies)
     for number, share in enumerate(shares):
         result[number] += share * missing
@@ -174,13 +176,13 @@
 
 
 class Planner:
-    """The rule that turns measured demand into starts and stops.
+    """Plans starts and stops from the measured demand.
 
     Parameters
     ==========
 
-    target : what the configuration asks.
-    replace_ms : the time from a reclaim to a serving replacement, as measured.
+    target : the configured requirements.
+    replace_ms : time from a reclaim to a serving replacement.
     """
 
     def __init__(self, target: Target, replace_ms: float) -> None:
@@ -188,8 +190,8 @@
         self._replace_ms = replace_ms
         self._late = lru_cache(maxsize=256)(compute_late_share)
 
-    def compute_late(self, places: Iterable[Place], demand: Demand) -> float:
-        """Return the late share of a set of copies under `demand`, reclaims included."""
+    def compute_expected_late_share(self, places: Iterable[Place], demand: Demand) -> float:
+        """Return the late share of a set of copies under `demand`, including the effect of reclaims."""
         survivors = compute_survivors(places, self._replace_ms)
         return sum(
             share * self._late(number, demand, self._target)
@@ -200,65 +202,68 @@
     def plan(
         self, copies: Sequence[Copy], free: Sequence[Place], now: Demand, peak: Demand
     ) -> Plan:
-        """Return the starts or the one stop that `copies` need.
+        """Return the starts, or the single stop, that the demand requires.
 
         Parameters
         ==========
 
-        copies : all copies that count as licence.
-        free : places where a start is not known to be refused.
-        now : the demand to grow for.
-        peak : the highest demand of the time that the planner waits before it shrinks.
+        copies : all copies that use a licence.
+        free : places without a recent refusal of a start.
+        now : the demand that determines starts.
+        peak : the maximum demand of the shrink window, which determines stops.
         """
         staying = [copy for copy in copies if copy.is_staying]
         starts = self._choose_starts([copy.place for copy in staying], free, now, len(copies))
         if starts:
-            late = self.compute_late([copy.place for copy in staying] + starts, now)
+            late = self.compute_expected_late_share([copy.place for copy in staying] + starts, now)
             return Plan(starts=tuple(starts), late_share=late)
         stop = self._choose_stop(staying, peak)
-        late = self.compute_late([copy.place for copy in staying], now)
+        late = self.compute_expected_late_share([copy.place for copy in staying], now)
         return Plan(stops=(stop,) if stop else (), late_share=late)
 
     def _choose_starts(
         self, places: list[Place], free: Sequence[Place], demand: Demand, licences_used: int
     ) -> list[Place]:
-        """Add places until the target holds and the least number is there."""
+        """Return places to add until the late share is allowed and the minimum number is reached."""
         starts: list[Place] = []
         room = self._target.licensed - licences_used
         while free and len(starts) < room:
-            late = self.compute_late(places + starts, demand)
+            late = self.compute_expected_late_share(places + starts, demand)
             is_late = late > LATE_SHARE_ALLOWED
-            if not is_late and len(places) + len(starts) >= self._target.least:
+            if not is_late and len(places) + len(starts) >= self._target.min_copies:
                 break
-            gains = [late - self.compute_late(places + starts + [at], demand) for at in free]
+            gains = [
+                late - self.compute_expected_late_share(places + starts + [at], demand)
+                for at in free
+            ]
             if is_late and max(gains) <= 0:
                 break
             starts.append(_choose_place(free, gains, is_late))
         return starts
 
     def _choose_stop(self, staying: Sequence[Copy], peak: Demand) -> str:
-        """Return the dearest copy without which the target holds with room, or nothing."""
-        if len(staying) <= max(self._target.least, 0):
+        """Return the most expensive copy that can be stopped with a margin in the late share, or ``""``."""
+        if len(staying) <= max(self._target.min_copies, 0):
             return ""
         for copy in sorted(staying, key=lambda one: one.place.price_per_hour, reverse=True):
-            rest = [other.place for other in staying if other is not copy]
-            if self.compute_late(rest, peak) <= LATE_SHARE_TO_SHRINK:
+            remaining = [other.place for other in staying if other is not copy]
+            if self.compute_expected_late_share(remaining, peak) <= LATE_SHARE_TO_SHRINK:
                 return copy.name
         return ""
 
 
 def _choose_place(free: Sequence[Place], gains: Sequence[float], is_late: bool) -> Place:
-    """Return what buys most for its price while requests are late, else the cheapest place."""
+    """Return the place with the largest gain per price if requests are late, otherwise the cheapest one."""
 
     def rate(at: int) -> tuple[float, float]:
-        price = max(free[at].price_per_hour, LEAST_PRICE)
+        price = max(free[at].price_per_hour, MIN_PRICE)
         return (gains[at] / price, -price) if is_late else (-price, gains[at])
 
     return free[max(range(len(free)), key=rate)]
 
 
-def plan_over_licence(copies: Sequence[Copy], target: Target) -> tuple[str, ...]:
-    """Return the copies to stop because the licence was lowered, dearest first."""
+def plan_excess_stops(copies: Sequence[Copy], target: Target) -> tuple[str, ...]:
+    """Return the copies to stop because they exceed a reduced licence, most expensive first."""
     over = len(copies) - target.licensed
     staying = [copy for copy in copies if copy.is_staying]
     leaving = len(copies) - len(staying)
--- a/hemlockswitch/process/shares/record.py
+++ b/hemlockswitch/process/shares/record.py
@@ -1,4 +1,4 @@
-"""The anchor's record of one zone: which daemon was granted how much, and when it comes back."""
+"""The anchor's record of one zone: the grant of each daemon, and when its units become free again."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field, replace
@@ -11,8 +11,8 @@
 
 RETURN_RATES_MS = TERM_MS * DRIFT
 RETURN_SLOTS_MS = (TERM_MS + SLOT_LOAN_MS) * DRIFT
-GONE_RATES_MS = LOAN_MS * DRIFT
-GONE_SLOTS_MS = SLOT_LOAN_MS * DRIFT
+ENDED_RATES_RETENTION_MS = LOAN_MS * DRIFT
+ENDED_SLOTS_RETENTION_MS = SLOT_LOAN_MS * DRIFT
 PARTS = ("grants", "floors", "lendable")
 
 Counts = dict[str, list[int]]
@@ -21,17 +21,17 @@
 @register_message("renew-shares")
 @dataclass(frozen=True)
 class RenewShares:
-    """A daemon's word that it lives, and what it keeps of its grants; it uses no more already.
+    """A daemon's renewal with the part of its grants that it keeps; it has already stopped using more.
 
     Parameters
     ==========
 
     member, incarnation : the daemon's name, and an identifier of its process.
-    counter : rises with each word of the process.
-    kept : by account, units of requests, tokens and slots.
-    floors : what of it the process goes on with when its term ends without a word.
-    lendable : what of it may be lent to others from now on.
-    leaving : the daemon gives everything back and wants nothing.
+    counter : increases with each renewal of the process.
+    kept : units of requests, tokens, and slots by account.
+    floors : part of `kept` that the process continues to use if its term expires without a renewal.
+    lendable : part of `kept` that may be lent from now on.
+    leaving : whether the daemon returns all units and requests none.
     """
 
     member: str
@@ -46,7 +46,7 @@
 @register_message("shares-renewed")
 @dataclass(frozen=True)
 class SharesRenewed:
-    """What the anchor grants to a daemon, written before this is sent."""
+    """The grants of a daemon, stored by the anchor before this message is sent."""
 
     counter: int
     grants: Counts
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """One process's line in the record.
+    """The entry of one process in the record.
 
     Parameters
     ==========
 
-    replaced : another process of the same name has begun, so this one has ended.
+    replaced : whether a later process of the same name has started, so that this one has ended.
     """
 
     name: str
@@ -78,22 +78,22 @@
 
 @dataclass
 class _Sighting:
-    """When an entry was first seen with its counter, and when its process was known gone."""
+    """When an entry was first read with its counter, and when the end of its process was detected."""
 
     counter: int
     since_ms: float
-    gone_ms: float | None = None
+    ended_ms: float | None = None
 
 
 @dataclass
 class EntryWatch:
-    """How long entries have been without a new word, by this process's own clock.
+    """Measures the time since the last renewal of each entry on this process's clock.
 
     Parameters
     ==========
 
-    clock : only differences of its readings are used.
-    is_gone : whether the platform says that the VM of this name is no more.
+    clock : time source; only differences of its readings are used.
+    is_gone : returns whether the platform has removed the VM of a name.
     """
 
     clock: Clock
@@ -101,36 +101,36 @@
     _seen: dict[str, _Sighting] = field(default_factory=dict)
 
     def observe(self, entries: Iterable[Entry]) -> None:
-        """Note the counters read from the platform just now."""
+        """Record the counters of entries that were just read from the platform."""
         now_ms = self.clock.now_ms()
         by_key = {entry.key: entry for entry in entries}
         for key in set(self._seen) - set(by_key):
             del self._seen[key]
         for key, entry in by_key.items():
-            known = self._seen.get(key)
-            if known is None or known.counter != entry.counter:
+            sighting = self._seen.get(key)
+            if sighting is None or sighting.counter != entry.counter:
                 self._seen[key] = _Sighting(entry.counter, now_ms)
-        self._note_gone(by_key, now_ms)
+        self._record_ends(by_key, now_ms)
 
     def is_expired(self, entry: Entry) -> bool:
-        """Return whether the entry's term is over."""
+        """Return whether the entry's term has expired."""
         return self._measure_age_ms(entry) >= RETURN_RATES_MS
 
-    def count_bound(self, entry: Entry, account: str) -> Units:
-        """Return what of an entry's grant nobody else may have yet.
+    def count_reserved(self, entry: Entry, account: str) -> Units:
+        """Return the part of an entry's grant that must not be granted to other daemons yet.
 
         Explanation
         ===========
 
-        After the term the floor stays with its holder, which may be cut off from the platform
-        and go on with it; slots wait for the requests that still use them. Of a process that
-        is known to have ended only what it may have lent stays, until such loans are over.
+        After the term, the floor stays reserved for its holder, which may be disconnected from the platform
+        and still use it; slots stay reserved until the requests that may use them have ended. For a process
+        that has ended, only the part that it may have lent stays reserved, until such loans have expired.
         """
         units = entry.held.grants.get(account, NOTHING)
         if self._is_ended(entry):
             lent = units.limit(entry.held.lendable.get(account, NOTHING))
-            gone_for_ms = self._measure_gone_ms(entry)
-            rates = NOTHING if gone_for_ms >= GONE_RATES_MS else lent
+            gone_for_ms = self._measure_ended_ms(entry)
+            rates = NOTHING if gone_for_ms >= ENDED_RATES_RETENTION_MS else lent
             return Units(rates.requests, rates.tokens, lent.slots)
         if not self.is_expired(entry):
             return units
@@ -138,20 +138,20 @@
         slots = floor if self._measure_age_ms(entry) >= RETURN_SLOTS_MS else units
         return Units(floor.requests, floor.tokens, slots.slots)
 
-    def is_over(self, entry: Entry) -> bool:
-        """Return whether nothing of the entry is bound any more."""
-        return self._is_ended(entry) and self._measure_gone_ms(entry) >= GONE_SLOTS_MS
+    def is_unreserved(self, entry: Entry) -> bool:
+        """Return whether no part of the entry is reserved any longer."""
+        return self._is_ended(entry) and self._measure_ended_ms(entry) >= ENDED_SLOTS_RETENTION_MS
 
     def _is_ended(self, entry: Entry) -> bool:
         sighting = self._seen.get(entry.key)
-        return entry.replaced or (sighting is not None and sighting.gone_ms is not None)
+        return entry.replaced or (sighting is not None and sighting.ended_ms is not None)
 
-    def _note_gone(self, entries: dict[str, Entry], now_ms: float) -> None:
+    def _record_ends(self, entries: dict[str, Entry], now_ms: float) -> None:
         for key, entry in entries.items():
             sighting = self._seen[key]
             ended = entry.replaced or (self.is_expired(entry) and self.is_gone(entry.name))
-            if sighting.gone_ms is None and ended:
-                sighting.gone_ms = now_ms
+            if sighting.ended_ms is None and ended:
+                sighting.ended_ms = now_ms
 
     def _measure_age_ms(self, entry: Entry) -> float:
         sighting = self._seen.get(entry.key)
@@ -159,11 +159,11 @@
             return 0.0
         return self.clock.now_ms() - sighting.since_ms
 
-    def _measure_gone_ms(self, entry: Entry) -> float:
+    def _measure_ended_ms(self, entry: Entry) -> float:
         sighting = self._seen.get(entry.key)
-        if sighting is None or sighting.gone_ms is None:
+        if sighting is None or sighting.ended_ms is None:
             return 0.0
-        return self.clock.now_ms() - sighting.gone_ms
+        return self.clock.now_ms() - sighting.ended_ms
 
 
 @dataclass
@@ -174,7 +174,7 @@
 
     @classmethod
     def from_value(cls, value: Any) -> "ShareRecord":
-        """Read the object's value."""
+        """Decode the object's value."""
         record = cls()
         for key, stored in value["entries"].items():
             name, incarnation = key.split("/")
@@ -185,7 +185,7 @@
         return record
 
     def to_value(self) -> dict[str, Any]:
-        """Return the object's value, ready for JSON."""
+        """Encode the record as the object's JSON value."""
         return {
             "entries": {
                 key: {
@@ -197,63 +197,63 @@
             }
         }
 
-    def drop_over(self, watch: EntryWatch) -> None:
-        """Remove the entries of which all has returned."""
+    def remove_unreserved(self, watch: EntryWatch) -> None:
+        """Remove the entries without reserved units."""
         self.entries = {
-            key: entry for key, entry in self.entries.items() if not watch.is_over(entry)
+            key: entry for key, entry in self.entries.items() if not watch.is_unreserved(entry)
         }
 
     def renew(
         self, ask: RenewShares, totals: dict[str, Units], names: set[str], watch: EntryWatch
     ) -> SharesRenewed | None:
-        """Write one daemon's word into the record.
+        """Apply one daemon's renewal to the record.
 
         Explanation
         ===========
 
-        First the entry falls to what the daemon kept; then it may rise to its even part, from
-        what is bound by nobody. So units leave one daemon before another gets them.
+        The entry is first reduced to what the daemon keeps, and then raised towards its even part from
+        units that no entry reserves. Units are therefore taken from one daemon before another receives them.
 
         Parameters
         ==========
 
-        totals : by account, the units of this zone.
+        totals : the zone's units by account.
         names : the daemons that divide them.
 
         Returns
         =======
 
-        SharesRenewed or None : None for a word older than the one recorded.
+        SharesRenewed or None : None for a renewal older than the recorded one.
         """
         key = f"{ask.member}/{ask.incarnation}"
-        known = self.entries.get(key)
-        if known is not None and (known.replaced or known.counter > ask.counter):
+        current = self.entries.get(key)
+        if current is not None and (current.replaced or current.counter > ask.counter):
             return None
-        if known is not None and known.counter == ask.counter:
-            return _build_reply(known)
-        if known is None:
+        if current is not None and current.counter == ask.counter:
+            return _build_reply(current)
+        if current is None:
             self._replace_earlier(ask.member)
-        held = Granted(_lower(known, ask), {}, {})
+        held = Granted(_reduce_to_kept(current, ask), {}, {})
         entry = Entry(ask.member, ask.incarnation, ask.counter, held)
         self.entries[key] = entry
         if ask.leaving and not any(units != NOTHING for units in held.grants.values()):
             del self.entries[key]
         if not ask.leaving:
             self._raise_to_part(entry, totals, names, watch)
-        _set_rest(held, ask)
+        _set_floors_and_lendable(held, ask)
         return _build_reply(entry)
 
     def _replace_earlier(self, name: str) -> None:
-        """Note that the earlier processes of a name have ended, since a name is one VM's."""
+        """Mark earlier processes of a name as replaced: a name belongs to one VM, so they have ended."""
         for key, entry in self.entries.items():
             if entry.name == name:
                 self.entries[key] = replace(entry, replaced=True)
 
     def count_free(self, account: str, total: Units, watch: EntryWatch) -> Units:
-        """Return what of `total` is bound by no entry."""
+        """Return the part of `total` that no entry reserves."""
         bound = NOTHING
         for entry in self.entries.values():
-            bound += watch.count_bound(entry, account)
+            bound += watch.count_reserved(entry, account)
         return (total - bound).raise_to(NOTHING)
 
     def _raise_to_part(
@@ -266,19 +266,19 @@
             entry.held.grants[account] = has + wanted.limit(self.count_free(account, total, watch))
 
 
-def _lower(known: Entry | None, ask: RenewShares) -> dict[str, Units]:
-    if known is None:
+def _reduce_to_kept(current: Entry | None, ask: RenewShares) -> dict[str, Units]:
+    if current is None:
         return {}
     kept = decode_grants(ask.kept)
     return {
         account: units.limit(kept[account])
-        for account, units in known.held.grants.items()
+        for account, units in current.held.grants.items()
         if account in kept
     }
 
 
-def _set_rest(held: Granted, ask: RenewShares) -> None:
-    """Set what follows from the grants; a daemon that leaves does not get more."""
+def _set_floors_and_lendable(held: Granted, ask: RenewShares) -> None:
+    """Set the floors and lendable parts for the grants; a leaving daemon's floors are not raised."""
     floors, lendable = decode_grants(ask.floors), decode_grants(ask.lendable)
     for account, units in held.grants.items():
         least = NOTHING if ask.leaving else units.halve()
