--- a/hemlockswitch/process/membership/discovery.py
+++ b/hemlockswitch/process/membership/discovery.py
@@ -32,7 +32,7 @@
 
     own_zone : looked up if this daemon has no live peer in it.
     list_zones : returns the zones of the configuration in force; empty before there is one.
-    find_covered : returns the zones that have a live member other than this daemon.
+    list_covered_zones : returns the zones that have a live member other than this daemon.
     """
 
     def __init__(
@@ -40,12 +40,12 @@
         platform: VmLister,
         own_zone: str,
         list_zones: Callable[[], Iterable[str]],
-        find_covered: Callable[[], set[str]],
+        list_covered_zones: Callable[[], set[str]],
     ) -> None:
         self._platform = platform
         self._own_zone = own_zone
         self._list_zones = list_zones
-        self._find_covered = find_covered
+        self._list_covered_zones = list_covered_zones
 
     def list_addresses(self) -> list[str]:
         """Return the peer addresses of live entry VMs in the zones that are not covered.
@@ -55,7 +55,7 @@
 
         PlatformError : the platform did not answer.
         """
-        covered = self._find_covered()
+        covered = self._list_covered_zones()
         zones = [zone for zone in {self._own_zone, *self._list_zones()} if zone not in covered]
         addresses = []
         for zone in zones:
--- a/hemlockswitch/process/membership/membership.py
+++ b/hemlockswitch/process/membership/membership.py
@@ -15,7 +15,7 @@
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.membership.members import MEMBER_PREFIX, Member, MemberState
 from hemlockswitch.process.membership.overlay import Links, choose_links
-from hemlockswitch.process.membership.probes import SWEEP_MS, Prober, ProbeTimes
+from hemlockswitch.process.membership.probes import SWEEP_INTERVAL_MS, Prober, ProbeTimes
 from hemlockswitch.process.news.board import NewsBoard, NewsItem
 from hemlockswitch.process.news.spread import Spread
 
@@ -23,9 +23,9 @@
 
 MemberListener = Callable[[Member], None]
 
-FIRST_JOIN_MS = 200
-LONGEST_JOIN_MS = 5_000
-DISCOVERY_MS = 10_000
+INITIAL_JOIN_RETRY_MS = 200
+MAX_JOIN_RETRY_MS = 5_000
+DISCOVERY_INTERVAL_MS = 10_000
 
 
 class Membership:
@@ -81,7 +81,7 @@
         self._was_isolated = False
         self._prober = self._make_prober()
         self._tasks: list[gevent.Greenlet] = []
-        board.add_listener(MEMBER_PREFIX, self._learn)
+        board.add_listener(MEMBER_PREFIX, self._apply_item)
 
     def _make_prober(self) -> Prober:
         return Prober(
@@ -101,7 +101,7 @@
         incarnation = self._clock.wall_ms()
         self._own = replace(self._own, peer_address=address, incarnation=incarnation)
         self._board.learn(self._own.to_item())
-        self._spread.start(lambda: self._find_links().neighbours)
+        self._spread.start(lambda: self._find_links().gossip_peers)
         tasks = (self._join_forever, self._prober.run, self._sweep_forever, self._retry_dead)
         self._tasks = [gevent.spawn(task) for task in tasks]
 
@@ -125,17 +125,19 @@
     @property
     def is_isolated(self) -> bool:
         """Whether there are live peers and none has answered for the detection time."""
-        others = any(one.is_live for one in self._members.values() if one.name != self._own.name)
-        return others and not self._has_heard_since(self.times.detection_ms)
+        has_live_peers = any(
+            one.is_live for one in self._members.values() if one.name != self._own.name
+        )
+        return has_live_peers and not self._was_answered_within(self.times.detection_ms)
 
-    def _has_heard_since(self, span_ms: float) -> bool:
+    def _was_answered_within(self, span_ms: float) -> bool:
         return self._clock.now_ms() - self._prober.last_answer_ms <= span_ms
 
     def list_members(self, zone: str | None = None) -> list[Member]:
         """Return the members of one zone or of all zones, including this daemon."""
         members = list(self._members.values())
         if self.is_isolated:
-            members = [self._show_isolated(member) for member in members]
+            members = [self._mark_dead(member) for member in members]
         return [member for member in members if zone is None or member.zone == zone]
 
     def list_live(self, zone: str | None = None) -> list[Member]:
@@ -153,7 +155,7 @@
         """
         self._listeners.append(listener)
 
-    def _show_isolated(self, member: Member) -> Member:
+    def _mark_dead(self, member: Member) -> Member:
         if member.name == self._own.name:
             return member
         return replace(member, state=max(member.state, MemberState.DEAD))
@@ -166,18 +168,18 @@
             self._links = choose_links(self._own, live)
         return self._links
 
-    def _learn(self, item: NewsItem) -> None:
+    def _apply_item(self, item: NewsItem) -> None:
         try:
             member = Member.from_item(item)
         except (TypeError, ValueError) as error:
             log_event(Event.MEMBER_INVALID, "error", key=item.key, reason=str(error))
             return
         if member.name == self._own.name and member != self._own:
-            self._hear_of_itself(member)
+            self._handle_report_on_self(member)
             return
         before = self._members.get(member.name)
         self._members[member.name] = member
-        self._note_suspicion(member)
+        self._record_suspicion(member)
         if before is None or before.is_live != member.is_live or before != member:
             self._links = None
         if before is None or before.state != member.state:
@@ -185,32 +187,37 @@
         for listener in self._listeners:
             listener(member)
 
-    def _note_suspicion(self, member: Member) -> None:
+    def _record_suspicion(self, member: Member) -> None:
         if member.state is MemberState.SUSPECT:
             # Rounded up to the next sweep, so that the time to refute is never shortened.
-            self._suspected_ms[member.name] = self._active_ms + SWEEP_MS
+            self._suspected_ms[member.name] = self._active_ms + SWEEP_INTERVAL_MS
         else:
             self._suspected_ms.pop(member.name, None)
 
-    def _hear_of_itself(self, heard: Member) -> None:
-        another_process = heard.peer_address != self._own.peer_address
-        if another_process and heard.state is MemberState.ALIVE:
+    def _handle_report_on_self(self, reported: Member) -> None:
+        another_process = reported.peer_address != self._own.peer_address
+        if another_process and reported.state is MemberState.ALIVE:
             # The newer process keeps the name. If both refuted, they would outbid each other's
             # incarnation without end.
-            log_event(Event.MEMBER_NAME_TAKEN, "error", address=heard.peer_address)
+            log_event(Event.MEMBER_NAME_TAKEN, "error", address=reported.peer_address)
             return
-        self._refute(heard)
+        self._refute(reported)
 
-    def _refute(self, heard: Member) -> None:
-        incarnation = max(self._clock.wall_ms(), heard.incarnation + 1)
+    def _refute(self, reported: Member) -> None:
+        incarnation = max(self._clock.wall_ms(), reported.incarnation + 1)
         self._own = replace(self._own, incarnation=incarnation)
-        log_event(Event.MEMBERSHIP_REFUTED, "warning", heard=heard.state.name.lower())
+        log_event(Event.MEMBERSHIP_REFUTED, "warning", heard=reported.state.name.lower())
         self._board.learn(self._own.to_item())
 
-    def _suspect(self, silent: list[Member]) -> None:
-        if len(silent) > 1:
-            log_event(Event.ZONE_SUSPECTED, "warning", zone=silent[0].zone, members=len(silent))
-        for member in silent:
+    def _suspect(self, unresponsive: list[Member]) -> None:
+        if len(unresponsive) > 1:
+            log_event(
+                Event.ZONE_SUSPECTED,
+                "warning",
+                zone=unresponsive[0].zone,
+                members=len(unresponsive),
+            )
+        for member in unresponsive:
             known = self._members.get(member.name)
             if known is not None and known.state is MemberState.ALIVE:
                 self._board.learn(replace(known, state=MemberState.SUSPECT).to_item())
@@ -218,48 +225,52 @@
     def _sweep_forever(self) -> None:
         last_ms = self._clock.now_ms()
         while True:
-            gevent.sleep(SWEEP_MS / MS_PER_SECOND)
+            gevent.sleep(SWEEP_INTERVAL_MS / MS_PER_SECOND)
             now_ms = self._clock.now_ms()
             # Time in which this process was paused does not count: no refutation could arrive.
-            self._active_ms += min(now_ms - last_ms, 2 * SWEEP_MS)
+            self._active_ms += min(now_ms - last_ms, 2 * SWEEP_INTERVAL_MS)
             last_ms = now_ms
-            self._spread.forget_tombstones()
-            self._note_isolation()
-            if self._has_heard_since(self.times.suspicion_ms):
-                self._end_suspicions()
+            self._spread.discard_tombstones()
+            self._log_isolation_change()
+            if self._was_answered_within(self.times.suspicion_timeout_ms):
+                self._expire_suspicions()
 
-    def _note_isolation(self) -> None:
+    def _log_isolation_change(self) -> None:
         if self.is_isolated != self._was_isolated:
             self._was_isolated = self.is_isolated
             log_event(Event.MEMBERSHIP_ISOLATED, "warning", isolated=self._was_isolated)
 
-    def _end_suspicions(self) -> None:
+    def _expire_suspicions(self) -> None:
         probed = {member.name for member in self._find_links().probed}
         for name, since_ms in list(self._suspected_ms.items()):
             # Daemons that probe the suspect declare it dead first; the others wait twice as long,
             # and act only if all of those have failed as well.
-            wait_ms = self.times.suspicion_ms * (1 if name in probed else 2)
+            wait_ms = self.times.suspicion_timeout_ms * (1 if name in probed else 2)
             if self._active_ms - since_ms >= wait_ms:
                 self._board.learn(replace(self._members[name], state=MemberState.DEAD).to_item())
 
     def _retry_dead(self) -> None:
         while True:
-            gevent.sleep(self.times.retry_dead_ms * random.uniform(0.5, 1.5) / MS_PER_SECOND)
+            gevent.sleep(
+                self.times.retry_dead_interval_ms * random.uniform(0.5, 1.5) / MS_PER_SECOND
+            )
             dead = [one for one in self._members.values() if one.state is MemberState.DEAD]
             if dead:
                 self._try_address(random.choice(dead).peer_address)
 
     def _join_forever(self) -> None:
-        wait_ms: float = FIRST_JOIN_MS
+        wait_ms: float = INITIAL_JOIN_RETRY_MS
         while True:
             if self._needs_to_join():
                 self._try_candidates()
-                wait_ms = FIRST_JOIN_MS if self.joined else min(wait_ms * 2, LONGEST_JOIN_MS)
+                wait_ms = (
+                    INITIAL_JOIN_RETRY_MS if self.joined else min(wait_ms * 2, MAX_JOIN_RETRY_MS)
+                )
             elif self._is_first_of_zone():
-                wait_ms = DISCOVERY_MS
+                wait_ms = DISCOVERY_INTERVAL_MS
                 self._try_candidates()
             else:
-                wait_ms = DISCOVERY_MS
+                wait_ms = DISCOVERY_INTERVAL_MS
             gevent.sleep(wait_ms * random.uniform(0.75, 1.25) / MS_PER_SECOND)
 
     def _needs_to_join(self) -> bool:
--- a/hemlockswitch/process/membership/overlay.py
+++ b/hemlockswitch/process/membership/overlay.py
@@ -27,12 +27,12 @@
     ==========
 
     probed : members that this daemon probes.
-    neighbours : members to which it sends gossip: those that it probes and, within the zone, those
+    gossip_peers : members to which it sends gossip: those that it probes and, within the zone, those
         that probe it.
     """
 
     probed: tuple[Member, ...] = ()
-    neighbours: tuple[Member, ...] = ()
+    gossip_peers: tuple[Member, ...] = ()
 
 
 def choose_links(own: Member, members: Iterable[Member]) -> Links:
@@ -43,7 +43,7 @@
 
     >>> people = [Member(f"d{n}", "hall", "", "", "") for n in range(20)]
     >>> links = choose_links(people[0], people)
-    >>> 1 <= len(links.probed) <= RINGS and len(links.neighbours) <= 2 * RINGS
+    >>> 1 <= len(links.probed) <= RINGS and len(links.gossip_peers) <= 2 * RINGS
     True
     """
     zones: dict[str, list[Member]] = defaultdict(list)
@@ -51,42 +51,45 @@
     for member in members:
         zones[member.zone].append(member)
         regions[member.region].append(member)
-    after, before = _choose_ring_links(own, zones[own.zone])
-    beyond = _choose_pair_links(own, own.zone, _keep_region(zones, own.region), ZONE_LINKS)
-    beyond += _choose_pair_links(own, own.region, regions, REGION_LINKS)
-    return Links(_drop_repeats(after + beyond), _drop_repeats(after + before + beyond))
+    successors, predecessors = _choose_ring_links(own, zones[own.zone])
+    outside = _choose_pair_links(own, own.zone, _select_region(zones, own.region), ZONE_LINKS)
+    outside += _choose_pair_links(own, own.region, regions, REGION_LINKS)
+    return Links(
+        _remove_duplicates(successors + outside),
+        _remove_duplicates(successors + predecessors + outside),
+    )
 
 
 def _choose_ring_links(own: Member, zone: list[Member]) -> tuple[list[Member], list[Member]]:
-    after: list[Member] = []
-    before: list[Member] = []
+    successors: list[Member] = []
+    predecessors: list[Member] = []
     if len(zone) < 2:
-        return after, before
+        return successors, predecessors
     for ring in range(RINGS):
         order = _order_ring(ring, zone)
-        place = next(place for place, member in enumerate(order) if member.name == own.name)
-        after.append(order[(place + 1) % len(order)])
-        before.append(order[place - 1])
-    return after, before
+        position = next(place for place, member in enumerate(order) if member.name == own.name)
+        successors.append(order[(position + 1) % len(order)])
+        predecessors.append(order[position - 1])
+    return successors, predecessors
 
 
 def _order_ring(ring: int, zone: list[Member]) -> list[Member]:
     return sorted(zone, key=lambda member: hash_stable(f"{ring}\0{member.name}"))
 
 
-def _keep_region(zones: dict[str, list[Member]], region: str) -> dict[str, list[Member]]:
+def _select_region(zones: dict[str, list[Member]], region: str) -> dict[str, list[Member]]:
     return {zone: here for zone, here in zones.items() if here and here[0].region == region}
 
 
 def _choose_pair_links(
-    own: Member, place: str, places: dict[str, list[Member]], count: int
+    own: Member, area: str, areas: dict[str, list[Member]], count: int
 ) -> list[Member]:
     links = []
-    own_names = [member.name for member in places.get(place, [])]
-    for other, members in places.items():
-        if other == place:
+    own_names = [member.name for member in areas.get(area, [])]
+    for other, members in areas.items():
+        if other == area:
             continue
-        pair = "\0".join(sorted((place, other)))
+        pair = "\0".join(sorted((area, other)))
         by_name = {member.name: member for member in members}
         ours = rank_rendezvous(pair, own_names)[:count]
         theirs = rank_rendezvous(pair, by_name)[:count]
@@ -98,5 +101,5 @@
     return links
 
 
-def _drop_repeats(members: list[Member]) -> tuple[Member, ...]:
+def _remove_duplicates(members: list[Member]) -> tuple[Member, ...]:
     return tuple({member.name: member for member in members}.values())
--- a/hemlockswitch/process/membership/probes.py
+++ b/hemlockswitch/process/membership/probes.py
@@ -13,9 +13,9 @@
 from hemlockswitch.process.membership.members import Member
 from hemlockswitch.process.news.spread import Spread
 
-SWEEP_MS = 500
-HELPERS = 3
-SAMPLE = 3
+SWEEP_INTERVAL_MS = 500
+MAX_HELPERS = 3
+ZONE_SAMPLE_SIZE = 3
 PAUSE_FACTOR = 2
 
 
@@ -69,17 +69,17 @@
     ==========
 
     period_ms : each linked member is probed once per period.
-    direct_ms : timeout of a direct probe.
-    indirect_ms : timeout of a probe through a helper.
-    suspicion_ms : a suspect that does not refute within this time is declared dead.
-    retry_dead_ms : average time between attempts to reach a dead member.
+    direct_timeout_ms : timeout of a direct probe.
+    indirect_timeout_ms : timeout of a probe through a helper.
+    suspicion_timeout_ms : a suspect that does not refute within this time is declared dead.
+    retry_dead_interval_ms : average time between attempts to reach a dead member.
     """
 
     period_ms: float = 2_000
-    direct_ms: float = 500
-    indirect_ms: float = 1_000
-    suspicion_ms: float = 3_000
-    retry_dead_ms: float = 5_000
+    direct_timeout_ms: float = 500
+    indirect_timeout_ms: float = 1_000
+    suspicion_timeout_ms: float = 3_000
+    retry_dead_interval_ms: float = 5_000
 
     @classmethod
     def from_period(cls, period_ms: float) -> "ProbeTimes":
@@ -97,8 +97,8 @@
     @property
     def detection_ms(self) -> float:
         """Maximum time from a daemon's failure until the daemons that probe it declare it dead."""
-        probing_ms = self.period_ms + 2 * self.direct_ms + self.indirect_ms
-        return probing_ms + self.suspicion_ms + 2 * SWEEP_MS
+        probing_ms = self.period_ms + 2 * self.direct_timeout_ms + self.indirect_timeout_ms
+        return probing_ms + self.suspicion_timeout_ms + 2 * SWEEP_INTERVAL_MS
 
 
 class Prober:
@@ -171,27 +171,27 @@
     def _probe_member(self, member: Member) -> None:
         try:
             started_ms = self._clock.now_ms()
-            timeout_ms = self._times.direct_ms
+            timeout_ms = self._times.direct_timeout_ms
             if self.probe(member.name, member.peer_address, member.zone, timeout_ms):
                 return
-            if self._probe_through_others(member):
+            if self._probe_indirectly(member):
                 return
-            silent = self._find_silent(member)
-            allowed_ms = self._times.direct_ms + 2 * self._times.indirect_ms
+            unresponsive = self._find_unresponsive(member)
+            allowed_ms = self._times.direct_timeout_ms + 2 * self._times.indirect_timeout_ms
             paused = self._clock.now_ms() - started_ms > PAUSE_FACTOR * allowed_ms
             # If no other peer answered either, the fault may be on this daemon's side.
-            heard_others = self.last_answer_ms >= started_ms
-            if heard_others and not paused:
-                self._report(silent)
+            any_answer = self.last_answer_ms >= started_ms
+            if any_answer and not paused:
+                self._report(unresponsive)
         finally:
             self._busy.discard(member.name)
 
-    def _find_silent(self, member: Member) -> list[Member]:
+    def _find_unresponsive(self, member: Member) -> list[Member]:
         if member.zone == self._own.zone:
             return [member]
         others = [one for one in self._list_live() if one.zone == member.zone and one != member]
-        sample = random.sample(others, min(SAMPLE, len(others)))
-        timeout_ms = self._times.direct_ms
+        sample = random.sample(others, min(ZONE_SAMPLE_SIZE, len(others)))
+        timeout_ms = self._times.direct_timeout_ms
         tasks = [
             gevent.spawn(self.probe, one.name, one.peer_address, one.zone, timeout_ms)
             for one in sample
@@ -199,17 +199,17 @@
         gevent.joinall(tasks)
         return [member] if any(task.value for task in tasks) else [member, *others]
 
-    def _probe_through_others(self, member: Member) -> bool:
+    def _probe_indirectly(self, member: Member) -> bool:
         tasks = [
-            gevent.spawn(self._ask_helper, one, member) for one in self._choose_helpers(member)
+            gevent.spawn(self._request_probe, one, member) for one in self._choose_helpers(member)
         ]
         gevent.joinall(tasks)
         return any(task.value for task in tasks)
 
-    def _ask_helper(self, helper: Member, member: Member) -> bool:
+    def _request_probe(self, helper: Member, member: Member) -> bool:
         message = ProbeFor(member.name, member.peer_address, member.zone)
         try:
-            reply = self._network.ask(helper.peer_address, message, self._times.indirect_ms)
+            reply = self._network.ask(helper.peer_address, message, self._times.indirect_timeout_ms)
         except PeerError:
             return False
         self.last_answer_ms = self._clock.now_ms()
@@ -223,7 +223,7 @@
             place = one.zone if one.zone in (member.zone, self._own.zone) else ""
             chosen.setdefault(place, one)
         for one in others:
-            if len(chosen) >= HELPERS:
+            if len(chosen) >= MAX_HELPERS:
                 break
             chosen.setdefault(one.name, one)
         return list({one.name: one for one in chosen.values()}.values())
@@ -236,5 +236,5 @@
         return Ack(self._spread.compute_digest(probe.zone))
 
     def _answer_probe_for(self, sender: str, message: ProbeFor) -> ProbedFor:
-        timeout_ms = self._times.direct_ms
+        timeout_ms = self._times.direct_timeout_ms
         return ProbedFor(self.probe(message.target, message.address, message.zone, timeout_ms))
--- a/hemlockswitch/process/news/digests.py
+++ b/hemlockswitch/process/news/digests.py
@@ -51,10 +51,10 @@
         self.total ^= change
         self._buckets[choose_bucket(item.key)] ^= change
 
-    def pack_buckets(self, others: Iterable["Digest"] = ()) -> bytes:
+    def pack_buckets(self, digests: Iterable["Digest"] = ()) -> bytes:
         """Return the buckets, combined with those of other digests, as bytes."""
         buckets = list(self._buckets)
-        for other in others:
+        for other in digests:
             buckets = [mine ^ its for mine, its in zip(buckets, other._buckets, strict=True)]
         return _PACKED.pack(*buckets)
 
--- a/hemlockswitch/process/news/messages.py
+++ b/hemlockswitch/process/news/messages.py
@@ -58,25 +58,25 @@
     Parameters
     ==========
 
-    batch_ms : how long a new item waits, to be batched with others.
-    batch_bytes : maximum size of one message of items.
-    eager_bytes : a larger item is announced, and fetched once by each daemon that lacks it.
-    item_bytes : a larger item is not sent.
-    held_rows : maximum number of rows in one `Difference`.
-    fetch_keys : maximum number of keys in one `Fetch`.
-    ask_timeout_ms : how long a daemon waits for each reply.
-    tombstone_ms : how long a tombstone is retained; longer than any network partition that must
+    batch_delay_ms : how long a new item waits, to be batched with others.
+    max_batch_bytes : maximum size of one message of items.
+    max_pushed_bytes : a larger item is announced, and fetched once by each daemon that lacks it.
+    max_item_bytes : a larger item is not sent.
+    max_difference_rows : maximum number of rows in one `Difference`.
+    max_fetch_keys : maximum number of keys in one `Fetch`.
+    request_timeout_ms : how long a daemon waits for each reply.
+    tombstone_retention_ms : how long a tombstone is retained; longer than any network partition that must
         be repaired without an operator.
     """
 
-    batch_ms: int = 10
-    batch_bytes: int = 65_536
-    eager_bytes: int = 128
-    item_bytes: int = 524_288
-    held_rows: int = 4_000
-    fetch_keys: int = 500
-    ask_timeout_ms: int = 2_000
-    tombstone_ms: int = 7_200_000
+    batch_delay_ms: int = 10
+    max_batch_bytes: int = 65_536
+    max_pushed_bytes: int = 128
+    max_item_bytes: int = 524_288
+    max_difference_rows: int = 4_000
+    max_fetch_keys: int = 500
+    request_timeout_ms: int = 2_000
+    tombstone_retention_ms: int = 7_200_000
 
 
 @dataclass(frozen=True)
@@ -100,14 +100,14 @@
         return cls(content, len(msgpack.packb(content)))
 
 
-def cut_rows(rows: list[Row], batch_bytes: int) -> list[list[Any]]:
-    """Return the rows' contents in batches of at most `batch_bytes`; a larger row is alone in one.
+def batch_rows(rows: list[Row], batch_bytes: int) -> list[list[Any]]:
+    """Return the rows' contents in batches of at most `batch_bytes`; a larger row forms its own batch.
 
     Examples
     ========
 
     >>> rows = [Row(["a"], 40), Row(["b"], 40), Row(["c"], 40)]
-    >>> cut_rows(rows, 90)
+    >>> batch_rows(rows, 90)
     [[['a'], ['b']], [['c']]]
     """
     batches: list[list[Any]] = []
--- a/hemlockswitch/process/news/retrieval.py
+++ b/hemlockswitch/process/news/retrieval.py
@@ -47,24 +47,24 @@
         self._bounds = bounds
         self._lacks = lacks
         self._receive = receive
-        self._under_way: dict[str, Retrieval] = {}
-        network.handle(Have, self._hear, quick=True)
+        self._in_progress: dict[str, Retrieval] = {}
+        network.handle(Have, self._handle_announcement, quick=True)
 
-    def _hear(self, sender: str, message: Have) -> None:
+    def _handle_announcement(self, sender: str, message: Have) -> None:
         wanted: dict[str, int] = {}
         for key, version in message.held:
-            under_way = self._under_way.get(key)
-            if under_way is not None and under_way.versions[key] >= version:
-                under_way.holders.append(sender)
+            retrieval = self._in_progress.get(key)
+            if retrieval is not None and retrieval.versions[key] >= version:
+                retrieval.holders.append(sender)
             elif self._lacks(key, version):
                 wanted[key] = version
         if wanted:
             self._start(sender, wanted)
 
     def _start(self, sender: str, wanted: dict[str, int]) -> None:
-        retrieval = Retrieval(wanted, deque([sender], maxlen=self._bounds.fetch_keys))
+        retrieval = Retrieval(wanted, deque([sender], maxlen=self._bounds.max_fetch_keys))
         for key in wanted:
-            self._under_way[key] = retrieval
+            self._in_progress[key] = retrieval
         gevent.spawn(self._run, retrieval)
 
     def _run(self, retrieval: Retrieval) -> None:
@@ -76,8 +76,8 @@
                 missing = [key for key in missing if self._lacks(key, versions[key])]
         finally:
             for key in retrieval.versions:
-                if self._under_way.get(key) is retrieval:
-                    del self._under_way[key]
+                if self._in_progress.get(key) is retrieval:
+                    del self._in_progress[key]
 
     def _fetch_once(self, holder: str, keys: Iterable[str]) -> None:
         try:
@@ -96,10 +96,17 @@
         """
         pending = keys
         while pending:
-            asked, rest = pending[: self._bounds.fetch_keys], pending[self._bounds.fetch_keys :]
-            news = self._network.ask(holder, Fetch(asked), self._bounds.ask_timeout_ms)
+            requested, remaining = (
+                pending[: self._bounds.max_fetch_keys],
+                pending[self._bounds.max_fetch_keys :],
+            )
+            news = self._network.ask(holder, Fetch(requested), self._bounds.request_timeout_ms)
             self._receive(holder, news)
-            got = {row[0] for row in news.items}
+            received = {row[0] for row in news.items}
             # A reply is truncated at its limit in bytes; an empty one means that the holder has
             # none of the requested items.
-            pending = [key for key in asked if key not in got] + rest if got else rest
+            pending = (
+                [key for key in requested if key not in received] + remaining
+                if received
+                else remaining
+            )
--- a/hemlockswitch/process/news/spread.py
+++ b/hemlockswitch/process/news/spread.py
@@ -24,7 +24,7 @@
     News,
     Row,
     SpreadBounds,
-    cut_rows,
+    batch_rows,
 )
 from hemlockswitch.process.news.retrieval import Retrievals
 
@@ -38,7 +38,7 @@
     ===========
 
     A new item is sent to every linked peer except the one it came from, batched with the other
-    items of the next `batch_ms`; only the newest version of a key is sent. A large item is
+    items of the next `batch_delay_ms`; only the newest version of a key is sent. A large item is
     announced instead, and each daemon that lacks it fetches it once.
 
     A heartbeat carries a digest. If it differs from a peer's in two consecutive heartbeats, the
@@ -71,27 +71,27 @@
         self._zone_prefixes = zone_prefixes
         self._clock = clock or SystemClock()
         self._bounds = bounds or SpreadBounds()
-        self._list_neighbours: Callable[[], Iterable[Member]] = tuple
-        self._everywhere = Digest()
-        self._in_zone = Digest()
+        self._list_peers: Callable[[], Iterable[Member]] = tuple
+        self._global_digest = Digest()
+        self._zone_digest = Digest()
         self._pending: dict[str, str] = {}
         self._source = ""
         self._wake = Signal()
-        self._differed: set[str] = set()
+        self._differing_addresses: set[str] = set()
         self._repairing = False
         self._tombstones: dict[str, float] = {}
         self._task: gevent.Greenlet | None = None
         self._retrievals = Retrievals(network, self._bounds, self._lacks, self._receive_news)
         for item in board.list_items():
-            self._count(item)
-        board.add_listener("", self._count)
+            self._record_item(item)
+        board.add_listener("", self._record_item)
         network.handle(News, self._receive_news, quick=True)
         network.handle(Compare, self._answer_compare, quick=True)
         network.handle(Fetch, self._answer_fetch, quick=True)
 
-    def start(self, list_neighbours: Callable[[], Iterable[Member]]) -> None:
-        """Start sending items to the members that `list_neighbours` returns."""
-        self._list_neighbours = list_neighbours
+    def start(self, list_peers: Callable[[], Iterable[Member]]) -> None:
+        """Start sending items to the members that `list_peers` returns."""
+        self._list_peers = list_peers
         self._task = gevent.spawn(self._push_forever)
 
     def stop(self) -> None:
@@ -103,19 +103,19 @@
     def compute_digest(self, zone: str) -> int:
         """Return the digest of the items that this daemon shares with the daemons of `zone`."""
         if zone == self._zone:
-            return self._everywhere.total ^ self._in_zone.total
-        return self._everywhere.total
+            return self._global_digest.total ^ self._zone_digest.total
+        return self._global_digest.total
 
     def check_digest(self, address: str, zone: str, digest: int) -> None:
         """Compare a peer's digest with the own one; repair at the second difference in a row."""
         if digest == self.compute_digest(zone):
-            self._differed.discard(address)
-        elif address not in self._differed:
-            self._differed.add(address)
+            self._differing_addresses.discard(address)
+        elif address not in self._differing_addresses:
+            self._differing_addresses.add(address)
         elif not self._repairing:
             # One repair at a time: concurrent ones would transfer the same items repeatedly.
             self._repairing = True
-            self._differed.discard(address)
+            self._differing_addresses.discard(address)
             gevent.spawn(self._repair_quietly, address, zone)
 
     def repair(self, address: str, zone: str = "") -> None:
@@ -134,16 +134,20 @@
         """
         self.repairs += 1
         compare = Compare(self._zone if zone == self._zone else "", self._pack_buckets(zone))
-        difference = self._network.ask(address, compare, self._bounds.ask_timeout_ms)
+        difference = self._network.ask(address, compare, self._bounds.request_timeout_ms)
         held = {key: (version, tombstone) for key, version, tombstone in difference.held}
         missing = self._list_missing(zone, held, set(difference.buckets))
         self._send_items(address, self._make_rows(missing))
-        wanted = [key for key, (version, gone) in held.items() if self._lacks(key, version, gone)]
+        wanted = [
+            key
+            for key, (version, tombstone) in held.items()
+            if self._lacks(key, version, tombstone)
+        ]
         self._retrievals.fetch(address, wanted)
 
-    def forget_tombstones(self) -> None:
+    def discard_tombstones(self) -> None:
         """Discard the tombstones whose retention is over; they are ordered oldest first."""
-        oldest_ms = self._clock.now_ms() - self._bounds.tombstone_ms
+        oldest_ms = self._clock.now_ms() - self._bounds.tombstone_retention_ms
         for key, learned_ms in list(self._tombstones.items()):
             if learned_ms > oldest_ms:
                 break
@@ -159,7 +163,7 @@
             self._repairing = False
 
     def _pack_buckets(self, zone: str) -> bytes:
-        return self._everywhere.pack_buckets([self._in_zone] if zone == self._zone else [])
+        return self._global_digest.pack_buckets([self._zone_digest] if zone == self._zone else [])
 
     def _lacks(self, key: str, version: int, tombstone: bool = False) -> bool:
         known = self._board.find(key)
@@ -176,17 +180,17 @@
                 missing.append(item)
         return missing
 
-    def _is_in_zone(self, key: str) -> bool:
+    def _is_zone_key(self, key: str) -> bool:
         return bool(self._zone_prefixes) and key.startswith(self._zone_prefixes)
 
     def _list_shared(self, zone: str) -> list[NewsItem]:
         items = self._board.list_items()
         if zone == self._zone or not self._zone_prefixes:
             return items
-        return [item for item in items if not self._is_in_zone(item.key)]
+        return [item for item in items if not self._is_zone_key(item.key)]
 
-    def _count(self, item: NewsItem) -> None:
-        digest = self._in_zone if self._is_in_zone(item.key) else self._everywhere
+    def _record_item(self, item: NewsItem) -> None:
+        digest = self._zone_digest if self._is_zone_key(item.key) else self._global_digest
         digest.replace(item)
         self._tombstones.pop(item.key, None)
         if item.tombstone:
@@ -197,7 +201,7 @@
     def _push_forever(self) -> None:
         while True:
             self._wake.wait()
-            gevent.sleep(self._bounds.batch_ms / MS_PER_SECOND)
+            gevent.sleep(self._bounds.batch_delay_ms / MS_PER_SECOND)
             self._wake.clear()
             self._push()
 
@@ -207,35 +211,35 @@
         waiting = [(item, source) for item, source in found if item is not None]
         rows = self._make_rows(item for item, _ in waiting)
         sources = {item.key: source for item, source in waiting}
-        for member in self._list_neighbours():
+        for member in self._list_peers():
             address = member.peer_address
             same_zone = member.zone == self._zone
             chosen = [
                 row
                 for row in rows
                 if sources[row.content[0]] != address
-                and (same_zone or not self._is_in_zone(row.content[0]))
+                and (same_zone or not self._is_zone_key(row.content[0]))
             ]
-            self._pass_on(address, chosen)
+            self._push_rows(address, chosen)
 
     def _make_rows(self, items: Iterable[NewsItem]) -> list[Row]:
         rows = [Row.from_item(item) for item in items]
         for row in rows:
-            if row.size_bytes > self._bounds.item_bytes:
+            if row.size_bytes > self._bounds.max_item_bytes:
                 key, size_bytes = row.content[0], row.size_bytes
                 log_event(Event.NEWS_TOO_LARGE, "error", key=key, size_bytes=size_bytes)
-        return [row for row in rows if row.size_bytes <= self._bounds.item_bytes]
+        return [row for row in rows if row.size_bytes <= self._bounds.max_item_bytes]
 
-    def _pass_on(self, address: str, rows: list[Row]) -> None:
+    def _push_rows(self, address: str, rows: list[Row]) -> None:
         """Send small items and announce large ones."""
-        eager_bytes = self._bounds.eager_bytes
+        eager_bytes = self._bounds.max_pushed_bytes
         self._send_items(address, [row for row in rows if row.size_bytes <= eager_bytes])
         large = [row.content[:2] for row in rows if row.size_bytes > eager_bytes]
         if large:
             self._network.send(address, Have(large))
 
     def _send_items(self, address: str, rows: list[Row]) -> None:
-        for batch in cut_rows(rows, self._bounds.batch_bytes):
+        for batch in batch_rows(rows, self._bounds.max_batch_bytes):
             self._network.send(address, News(batch))
 
     def _receive_news(self, sender: str, news: News) -> None:
@@ -261,16 +265,16 @@
             bucket = choose_bucket(item.key)
             if bucket in rows:
                 rows[bucket].append([item.key, item.version, item.tombstone])
-        return _cut_to_bound(rows, self._bounds.held_rows)
+        return _limit_rows(rows, self._bounds.max_difference_rows)
 
     def _answer_fetch(self, sender: str, fetch: Fetch) -> News:
-        items = (self._board.find(key) for key in fetch.keys[: self._bounds.fetch_keys])
+        items = (self._board.find(key) for key in fetch.keys[: self._bounds.max_fetch_keys])
         rows = self._make_rows(item for item in items if item is not None)
-        batches = cut_rows(rows, self._bounds.item_bytes)
+        batches = batch_rows(rows, self._bounds.max_item_bytes)
         return News(batches[0] if batches else [])
 
 
-def _cut_to_bound(rows: dict[int, list[list[Any]]], bound: int) -> Difference:
+def _limit_rows(rows: dict[int, list[list[Any]]], bound: int) -> Difference:
     """Return the first buckets whose rows fit; the next comparison continues with the others."""
     buckets: list[int] = []
     held: list[list[Any]] = []
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -223,7 +223,7 @@
     reached = {"d0-0"}
     frontier = ["d0-0"]
     while frontier:
-        found = {one.name for name in frontier for one in links[name].neighbours} - reached
+        found = {one.name for name in frontier for one in links[name].gossip_peers} - reached
         reached |= found
         frontier = list(found)
     assert len(reached) == len(members)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -63,14 +63,14 @@
     holder.board.learn(NewsItem("revision", 1, LARGE))
     announcement = Have([["revision", 1]])
     gone.network.send(late.address, announcement)
-    wait_until(lambda: late.spread._retrievals._under_way or late.network.list_streams())
+    wait_until(lambda: late.spread._retrievals._in_progress or late.network.list_streams())
     gone.network.stop()
     holder.network.send(late.address, announcement)
     wait_until(lambda: late.board.find("revision"))
 
 
 def test_a_board_larger_than_every_bound_is_repaired_whole(make_node):
-    bounds = SpreadBounds(item_bytes=3_000, fetch_keys=7, held_rows=1_000)
+    bounds = SpreadBounds(max_item_bytes=3_000, max_fetch_keys=7, max_difference_rows=1_000)
     full, empty = make_node("full", bounds), make_node("empty", bounds)
     for number in range(100):
         full.board.learn(NewsItem(f"item/{number}", 1, LARGE))
@@ -94,7 +94,7 @@
 
 
 def test_an_item_over_the_bound_is_not_passed_on(make_node):
-    left, right = make_node("left", SpreadBounds(item_bytes=500)), make_node("right")
+    left, right = make_node("left", SpreadBounds(max_item_bytes=500)), make_node("right")
     left.link(right)
     left.board.learn(NewsItem("large", 1, LARGE))
     left.board.learn(NewsItem("small", 1, "s"))
--- a/tools/capacity_daemon.py
+++ b/tools/capacity_daemon.py
@@ -81,7 +81,7 @@
             "bytes_out": traffic.bytes_out,
             "segments": count_segments(self.network),
             "links": len(list(self.membership._find_links().probed)),
-            "neighbours": len(list(self.membership._find_links().neighbours)),
+            "neighbours": len(list(self.membership._find_links().gossip_peers)),
             "streams": len(self.network.list_streams()),
             "items_in": self.spread.items_in,
             "items_known": self.spread.items_known,
@@ -102,7 +102,7 @@
 
     def hold(self, members: int, items: int) -> dict:
         """Return the memory that further dead members and items take; nothing is sent."""
-        self.membership._spread._list_neighbours = tuple
+        self.membership._spread._list_peers = tuple
         before_bytes = read_resident_bytes()
         for number in range(members):
             member = Member(f"held-{number:06}", "zone", "region", "10.0.0.1:65000", "10.0.0.1:1")
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -49,10 +49,10 @@
     """Return the degrees and the depth of the overlay that the product would choose."""
     links = {member.name: choose_links(member, members) for member in members}
     probes = [len(link.probed) for link in links.values()]
-    neighbours = [len(link.neighbours) for link in links.values()]
+    neighbours = [len(link.gossip_peers) for link in links.values()]
     next_to: dict[str, set[str]] = defaultdict(set)
     for name, link in links.items():
-        next_to[name] |= {one.name for one in link.neighbours}
+        next_to[name] |= {one.name for one in link.gossip_peers}
     depths = [count_hops(next_to, member.name) for member in members[:20]]
     return {
         "probes": {"mean": statistics.mean(probes), "max": max(probes)},
--- a/tools/capacity_variants.py
+++ b/tools/capacity_variants.py
@@ -32,7 +32,7 @@
     """Every item goes whole over every link."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
-        super().__init__(*arguments, bounds=SpreadBounds(eager_bytes=1_000_000), **options)
+        super().__init__(*arguments, bounds=SpreadBounds(max_pushed_bytes=1_000_000), **options)
 
 
 class MeshSpread(FloodSpread):
@@ -87,7 +87,7 @@
         else:
             self._lazy.discard(sender)
 
-    def _pass_on(self, address: str, rows: list[Row]) -> None:
+    def _push_rows(self, address: str, rows: list[Row]) -> None:
         if address not in self._lazy:
             self._send_items(address, rows)
         elif rows:
