--- a/hemlockswitch/process/controller.py
+++ b/hemlockswitch/process/controller.py
@@ -30,7 +30,7 @@
 from hemlockswitch.process.revisions.configuration import Configuration
 from hemlockswitch.process.revisions.spread import RevisionSpread
 from hemlockswitch.process.revisions.store import RevisionStore
-from hemlockswitch.process.revisions.tasks import READ_PATIENCE_MS, follow_pointer
+from hemlockswitch.process.revisions.tasks import READ_TIMEOUT_MS, follow_pointer
 from hemlockswitch.version.models import OperatorFile
 from hemlockswitch.version.revisions import CURRENT_POINTER, POINTER_KIND
 from hemlockswitch.version.settings import ControllerSettings
@@ -65,7 +65,7 @@
         clock: Clock,
     ) -> None:
         self._platform = platform
-        self._store = RevisionStore(platform, clock, READ_PATIENCE_MS)
+        self._store = RevisionStore(platform, clock, READ_TIMEOUT_MS)
         self._configuration = Configuration(clock)
         self._spread = RevisionSpread(
             self._configuration, NewsBoard(), network, list_daemons, lambda: None, clock
@@ -134,7 +134,7 @@
             self._platform, clock, settings.zone, settings.copies.risk_window_ms
         )
         self.controller = self._make_controller()
-        self._pages = self._make_pages()
+        self._status_server = self._make_status_server()
 
     @classmethod
     def from_settings(cls, settings: ControllerSettings) -> Self:
@@ -157,7 +157,7 @@
         records = CopyRecords(self._platform)
         return Controller(settings.zone, self.lease, records, sources, times, self._metrics.cost)
 
-    def _make_pages(self) -> CallerServer:
+    def _make_status_server(self) -> CallerServer:
         status = StatusPage()
         status.add("name", lambda: self.settings.name)
         status.add("zone", lambda: self.settings.zone)
@@ -170,24 +170,24 @@
 
     def start(self) -> dict[str, str]:
         """Open the sockets, spawn the tasks and return the bound addresses."""
-        self._pages.start()
+        self._status_server.start()
         peer_address = self._network.start()
         watch, is_leader = self._reclaims.watch_forever, lambda: self.lease.is_held
         self._tasks = [
-            gevent.spawn(self._keep_lease),
-            gevent.spawn(self._keep_control),
+            gevent.spawn(self._run_lease),
+            gevent.spawn(self._run_control),
             gevent.spawn(watch, is_leader, self._wake),
         ]
-        return {"control": self._pages.bound_address, "peers": peer_address}
+        return {"control": self._status_server.bound_address, "peers": peer_address}
 
     def stop(self) -> None:
         """Stop the tasks, then release the lease."""
         gevent.killall(self._tasks)
         self.lease.release()
         self._network.stop()
-        self._pages.stop(timeout=1)
+        self._status_server.stop(timeout=1)
 
-    def _keep_lease(self) -> None:
+    def _run_lease(self) -> None:
         while True:
             was_held = self.lease.is_held
             pause_ms = self.lease.take_turn()
@@ -195,7 +195,7 @@
                 self._wake.set()
             self._clock.sleep_ms(pause_ms)
 
-    def _keep_control(self) -> None:
+    def _run_control(self) -> None:
         while True:
             self._wake.clear()
             self._run_pass()
--- a/hemlockswitch/process/departure.py
+++ b/hemlockswitch/process/departure.py
@@ -29,7 +29,7 @@
 from hemlockswitch.request.relay import Relay
 from hemlockswitch.version.settings import EntrySettings
 
-UNKNOWN_NOTICE_MS = 5_000.0
+DEFAULT_NOTICE_MS = 5_000.0
 
 
 class Departure:
@@ -72,8 +72,8 @@
             count=count,
         )
         self._serve_peers()
-        facts.board.add_listener(f"{NOTICE_PREFIX}{settings.name}", self._hear_notice)
-        facts.directory.add_leaving_listener(self._hear_leaving)
+        facts.board.add_listener(f"{NOTICE_PREFIX}{settings.name}", self._handle_notice)
+        facts.directory.add_leaving_listener(self._handle_leaving)
 
     def build_resuming(
         self, admission: Admission, records: RequestRecords, serving: Serving
@@ -112,16 +112,16 @@
         network.handle(ConfirmTake, self.store.confirm, quick=True)
         network.handle(DropState, self.store.drop, quick=True)
 
-    def _hear_notice(self, item: NewsItem) -> None:
+    def _handle_notice(self, item: NewsItem) -> None:
         if item.key != f"{NOTICE_PREFIX}{self._settings.name}" or item.value is None:
             return
         left_ms = int(item.value.get("deadline_wall_ms", 0)) - self._clock.wall_ms()
         self._leave_in(left_ms)
 
-    def _hear_leaving(self, name: str, deadline_wall_ms: int) -> None:
+    def _handle_leaving(self, name: str, deadline_wall_ms: int) -> None:
         # The VM list shows that the VM is leaving, but not when.
         if name == self._settings.name and not deadline_wall_ms:
-            self._leave_in(UNKNOWN_NOTICE_MS)
+            self._leave_in(DEFAULT_NOTICE_MS)
 
     def _leave_in(self, left_ms: float) -> None:
         log_event(Event.ENTRY_LEAVING, left_ms=int(left_ms))
--- a/hemlockswitch/process/entry.py
+++ b/hemlockswitch/process/entry.py
@@ -45,8 +45,8 @@
 from hemlockswitch.version.models import Limits, OperatorFile
 from hemlockswitch.version.settings import EntrySettings
 
-CLAIM_FLUSH_MS = 3_000.0
-ENDED_CONNECT_MS = 50.0
+CLAIM_FLUSH_TIMEOUT_MS = 3_000.0
+CRASH_CHECK_TIMEOUT_MS = 50.0
 """Timeout of a test connection to a server that broke a connection. A refusal arrives within one
 network round trip, and the request waits for it."""
 
@@ -135,7 +135,7 @@
             self.quarantine,
             ServerEnds(
                 lambda server: not self.directory.is_leaving(server.name),
-                lambda server: refuses_connection(server.address, ENDED_CONNECT_MS),
+                lambda server: refuses_connection(server.address, CRASH_CHECK_TIMEOUT_MS),
                 self.clock,
             ),
             HeldRequests(process, self.quarantine, self.facts.platform, self.clock),
@@ -274,7 +274,7 @@
         self.serving.stop_accepting()
         gevent.spawn(self.shares.leave)
         self.departure.run(lambda: self.callers.answering > 0)
-        self.claims.flush(CLAIM_FLUSH_MS)
+        self.claims.flush(CLAIM_FLUSH_TIMEOUT_MS)
         gevent.spawn(self.shares.leave).join(timeout=SHARE_CALL_MS / MS_PER_SECOND)
         self.shares.stop()
         self._tasks.kill()
--- a/hemlockswitch/process/facts.py
+++ b/hemlockswitch/process/facts.py
@@ -8,7 +8,7 @@
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.connection.platform import PlatformClient
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.process.freshness import Freshness, Refresh, choose_some
+from hemlockswitch.process.freshness import Freshness, Refresh, choose_sample
 from hemlockswitch.process.membership.discovery import Discovery
 from hemlockswitch.process.membership.membership import Member, Membership, ProbeTimes
 from hemlockswitch.process.news.board import NewsBoard
@@ -22,7 +22,7 @@
 
 ZONE_PREFIXES = (VM_PREFIX, NOTICE_PREFIX, FEED_PREFIX)
 VM_LIST_INTERVAL_MS = 1_000
-PEERS_ASKED = 2
+MAX_REFRESH_PEERS = 2
 ZONES_CHECK_MS = 500
 
 
@@ -151,7 +151,7 @@
         ]
 
     def stop(self) -> None:
-        """Tell the others that this daemon has gone, and close its peer streams."""
+        """Announce that this daemon has stopped, and close its peer streams."""
         gevent.killall(list(self._zone_tasks.values()), block=False)
         if self.membership is not None:
             self.membership.stop()
@@ -180,9 +180,9 @@
     def _list_sources(self) -> list[Refresh]:
         """Return the sources of changes missed during a pause: the feed and some peers."""
         peers = set(self._list_addresses().get(self._settings.zone, []))
-        chosen = choose_some(sorted(peers - {self.network.address}), PEERS_ASKED)
-        ask_peers: list[Refresh] = [self._make_question(address) for address in chosen]
+        chosen = choose_sample(sorted(peers - {self.network.address}), MAX_REFRESH_PEERS)
+        ask_peers: list[Refresh] = [self._make_peer_refresh(address) for address in chosen]
         return [lambda: self.feed.ask(wait_ms=0), *ask_peers]
 
-    def _make_question(self, address: str) -> Refresh:
+    def _make_peer_refresh(self, address: str) -> Refresh:
         return lambda: self.questions.refresh_from(address)
--- a/hemlockswitch/process/freshness.py
+++ b/hemlockswitch/process/freshness.py
@@ -12,8 +12,8 @@
 from hemlockswitch.core.logs import log_event
 
 TICK_MS = 100
-PAUSE_MS = 1_000
-REFRESH_WAIT_MS = 1_000
+MIN_PAUSE_MS = 1_000
+REFRESH_TIMEOUT_MS = 1_000
 
 Refresh = Callable[[], None]
 
@@ -25,9 +25,9 @@
     ===========
 
     A process that was frozen resumes with outdated state. A task ticks periodically; if the last
-    tick is more than `PAUSE_MS` ago, the first to check (the task, or a request about to be
+    tick is more than `MIN_PAUSE_MS` ago, the first to check (the task, or a request about to be
     routed) starts a refresh: all sources are queried concurrently, and the first answer completes
-    it. Requests wait for at most `REFRESH_WAIT_MS`. If no source can be reached, they continue
+    it. Requests wait for at most `REFRESH_TIMEOUT_MS`. If no source can be reached, they continue
     with the outdated state, which is better than no service.
 
     Parameters
@@ -42,19 +42,19 @@
         self._clock = clock
         self._list_sources = list_sources
         self._last_tick_ms = clock.now_ms()
-        self._settled = Signal()
-        self._settled.set()
+        self._refreshed = Signal()
+        self._refreshed.set()
 
     @property
     def is_fresh(self) -> bool:
         """Whether the process has run without a pause since its state was last refreshed."""
         self._check()
-        return self._settled.is_set()
+        return self._refreshed.is_set()
 
     def await_facts(self) -> None:
-        """Wait after a pause, for at most `REFRESH_WAIT_MS`, until the state is refreshed."""
+        """Wait after a pause, for at most `REFRESH_TIMEOUT_MS`, until the state is refreshed."""
         if not self.is_fresh:
-            self._settled.wait(REFRESH_WAIT_MS / MS_PER_SECOND)
+            self._refreshed.wait(REFRESH_TIMEOUT_MS / MS_PER_SECOND)
 
     def run(self) -> None:
         """Tick periodically, without end."""
@@ -66,17 +66,17 @@
         now_ms = self._clock.now_ms()
         paused_ms = now_ms - self._last_tick_ms
         self._last_tick_ms = now_ms
-        if paused_ms > PAUSE_MS and self._settled.is_set():
-            self._settled.clear()
+        if paused_ms > MIN_PAUSE_MS and self._refreshed.is_set():
+            self._refreshed.clear()
             log_event(Event.FACTS_STALE, "warning", paused_ms=int(paused_ms))
             gevent.spawn(self._refresh)
 
     def _refresh(self) -> None:
         answered = Signal()
         tasks = [gevent.spawn(self._ask, source, answered) for source in self._list_sources()]
-        answered.wait(REFRESH_WAIT_MS / MS_PER_SECOND if tasks else 0)
+        answered.wait(REFRESH_TIMEOUT_MS / MS_PER_SECOND if tasks else 0)
         log_event(Event.FACTS_REFRESHED, answered=answered.is_set(), asked=len(tasks))
-        self._settled.set()
+        self._refreshed.set()
 
     @staticmethod
     def _ask(source: Refresh, answered: Signal) -> None:
@@ -87,13 +87,13 @@
         answered.set()
 
 
-def choose_some(items: Sequence[str], most: int) -> list[str]:
-    """Return a random sample of at most `most` items.
+def choose_sample(items: Sequence[str], max_items: int) -> list[str]:
+    """Return a random sample of at most `max_items` items.
 
     Examples
     ========
 
-    >>> choose_some(["a"], 2)
+    >>> choose_sample(["a"], 2)
     ['a']
     """
-    return random.sample(list(items), min(most, len(items)))
+    return random.sample(list(items), min(max_items, len(items)))
--- a/hemlockswitch/process/lease.py
+++ b/hemlockswitch/process/lease.py
@@ -23,7 +23,7 @@
 from hemlockswitch.core.logs import log_event
 
 LEASE_KIND = "leases"
-RENEWALS_REMEMBERED = 8
+MAX_RECORDED_WRITES = 8
 RECENT_HOLDERS = 3
 """Earlier holders recorded in the lease: more than can hold it in succession within a term."""
 
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True)
-class _Seen:
+class _ObservedVersion:
     version: int
     since_ms: float
     term_ms: float
@@ -116,9 +116,9 @@
         self._count_candidates = count_candidates
         self._get_address = get_address
         self._held: _Held | None = None
-        self._seen: _Seen | None = None
+        self._observed: _ObservedVersion | None = None
         self._sent_ms: dict[str, float] = {}
-        self._recent: list[str] = []
+        self._recent_holders: list[str] = []
         self._lapse_logged = False
 
     @property
@@ -157,7 +157,7 @@
         try:
             if self._held is not None:
                 return self._renew(self._held)
-            return self._look()
+            return self._poll()
         except PlatformError as error:
             self._log_unreachable(error)
             return self._times.renew_ms / 4
@@ -172,7 +172,7 @@
         held, self._held = self._held, None
         if held is None:
             return
-        recent = [self._holder, *self._recent][:RECENT_HOLDERS]
+        recent = [self._holder, *self._recent_holders][:RECENT_HOLDERS]
         value = {"holder": "", "write": "", "term_ms": 0, "recent": recent}
         try:
             outcome = self._platform.update(LEASE_KIND, self._zone, value, held.version)
@@ -191,7 +191,7 @@
         )
         return self._times.renew_ms
 
-    def _look(self) -> float:
+    def _poll(self) -> float:
         found = self._platform.read(LEASE_KIND, self._zone)
         if found is None:
             self._write(lambda value: self._platform.create(LEASE_KIND, self._zone, value))
@@ -199,11 +199,11 @@
         if self._is_predecessor(found):
             return self._take(found)
         now_ms = self._clock.now_ms()
-        seen = self._seen
-        if seen is None or seen.version != found.version:
-            self._seen = _Seen(found.version, now_ms, self._find_term_ms(found))
-            return self._plan_next_look(found, seen)
-        left_ms = seen.since_ms + seen.term_ms + self._times.margin_ms - now_ms
+        observed = self._observed
+        if observed is None or observed.version != found.version:
+            self._observed = _ObservedVersion(found.version, now_ms, self._find_term_ms(found))
+            return self._plan_next_poll(found, observed)
+        left_ms = observed.since_ms + observed.term_ms + self._times.margin_ms - now_ms
         if left_ms > 0:
             return min(left_ms, self._times.renew_ms)
         return self._take(found)
@@ -220,7 +220,7 @@
         address = self._get_address()
         return bool(address) and found.value.get("address") == address
 
-    def _plan_next_look(self, found: StoredObject, before: _Seen | None) -> float:
+    def _plan_next_poll(self, found: StoredObject, before: _ObservedVersion | None) -> float:
         """Return the time until the next poll after a new version of the lease.
 
         A change within two renewals of the previous poll shows that the holder is running, so the
@@ -236,7 +236,9 @@
         return rest_ms * random.uniform(0.5, 1.5)
 
     def _take(self, found: StoredObject) -> float:
-        self._recent = [name for name in _list_holders(found) if name and name != self._holder]
+        self._recent_holders = [
+            name for name in _list_holders(found) if name and name != self._holder
+        ]
         self._write(
             lambda value: self._platform.update(LEASE_KIND, self._zone, value, found.version)
         )
@@ -246,12 +248,12 @@
         """Write the lease once and determine the outcome."""
         identifier = make_identifier("lease")
         sent_ms = self._clock.now_ms()
-        self._remember(identifier, sent_ms)
+        self._record_write(identifier, sent_ms)
         value: dict[str, Any] = {
             "holder": self._holder,
             "write": identifier,
             "term_ms": self._times.term_ms,
-            "recent": self._recent[:RECENT_HOLDERS],
+            "recent": self._recent_holders[:RECENT_HOLDERS],
         }
         if address := self._get_address():
             value["address"] = address
@@ -276,9 +278,9 @@
         if self._held is not None and found.version > self._held.version:
             self._lose(found.version)
 
-    def _remember(self, identifier: str, sent_ms: float) -> None:
+    def _record_write(self, identifier: str, sent_ms: float) -> None:
         self._sent_ms[identifier] = sent_ms
-        while len(self._sent_ms) > RENEWALS_REMEMBERED:
+        while len(self._sent_ms) > MAX_RECORDED_WRITES:
             del self._sent_ms[next(iter(self._sent_ms))]
 
     def _hold(self, version: int, sent_ms: float) -> None:
@@ -290,7 +292,7 @@
     def _lose(self, highest: int) -> None:
         log_event(Event.LEASE_LOST, "warning", zone=self._zone, highest=highest)
         self._held = None
-        self._seen = None
+        self._observed = None
         self._sent_ms.clear()
 
     def _log_unreachable(self, error: PlatformError) -> None:
--- a/hemlockswitch/process/news/retrieval.py
+++ b/hemlockswitch/process/news/retrieval.py
@@ -83,7 +83,7 @@
         try:
             self.fetch(holder, list(keys))
         except PeerError:
-            # The next holder is asked.
+            # `_run` asks the next holder.
             return
 
     def fetch(self, holder: str, keys: list[str]) -> None:
--- a/hemlockswitch/process/records.py
+++ b/hemlockswitch/process/records.py
@@ -12,8 +12,8 @@
 
 TRACE_HEADER = "X-Trace-Id"
 OK = "ok"
-CALLER_GONE = "caller_gone"
-WANT_OF_SERVERS = (ErrorKind.OVERLOADED.value, ErrorKind.NO_BACKEND.value)
+CALLER_DISCONNECTED = "caller_gone"
+CAPACITY_OUTCOMES = (ErrorKind.OVERLOADED.value, ErrorKind.NO_BACKEND.value)
 
 
 class Permit(Protocol):
@@ -143,7 +143,7 @@
         """Count the outcome of a request."""
         self.in_progress -= 1
         self.metrics.requests.labels(target, outcome).inc()
-        if outcome in WANT_OF_SERVERS:
+        if outcome in CAPACITY_OUTCOMES:
             self.refused[target] += 1
         self.reports.request_ended(request_id, outcome)
 
@@ -157,4 +157,4 @@
     """Return the outcome for the metrics: ok, an error kind, or that the caller disconnected."""
     if error is None:
         return OK
-    return error.kind.value if isinstance(error, HemlockError) else CALLER_GONE
+    return error.kind.value if isinstance(error, HemlockError) else CALLER_DISCONNECTED
--- a/hemlockswitch/process/reports.py
+++ b/hemlockswitch/process/reports.py
@@ -66,7 +66,7 @@
             return ""
         span = self._tracing.begin(name, attributes, within=hops.root)
         hops.open[name] = span
-        return self._tracing.find_parent(span)
+        return self._tracing.make_parent_header(span)
 
     def hop_ended(self, request_id: str, name: str, error: str = "") -> None:
         """End a hop."""
--- a/hemlockswitch/process/revisions/applying.py
+++ b/hemlockswitch/process/revisions/applying.py
@@ -41,7 +41,7 @@
 )
 
 RETRY_PAUSE_MS = 200
-KEPT_REVISIONS = 200
+RETAINED_REVISIONS = 200
 """Each apply deletes the revision object that is this many revisions older."""
 FINAL_REFUSALS = frozenset({ErrorKind.BODY_TOO_LARGE})
 """Errors for which a retry is pointless."""
@@ -116,16 +116,14 @@
 
     objects : the platform's object service.
     clock : provides the time.
-    patience_ms : time limit for all attempts.
+    timeout_ms : time limit for all attempts.
     """
 
-    def __init__(
-        self, objects: ConditionalStore, clock: Clock, patience_ms: float = 10_000
-    ) -> None:
+    def __init__(self, objects: ConditionalStore, clock: Clock, timeout_ms: float = 10_000) -> None:
         self._objects = objects
-        self._store = RevisionStore(objects, clock, patience_ms)
+        self._store = RevisionStore(objects, clock, timeout_ms)
         self._clock = clock
-        self._deadline_ms = clock.now_ms() + patience_ms
+        self._deadline_ms = clock.now_ms() + timeout_ms
 
     def apply(self, checked: CheckedFile, seen: int | None) -> Applied:
         """Put a file in force as a new revision.
@@ -145,7 +143,7 @@
         """
         applied = self._apply_once(checked, seen)
         if applied.written:
-            self._forget(applied.number - KEPT_REVISIONS)
+            self._delete_revision(applied.number - RETAINED_REVISIONS)
         return applied
 
     def _apply_once(self, checked: CheckedFile, seen: int | None) -> Applied:
@@ -156,7 +154,7 @@
             raise self._make_conflict(checked, seen, base)
         return self._write(checked, base)
 
-    def _forget(self, number: int) -> None:
+    def _delete_revision(self, number: int) -> None:
         """Delete one old revision, which no pointer can name any more.
 
         Failures are ignored, since the file is already in force.
@@ -198,9 +196,9 @@
         outcome = self._write_until_known(lambda: self._move_pointer(proposal, base), proposal)
         if isinstance(outcome, Written):
             return self._report(proposal, base, outcome.version)
-        return self._recognise(checked, proposal, base, outcome.version)
+        return self._resolve_conflict(checked, proposal, base, outcome.version)
 
-    def _recognise(
+    def _resolve_conflict(
         self, checked: CheckedFile, proposal: Revision, base: Current, version: int
     ) -> Applied:
         """Determine whether a conflict was caused by this apply's own write or by another apply."""
--- a/hemlockswitch/process/revisions/configuration.py
+++ b/hemlockswitch/process/revisions/configuration.py
@@ -12,8 +12,8 @@
 from hemlockswitch.version.models import OperatorFile
 from hemlockswitch.version.revisions import NO_REVISION, Revision
 
-KEPT_ADOPTIONS = 64
-MOST_KEPT_CHANGES = 4_096
+MAX_RETAINED_ADOPTIONS = 64
+MAX_RETAINED_CHANGES = 4_096
 """Changes retained over all adoptions, to serve differences to daemons that lag behind."""
 
 Listener = Callable[[Revision], None]
@@ -60,7 +60,7 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._current: Revision | None = None
-        self._adoptions: deque[Adoption] = deque(maxlen=KEPT_ADOPTIONS)
+        self._adoptions: deque[Adoption] = deque(maxlen=MAX_RETAINED_ADOPTIONS)
         self._listeners: list[Listener] = []
 
     @property
@@ -109,12 +109,12 @@
 
         bool : whether the revision came in force.
         """
-        known = self._current
-        if known is not None and revision.number <= known.number:
-            self._report_refusal(known, revision, source)
+        current = self._current
+        if current is not None and revision.number <= current.number:
+            self._log_refusal(current, revision, source)
             return False
-        self._adoptions.append(self._make_adoption(known, revision, source))
-        self._forget_old_changes()
+        self._adoptions.append(self._make_adoption(current, revision, source))
+        self._discard_old_changes()
         self._current = revision
         log_event(
             Event.REVISION_IN_FORCE, revision=revision.number, digest=revision.digest, source=source
@@ -142,25 +142,25 @@
             found.extend(step.changes)
         return tuple(found) if started else None
 
-    def _make_adoption(self, known: Revision | None, revision: Revision, source: str) -> Adoption:
-        old_number, old_digest = (known.number, known.digest) if known else (NO_REVISION, "")
-        changes = tuple(compare_trees(known.tree, revision.tree)) if known else None
+    def _make_adoption(self, current: Revision | None, revision: Revision, source: str) -> Adoption:
+        old_number, old_digest = (current.number, current.digest) if current else (NO_REVISION, "")
+        changes = tuple(compare_trees(current.tree, revision.tree)) if current else None
         wall_ms = self._clock.wall_ms()
         return Adoption(
             revision.number, revision.digest, old_number, old_digest, wall_ms, source, changes
         )
 
-    def _forget_old_changes(self) -> None:
+    def _discard_old_changes(self) -> None:
         kept = 0
         for place in range(len(self._adoptions) - 1, -1, -1):
             step = self._adoptions[place]
             kept += len(step.changes or ())
-            if kept > MOST_KEPT_CHANGES:
+            if kept > MAX_RETAINED_CHANGES:
                 self._adoptions[place] = replace(step, changes=None)
 
-    def _report_refusal(self, known: Revision, revision: Revision, source: str) -> None:
-        fields = {"revision": known.number, "offered": revision.number, "source": source}
-        if revision.number < known.number:
+    def _log_refusal(self, current: Revision, revision: Revision, source: str) -> None:
+        fields = {"revision": current.number, "offered": revision.number, "source": source}
+        if revision.number < current.number:
             log_event(Event.OLDER_REVISION_REFUSED, "debug", **fields)
-        elif revision.digest != known.digest:
+        elif revision.digest != current.digest:
             log_event(Event.REVISION_DIGEST_DIFFERS, "error", **fields)
--- a/hemlockswitch/process/revisions/spread.py
+++ b/hemlockswitch/process/revisions/spread.py
@@ -39,14 +39,14 @@
 )
 from hemlockswitch.version.revisions import NO_REVISION, Revision
 
-ASK_TIMEOUT_MS = 1_000
-FIRST_PAUSE_MS = 100
-LONGEST_PAUSE_MS = 2_000
-NEAR_PEERS_ASKED = 3
-FAR_PEERS_ASKED = 3
-PLATFORM_AFTER_MS = 5_000
+REQUEST_TIMEOUT_MS = 1_000
+INITIAL_RETRY_PAUSE_MS = 100
+MAX_RETRY_PAUSE_MS = 2_000
+MAX_NEAR_PEERS = 3
+MAX_FAR_PEERS = 3
+PLATFORM_READ_DELAY_MS = 5_000
 """How long peers are tried before the platform; daemons that watch the platform read it sooner."""
-MOST_NEWS_CHANGES_BYTES = 4_096
+MAX_GOSSIP_CHANGES_BYTES = 4_096
 """Larger differences are not included in the gossip item; peers request them."""
 
 
@@ -92,13 +92,13 @@
         self._read_platform = read_platform
         self._clock = clock
         self._wake = Signal()
-        self._platform_after_ms = clock.now_ms() + PLATFORM_AFTER_MS
+        self._next_platform_read_ms = clock.now_ms() + PLATFORM_READ_DELAY_MS
         network.handle(RevisionQuestion, self._answer)
         board.add_listener(REVISION_KEY, lambda _: self._wake.set())
         configuration.add_listener(self._publish)
 
     @property
-    def wanted(self) -> int:
+    def announced_number(self) -> int:
         """The highest revision number that this daemon has received by gossip."""
         item = self._board.find(REVISION_KEY)
         return NO_REVISION if item is None else item.version
@@ -106,7 +106,7 @@
     def catch_up(self) -> bool:
         """Try once to adopt the highest announced revision; return whether it is in force."""
         if self._is_behind():
-            self._adopt_from_news()
+            self._adopt_from_gossip()
         if self._is_behind():
             self._adopt_from_peers()
         if self._is_behind():
@@ -121,27 +121,29 @@
         for address in self._choose_peers():
             answer = self._fetch(address, whole=True)
             if answer is not None:
-                self._take(answer, address)
+                self._adopt_answer(answer, address)
                 return
 
     def run(self) -> None:
         """Catch up after each announcement, with retries until it succeeds, without end."""
-        pause_ms = FIRST_PAUSE_MS
+        pause_ms = INITIAL_RETRY_PAUSE_MS
         while True:
             self._wake.clear()
             if self.catch_up():
-                pause_ms = FIRST_PAUSE_MS
+                pause_ms = INITIAL_RETRY_PAUSE_MS
                 self._wake.wait()
-                self._platform_after_ms = self._clock.now_ms() + PLATFORM_AFTER_MS
+                self._next_platform_read_ms = self._clock.now_ms() + PLATFORM_READ_DELAY_MS
                 continue
             self._wake.wait(pause_ms * random.uniform(0.5, 1.5) / MS_PER_SECOND)
-            pause_ms = min(pause_ms * 2, LONGEST_PAUSE_MS)
+            pause_ms = min(pause_ms * 2, MAX_RETRY_PAUSE_MS)
 
     def _is_behind(self) -> bool:
         """Return whether a higher revision was announced, or no revision is in force."""
-        return not self._configuration.is_ready or self._configuration.revision < self.wanted
+        return (
+            not self._configuration.is_ready or self._configuration.revision < self.announced_number
+        )
 
-    def _adopt_from_news(self) -> None:
+    def _adopt_from_gossip(self) -> None:
         news = RevisionNews.from_item(self._board.find(REVISION_KEY))
         if news is None or news.changes is None:
             return
@@ -156,12 +158,12 @@
         addresses = self._choose_peers()
         if self._configuration.is_ready:
             for address in addresses:
-                if self._ask(address, whole=False):
+                if self._adopt_from_peer(address, whole=False):
                     return
         else:
             addresses = self._rank_by_number(addresses)
         for address in addresses:
-            if self._ask(address, whole=True):
+            if self._adopt_from_peer(address, whole=True):
                 return
 
     def _rank_by_number(self, addresses: list[str]) -> list[str]:
@@ -179,30 +181,30 @@
     def _choose_peers(self) -> list[str]:
         own = self._network.address
         addresses = [address for address in self._list_peers() if address != own]
-        near = addresses[:NEAR_PEERS_ASKED]
-        far = addresses[NEAR_PEERS_ASKED:]
-        chosen = near + random.sample(far, min(len(far), FAR_PEERS_ASKED))
+        near = addresses[:MAX_NEAR_PEERS]
+        far = addresses[MAX_NEAR_PEERS:]
+        chosen = near + random.sample(far, min(len(far), MAX_FAR_PEERS))
         news = RevisionNews.from_item(self._board.find(REVISION_KEY))
         if news is None or news.holder in ("", own):
             return chosen
         return [news.holder, *(address for address in chosen if address != news.holder)]
 
-    def _ask(self, address: str, whole: bool) -> bool:
+    def _adopt_from_peer(self, address: str, whole: bool) -> bool:
         """Request from one peer and adopt its answer; return whether this daemon is up to date."""
         answer = self._fetch(address, whole)
         if answer is not None:
-            self._take(answer, address)
+            self._adopt_answer(answer, address)
         return not self._is_behind()
 
     def _fetch(self, address: str, whole: bool) -> RevisionAnswer | None:
         have = self._configuration
-        question = RevisionQuestion(have.revision, have.digest, whole)
+        query = RevisionQuestion(have.revision, have.digest, whole)
         try:
-            return self._network.ask(address, question, ASK_TIMEOUT_MS)
+            return self._network.ask(address, query, REQUEST_TIMEOUT_MS)
         except HemlockError:
             return None
 
-    def _take(self, answer: RevisionAnswer, address: str) -> None:
+    def _adopt_answer(self, answer: RevisionAnswer, address: str) -> None:
         if answer.changes is None and answer.file is None:
             return
         by_difference = answer.changes is not None
@@ -212,9 +214,9 @@
 
     def _adopt_from_platform(self) -> None:
         now_ms = self._clock.now_ms()
-        if now_ms < self._platform_after_ms:
+        if now_ms < self._next_platform_read_ms:
             return
-        self._platform_after_ms = now_ms + PLATFORM_AFTER_MS
+        self._next_platform_read_ms = now_ms + PLATFORM_READ_DELAY_MS
         try:
             revision = self._read_platform()
         except HemlockError:
@@ -239,23 +241,23 @@
             tree = apply_changes(base, unpack_changes(answer.changes))
         return Revision.from_value(answer.head | {"file": tree})
 
-    def _answer(self, sender: str, question: RevisionQuestion) -> RevisionAnswer:
+    def _answer(self, sender: str, query: RevisionQuestion) -> RevisionAnswer:
         del sender
         current = self._configuration.current
         if current is None:
             return RevisionAnswer({})
-        if current.number <= question.number:
+        if current.number <= query.number:
             return RevisionAnswer(current.to_head())
-        changes = self._configuration.find_changes(question.number, question.digest)
+        changes = self._configuration.find_changes(query.number, query.digest)
         if changes is not None:
             return RevisionAnswer(current.to_head(), pack_changes(changes))
-        return RevisionAnswer(current.to_head(), None, current.tree if question.whole else None)
+        return RevisionAnswer(current.to_head(), None, current.tree if query.whole else None)
 
     def _publish(self, revision: Revision) -> None:
         """Announce a revision by gossip, including the changes if they are small."""
         step = self._configuration.adoptions[-1]
         rows = None if step.changes is None else pack_changes(step.changes)
-        if rows is not None and len(msgpack.packb(rows)) > MOST_NEWS_CHANGES_BYTES:
+        if rows is not None and len(msgpack.packb(rows)) > MAX_GOSSIP_CHANGES_BYTES:
             rows = None
         news = RevisionNews(
             revision.to_head(), self._network.address, step.base_number, step.base_digest, rows
--- a/hemlockswitch/process/revisions/store.py
+++ b/hemlockswitch/process/revisions/store.py
@@ -49,15 +49,13 @@
 
     objects : the platform's object service.
     clock : provides the time.
-    patience_ms : time limit for the attempts of one operation.
+    timeout_ms : time limit for the attempts of one operation.
     """
 
-    def __init__(
-        self, objects: ConditionalStore, clock: Clock, patience_ms: float = 10_000
-    ) -> None:
+    def __init__(self, objects: ConditionalStore, clock: Clock, timeout_ms: float = 10_000) -> None:
         self._objects = objects
         self._clock = clock
-        self._patience_ms = patience_ms
+        self._timeout_ms = timeout_ms
 
     def read_revision(self, number: int) -> Revision | None:
         """Return a revision, or None if it does not exist.
@@ -71,18 +69,18 @@
         stored = self._read_object(REVISION_KIND, str(number))
         return None if stored is None else Revision.from_value(stored.value)
 
-    def read_current(self, at_least: int = NO_VERSION) -> Current:
-        """Return the revision that the pointer names, retrying reads older than `at_least`.
+    def read_current(self, min_version: int = NO_VERSION) -> Current:
+        """Return the revision that the pointer names, retrying reads older than `min_version`.
 
         Raises
         ======
 
         PlatformError : the service does not answer, or serves only stale reads.
         """
-        deadline_ms = self._clock.now_ms() + self._patience_ms
+        deadline_ms = self._clock.now_ms() + self._timeout_ms
         while True:
             current = self._read_pointer()
-            if current is not None and current.version >= at_least:
+            if current is not None and current.version >= min_version:
                 return current
             if self._clock.now_ms() >= deadline_ms:
                 raise PlatformError(
@@ -102,7 +100,7 @@
         return Current(stored.version, revision)
 
     def _read_object(self, kind: str, name: str) -> StoredObject | None:
-        deadline_ms = self._clock.now_ms() + self._patience_ms
+        deadline_ms = self._clock.now_ms() + self._timeout_ms
         while True:
             try:
                 return self._objects.read(kind, name)
--- a/hemlockswitch/process/revisions/tasks.py
+++ b/hemlockswitch/process/revisions/tasks.py
@@ -16,7 +16,7 @@
 from hemlockswitch.process.status.zone_status import DaemonReport, ZoneMember, ZoneStatus
 from hemlockswitch.version.revisions import CURRENT_POINTER, POINTER_KIND
 
-READ_PATIENCE_MS = 0.0
+READ_TIMEOUT_MS = 0.0
 """A read is not retried: the tasks that read have their own retry intervals."""
 
 
@@ -69,7 +69,7 @@
         self._clock = clock
         self._is_ready = is_ready
         self._describe = describe
-        self._store = RevisionStore(facts.platform, clock, READ_PATIENCE_MS)
+        self._store = RevisionStore(facts.platform, clock, READ_TIMEOUT_MS)
         self.spread = RevisionSpread(
             self.configuration,
             facts.board,
--- a/hemlockswitch/process/serving.py
+++ b/hemlockswitch/process/serving.py
@@ -212,8 +212,8 @@
 
 def find_priority(request: CallerRequest, account: ClientAccount) -> int:
     """Return the request's priority; a caller may lower its client account's, not raise it."""
-    asked = request.priority
-    return account.priority if asked is None else max(asked, account.priority)
+    requested = request.priority
+    return account.priority if requested is None else max(requested, account.priority)
 
 
 def render_moved(moved: MovedError, request_id: str) -> bytes:
--- a/hemlockswitch/process/status/fleet_events.py
+++ b/hemlockswitch/process/status/fleet_events.py
@@ -65,7 +65,7 @@
         self._platform = platform
         self._clock = clock
         self._queue: Queue[FleetEvent] = Queue()
-        self._said: dict[tuple[str, str], str] = {}
+        self._last_texts: dict[tuple[str, str], str] = {}
 
     def follow(self, duration_ms: float | None) -> Iterator[FleetEvent]:
         """Yield events as they occur, for `duration_ms` or without end."""
@@ -92,28 +92,28 @@
             try:
                 page = self._platform.watch(kind, since, WATCH_WAIT_MS)
             except HemlockError as error:
-                self._say("platform", kind, f"does not answer: {error.detail}")
+                self._emit("platform", kind, f"does not answer: {error.detail}")
                 self._clock.sleep_ms(RETRY_PAUSE_MS)
                 continue
-            if ("platform", kind) in self._said:
-                self._say("platform", kind, "answers again")
+            if ("platform", kind) in self._last_texts:
+                self._emit("platform", kind, "answers again")
             since = page.version
             for item in page.items:
-                self._say(what, "" if what == "revision" else item.name, describe(item))
+                self._emit(what, "" if what == "revision" else item.name, describe(item))
 
     def _list_vms(self) -> None:
         while True:
             try:
                 for vm in self._platform.list_vms().vms:
-                    self._say("vm", vm.name, _describe_vm(vm))
+                    self._emit("vm", vm.name, _describe_vm(vm))
             except HemlockError as error:
-                self._say("platform", "vms", f"does not answer: {error.detail}")
+                self._emit("platform", "vms", f"does not answer: {error.detail}")
             self._clock.sleep_ms(VM_LIST_PAUSE_MS)
 
-    def _say(self, what: str, name: str, text: str) -> None:
+    def _emit(self, what: str, name: str, text: str) -> None:
         """Emit an event, unless its text equals the previous one of the same subject."""
-        if self._said.get((what, name)) != text:
-            self._said[what, name] = text
+        if self._last_texts.get((what, name)) != text:
+            self._last_texts[what, name] = text
             self._queue.put(FleetEvent(what, name, text))
 
 
--- a/hemlockswitch/process/status/zone_status.py
+++ b/hemlockswitch/process/status/zone_status.py
@@ -30,9 +30,9 @@
 REPORT_INTERVAL_MS = 10_000
 REPORTER_CHECK_MS = 1_000
 WRITE_INTERVAL_MS = 10_000
-SHORTEST_WRITE_INTERVAL_MS = 1_000
+MIN_WRITE_INTERVAL_MS = 1_000
 FAILED_WRITE_PAUSE_MS = 2_000
-MOST_REPORTS = 1_024
+MAX_REPORTS = 1_024
 
 
 @register_message("daemon-report")
@@ -67,9 +67,9 @@
 
 
 @dataclass(frozen=True)
-class _Heard:
+class _ReceivedReport:
     report: DaemonReport
-    heard_ms: float
+    received_ms: float
 
 
 class ZoneStatus:
@@ -103,11 +103,11 @@
         self._network = network
         self._objects = objects
         self._clock = clock
-        self._heard: dict[str, _Heard] = {}
+        self._reports: dict[str, _ReceivedReport] = {}
         self._version = 0
         self._wake_report = Signal()
         self._wake_write = Signal()
-        network.handle(DaemonReport, self._hear, quick=True)
+        network.handle(DaemonReport, self._receive_report, quick=True)
 
     def report_soon(self) -> None:
         """Request a report before the interval is over, without blocking."""
@@ -118,7 +118,7 @@
         report = self._describe()
         reporter = self._find_reporter()
         if reporter is None or reporter.name == self._name:
-            self._hear("", report)
+            self._receive_report("", report)
         else:
             self._network.send(reporter.peer_address, report)
 
@@ -147,7 +147,7 @@
         """Return the status object's value."""
         now_ms = self._clock.now_ms()
         members = sorted(member.name for member in self._list_members()) or [self._name]
-        self._heard = {name: one for name, one in self._heard.items() if name in members}
+        self._reports = {name: one for name, one in self._reports.items() if name in members}
         return {
             "zone": self._zone,
             "writer": self._name,
@@ -156,35 +156,39 @@
         }
 
     def _describe_member(self, name: str, now_ms: float) -> dict[str, Any]:
-        heard = self._heard.get(name)
-        if heard is None:
+        received = self._reports.get(name)
+        if received is None:
             return {"name": name, "revision": 0, "ready": False, "age_ms": None}
-        return asdict(heard.report) | {"age_ms": round(now_ms - heard.heard_ms)}
+        return asdict(received.report) | {"age_ms": round(now_ms - received.received_ms)}
 
     def _find_reporter(self) -> ZoneMember | None:
         members = {member.name: member for member in self._list_members()}
         ranked = rank_rendezvous(f"{STATUS_KIND}/{self._zone}", members)
         return members[ranked[0]] if ranked else None
 
-    def _hear(self, _: str, report: DaemonReport) -> None:
-        if len(self._heard) >= MOST_REPORTS and report.name not in self._heard:
+    def _receive_report(self, _: str, report: DaemonReport) -> None:
+        if len(self._reports) >= MAX_REPORTS and report.name not in self._reports:
             return
-        before = self._heard.get(report.name)
-        self._heard[report.name] = _Heard(report, self._clock.now_ms())
-        known = (report.revision, report.ready)
-        if before is None or (before.report.revision, before.report.ready) != known:
+        before = self._reports.get(report.name)
+        self._reports[report.name] = _ReceivedReport(report, self._clock.now_ms())
+        reported = (report.revision, report.ready)
+        if before is None or (before.report.revision, before.report.ready) != reported:
             self._wake_write.set()
 
     def run_reports(self) -> None:
         """Report on a change, to a new reporter and after each interval, without end."""
-        told: ZoneMember | None = None
+        last_reporter: ZoneMember | None = None
         due_ms = 0.0
         while True:
             reporter = self._find_reporter()
-            if self._wake_report.is_set() or reporter != told or self._clock.now_ms() >= due_ms:
+            if (
+                self._wake_report.is_set()
+                or reporter != last_reporter
+                or self._clock.now_ms() >= due_ms
+            ):
                 self._wake_report.clear()
                 self.report()
-                told = reporter
+                last_reporter = reporter
                 due_ms = self._clock.now_ms() + REPORT_INTERVAL_MS * random.uniform(0.8, 1.2)
             self._wake_report.wait(REPORTER_CHECK_MS / MS_PER_SECOND)
 
@@ -202,7 +206,7 @@
                 if not failing:
                     log_event(Event.ZONE_STATUS_FAILED, "warning", reason=error.detail)
                 failing = True
-            pause_ms = FAILED_WRITE_PAUSE_MS if failing else SHORTEST_WRITE_INTERVAL_MS
+            pause_ms = FAILED_WRITE_PAUSE_MS if failing else MIN_WRITE_INTERVAL_MS
             self._clock.sleep_ms(pause_ms * random.uniform(0.8, 1.2))
             if failing or not written:
                 self._wake_write.set()
--- a/hemlockswitch/process/tasks.py
+++ b/hemlockswitch/process/tasks.py
@@ -9,7 +9,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 
-RESTART_MS = 500.0
+RESTART_DELAY_MS = 500.0
 """Pause before a failed task is restarted."""
 
 
@@ -41,4 +41,4 @@
                 return
             except Exception as error:  # noqa: BLE001 - one failed task must not stop the daemon
                 log_event(Event.TASK_FAILED, "error", task=name, error=repr(error))
-                self._clock.sleep_ms(RESTART_MS)
+                self._clock.sleep_ms(RESTART_DELAY_MS)
--- a/hemlockswitch/process/traces.py
+++ b/hemlockswitch/process/traces.py
@@ -22,7 +22,7 @@
 from hemlockswitch.core.logs import log_event
 
 NANOSECONDS_PER_MS = 1_000_000
-QUEUE_LENGTH = 2_048
+MAX_QUEUED_SPANS = 2_048
 PARENT_HEADER = "traceparent"
 
 _propagator = TraceContextTextMapPropagator()
@@ -46,7 +46,7 @@
     """Writes ended spans to the log in a dedicated task; drops them if its queue is full."""
 
     def __init__(self) -> None:
-        self._queue: Queue[ReadableSpan] = Queue(QUEUE_LENGTH)
+        self._queue: Queue[ReadableSpan] = Queue(MAX_QUEUED_SPANS)
         self.dropped = 0
 
     def on_end(self, span: ReadableSpan) -> None:
@@ -78,7 +78,7 @@
     >>> root = tracing.begin("caller", {}, parent="00-" + "1" * 32 + "-" + "2" * 16 + "-01")
     >>> tracing.find_trace_id(root) == "1" * 32
     True
-    >>> tracing.find_parent(root).split("-")[1] == "1" * 32
+    >>> tracing.make_parent_header(root).split("-")[1] == "1" * 32
     True
     """
 
@@ -119,7 +119,7 @@
         return format(span.get_span_context().trace_id, "032x")
 
     @staticmethod
-    def find_parent(span: Span) -> str:
+    def make_parent_header(span: Span) -> str:
         """Return the ``traceparent`` header for spans that other processes start under `span`."""
         carrier: dict[str, str] = {}
         _propagator.inject(carrier, set_span_in_context(span))
--- a/tests/test_applying.py
+++ b/tests/test_applying.py
@@ -12,7 +12,7 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.process.revisions.applying import (
-    KEPT_REVISIONS,
+    RETAINED_REVISIONS,
     Applier,
     RevisionConflictError,
     UnknownOutcomeError,
@@ -144,7 +144,7 @@
     assert objects.in_force == 2
 
 
-def test_an_apply_that_died_between_its_writes_is_passed_over(objects):
+def test_an_apply_that_stopped_between_its_writes_is_ignored(objects):
     def die():
         raise KeyboardInterrupt
 
@@ -164,7 +164,7 @@
     assert objects.in_force == 1
 
 
-def test_an_outcome_that_stays_unknown_is_said_so(objects):
+def test_an_unknown_outcome_is_reported(objects):
     objects.plan = ["lost before"] * 100
     with pytest.raises(UnknownOutcomeError):
         apply(objects, 2)
@@ -175,7 +175,7 @@
     assert objects.in_force == 1
 
 
-def test_an_old_read_does_not_pass_for_the_present(objects):
+def test_a_stale_read_is_not_taken_for_the_revision_in_force(objects):
     apply(objects, 2)
     objects.old_reads = 1
     with pytest.raises(RevisionConflictError):
@@ -187,6 +187,6 @@
 
 
 def test_old_revisions_are_deleted_one_by_one(objects):
-    for copies in range(2, KEPT_REVISIONS + 4):
+    for copies in range(2, RETAINED_REVISIONS + 4):
         apply(objects, copies)
     assert objects.deleted == [1, 2, 3]
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -30,7 +30,7 @@
     monkeypatch.setattr(claim_store, "REPEAT_PAUSES_MS", (5, 10))
 
 
-def test_a_repeat_anywhere_gets_the_kept_answer() -> None:
+def test_a_repeated_call_gets_the_stored_answer_at_any_daemon() -> None:
     objects, service = Objects(), Service()
     first, second = make_store(objects), make_store(objects, "b")
     answer = run(first, service)
@@ -40,7 +40,7 @@
     assert run(second, service, key="k2") == answer and service.runs == 2
 
 
-def test_many_daemons_at_once_dispatch_once() -> None:
+def test_concurrent_calls_at_many_daemons_dispatch_once() -> None:
     objects, service = Objects(), Service()
     stores = [make_store(objects, f"d{number}") for number in range(6)]
     tasks = [gevent.spawn(run, store, service) for store in stores for _ in range(3)]
@@ -67,7 +67,7 @@
     assert service.runs == 1
 
 
-def test_old_reads_are_not_believed() -> None:
+def test_stale_reads_do_not_lose_claims() -> None:
     objects, service = Objects(), Service()
     first = make_store(objects)
     run(first, service)
@@ -87,7 +87,7 @@
     assert error.answer.retry_after_ms > 0 and service.runs == 0
 
 
-def test_claim_uncertain_is_given_back() -> None:
+def test_an_uncertain_claim_is_given_back() -> None:
     objects, service = Objects(), Service()
     # As in `ClaimMembers.has_ended`: a claim of this daemon's name that no task of this process
     # works on is over.
@@ -107,7 +107,7 @@
     assert run(make_store(objects, "b"), service).status == 201 and service.runs == 1
 
 
-def test_not_dispatched_gives_the_claim_back() -> None:
+def test_a_call_not_dispatched_gives_its_claim_back() -> None:
     objects, service = Objects(), Service()
     store = make_store(objects)
     service.error = RequestError(ErrorKind.NO_BACKEND, "none")
@@ -129,7 +129,7 @@
     assert service.runs == 0
 
 
-def test_dead_holder() -> None:
+def test_a_claim_of_a_dead_holder_is_not_dispatched_again() -> None:
     objects, service = Objects(), Service()
     service.hold = 30
     dead = gevent.spawn(run, make_store(objects), service)
@@ -137,8 +137,8 @@
         gevent.sleep(0.001)
     error = refuse(make_store(objects, "b"), service)
     assert error.kind is ErrorKind.CLAIM_CONFLICT and error.answer.retry_after_ms > 0
-    knowing = make_store(objects, "c", has_ended=lambda holder: holder.startswith("a-"))
-    assert refuse(knowing, service).kind is ErrorKind.OUTCOME_UNKNOWN
+    informed = make_store(objects, "c", has_ended=lambda holder: holder.startswith("a-"))
+    assert refuse(informed, service).kind is ErrorKind.OUTCOME_UNKNOWN
     dead.kill()
     assert service.runs == 1
 
@@ -153,7 +153,7 @@
     assert draft.find("k") == other
 
 
-def test_a_claim_slept_on_is_not_dispatched(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_claim_that_took_too_long_is_not_dispatched(monkeypatch: pytest.MonkeyPatch) -> None:
     objects, service = Objects(), Service()
     store = make_store(objects)
     monkeypatch.setattr(claim_store, "FRESH_MS", 0)
@@ -248,7 +248,7 @@
         return False
 
 
-def test_large_answer_is_known_by_digest() -> None:
+def test_a_large_answer_is_reported_as_run_but_not_replayed() -> None:
     objects, service = Objects(), Service()
     store = make_store(objects)
     service.body = b"x" * (KEPT_BODY_BYTES + 1)
@@ -288,7 +288,7 @@
     assert run(store, service, "later").status == 201 and service.runs == before + 1
 
 
-def test_home_writes_for_others_and_others_step_in() -> None:
+def test_the_owner_writes_for_peers_and_peers_replace_an_unreachable_owner() -> None:
     objects, service, network = Objects(), Service(), Network()
     peers = [ClaimPeer(f"d{number}", f"z{number % 2}", f"d{number}") for number in range(4)]
     unreachable = Objects()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -74,7 +74,7 @@
             raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "down")
         return self.platform
 
-    def hear(self, other):
+    def receive_announcement(self, other):
         self.board.learn(other.board.find("revision"))
 
 
@@ -91,12 +91,12 @@
         daemon.network.stop()
 
 
-def test_a_small_change_comes_with_the_news(start):
+def test_a_small_change_is_received_by_gossip(start):
     first, second = start(), start()
     for daemon in (first, second):
         daemon.configuration.adopt(make_revision(1))
     first.configuration.adopt(make_revision(2, copies=2))
-    second.hear(first)
+    second.receive_announcement(first)
     assert second.spread.catch_up()
     assert second.configuration.digest == first.configuration.digest
     assert second.spread.counts.by_news == 1
@@ -109,13 +109,13 @@
         daemon.configuration.adopt(make_revision(1))
     for number in (2, 3, 4):
         first.configuration.adopt(make_revision(number, copies=number))
-    second.hear(first)
+    second.receive_announcement(first)
     assert second.spread.catch_up()
     assert second.configuration.revision == 4
     assert (second.spread.counts.by_difference, second.spread.counts.by_whole) == (1, 0)
 
 
-def test_a_new_daemon_without_the_platform_gets_the_whole_from_a_peer(start):
+def test_a_new_daemon_without_the_platform_gets_the_complete_file_from_a_peer(start):
     first = start()
     second = start(first)
     first.configuration.adopt(make_revision(7, models=2_000))
@@ -125,7 +125,7 @@
     assert second.spread.counts.by_whole == 1
 
 
-def test_a_new_daemon_begins_with_the_highest_of_its_peers(start):
+def test_a_new_daemon_adopts_the_highest_revision_of_its_peers(start):
     behind, ahead = start(), start()
     behind.configuration.adopt(make_revision(3))
     ahead.configuration.adopt(make_revision(4))
@@ -134,12 +134,12 @@
     assert [step.number for step in new.configuration.adoptions] == [4]
 
 
-def test_a_daemon_that_hears_of_a_higher_revision_waits_for_it(start):
+def test_a_daemon_without_the_announced_revision_stays_behind(start):
     behind, ahead = start(), start()
     behind.configuration.adopt(make_revision(3))
     ahead.configuration.adopt(make_revision(4))
     new = start(behind)
-    new.hear(ahead)
+    new.receive_announcement(ahead)
     ahead.network.stop()
     assert not new.spread.catch_up()
     assert new.configuration.revision == 3
@@ -151,7 +151,7 @@
     first.configuration.adopt(make_revision(1))
     second.configuration.adopt(make_revision(1, copies=9))
     first.configuration.adopt(make_revision(2, copies=2))
-    second.hear(first)
+    second.receive_announcement(first)
     assert second.spread.catch_up()
     assert second.configuration.digest == first.configuration.digest
     assert second.spread.counts.by_whole == 1
@@ -166,7 +166,7 @@
         return StoredObject(kind, name, 1, value)
 
 
-def test_a_controller_started_on_old_reads_takes_the_newer_file_of_the_daemons(start):
+def test_a_controller_started_on_stale_reads_adopts_the_newer_file_of_the_daemons(start):
     daemon = start()
     daemon.configuration.adopt(make_revision(2, copies=5))
     network = PeerNetwork("c", "controller")
@@ -193,7 +193,7 @@
         return ObjectPage((StoredObject("pointers", "current", version, value),), 9)
 
 
-def test_a_change_is_not_missed_after_a_watch_that_answered_an_old_pointer():
+def test_a_change_is_not_missed_after_a_watch_that_returned_a_stale_pointer():
     seen = []
     pointer = Pointer(OldWatch(), "pointers", "current", lambda item: seen.append(item.version))
     for _ in range(3):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -64,7 +64,7 @@
     assert len(store) == 0
 
 
-def test_another_account_does_not_learn_of_it(store):
+def test_a_state_is_invisible_to_another_account(store):
     store.put("", MESSAGE)
     assert store.find("", FindState("req-1", "marka")).hops == 0
     with pytest.raises(PeerError) as caught:
@@ -72,7 +72,7 @@
     assert caught.value.kind is ErrorKind.UNKNOWN_REQUEST
 
 
-def test_a_state_that_nobody_fetches_ends_with_its_engine_stream(store):
+def test_a_state_not_fetched_in_time_is_discarded_with_its_engine_stream(store):
     store.put("", MESSAGE)
     store._clock.advance(STATE_RETENTION_MS - 1)
     store.sweep()
@@ -82,7 +82,7 @@
     assert (len(store), store.streams_ended) == (0, ["str-1"])
 
 
-def test_a_state_past_its_deadline_is_not_kept(store):
+def test_a_state_past_its_deadline_is_discarded(store):
     store.put("", HandOver(encode_state(replace(STATE, deadline_wall_ms=5)), 1))
     store._clock.advance(5)
     store.sweep()
@@ -150,7 +150,7 @@
     return [name for name, store in peers.stores.items() if len(store)]
 
 
-def test_the_first_of_the_order_that_takes_it_gets_it():
+def test_a_state_goes_to_the_first_receiver_that_accepts_it():
     peers = Peers("one", "two", "three", "four")
     order = [member.name for member in rank_receivers("req-1", "a", peers.members)]
     handover = peers.make_handover(order[3])
@@ -182,7 +182,7 @@
     assert find_holders(peers) == [] and peers.lost == []
 
 
-def test_it_is_not_said_to_be_lost_while_a_daemon_is_silent():
+def test_a_state_is_not_reported_lost_while_a_daemon_does_not_answer():
     peers = Peers("one", "two", "three")
     peers.gone = {"three"}
     with pytest.raises(RequestError) as caught:
@@ -201,7 +201,7 @@
     assert find_holders(peers) == ["two"]
 
 
-def test_the_caller_gets_the_tokens_that_it_missed():
+def test_a_resumed_stream_contains_exactly_the_missed_tokens():
     generation = Generation.from_state(STATE, ManualClock())
     events = render_events(generation, 1)
     assert events.startswith(b"id: req-1:1\ndata: ")
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -72,7 +72,7 @@
     return waited_ms
 
 
-def test_the_first_takes_it_and_the_second_does_not(objects, clock):
+def test_only_the_first_candidate_takes_the_lease(objects, clock):
     first, second = make_lease(objects, clock), make_lease(objects, clock, "control-2")
     first.take_turn()
     second.take_turn()
@@ -107,7 +107,7 @@
     assert second.is_held and not first.is_held
 
 
-def test_a_living_holder_is_never_replaced(objects, clock):
+def test_a_running_holder_is_never_replaced(objects, clock):
     first, second = make_lease(objects, clock), make_lease(objects, clock, "control-2")
     first.take_turn()
     for _ in range(200):
@@ -141,7 +141,7 @@
     assert lease.get_fencing() == objects.stored.version
 
 
-def test_no_platform_no_lease(objects, clock):
+def test_a_lease_ends_without_the_platform(objects, clock):
     lease = make_lease(objects, clock)
     lease.take_turn()
     objects.down = True
@@ -153,7 +153,7 @@
     assert lease.is_held
 
 
-def test_an_engine_that_knows_a_higher_number_ends_the_holding(objects, clock):
+def test_a_higher_fencing_number_at_an_engine_ends_the_lease(objects, clock):
     lease = make_lease(objects, clock)
     lease.take_turn()
     lease.step_down(lease.get_fencing())
@@ -191,7 +191,7 @@
     assert not replaced.is_held
 
 
-def test_a_holder_of_a_moment_ago_does_not_take_a_released_lease_at_once(objects, clock):
+def test_a_recent_holder_does_not_take_a_released_lease_at_once(objects, clock):
     """After a rolling restart, orders of A, B and A within a term look like two holders."""
     first, second, third = (make_lease(objects, clock, name) for name in ("a", "b", "c"))
     first.take_turn()
@@ -205,7 +205,7 @@
     assert third.is_held
 
 
-def test_a_holder_of_a_moment_ago_takes_the_lease_once_the_term_is_over(objects, clock):
+def test_a_recent_holder_takes_the_lease_once_the_term_is_over(objects, clock):
     first, second = make_lease(objects, clock, "a"), make_lease(objects, clock, "b")
     first.take_turn()
     first.release()
@@ -214,10 +214,10 @@
     restarted = make_lease(objects, clock, "a")
     waited_ms = 0.0
     while not restarted.is_held:
-        rest_ms = restarted.take_turn()
+        pause_ms = restarted.take_turn()
         if not restarted.is_held:
-            clock.advance(rest_ms)
-            waited_ms += rest_ms
+            clock.advance(pause_ms)
+            waited_ms += pause_ms
     assert TIMES.term_ms <= waited_ms <= 2 * TIMES.term_ms
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -45,7 +45,7 @@
         )
         self.membership.start()
 
-    def see(self):
+    def list_live_states(self):
         return {one.name: one.state for one in self.membership.list_members() if one.is_live}
 
     def crash(self):
@@ -76,8 +76,8 @@
             gevent.sleep(0.02)
 
 
-def wait_all_see(daemons, count):
-    wait_until(lambda: all(len(daemon.see()) == count for daemon in daemons))
+def wait_for_live_count(daemons, count):
+    wait_until(lambda: all(len(daemon.list_live_states()) == count for daemon in daemons))
 
 
 def cut(left, right):
@@ -92,9 +92,9 @@
         daemon.network.cut.clear()
 
 
-def test_daemons_join_by_one_seed_and_learn_each_others_news(start_daemons):
+def test_daemons_join_by_one_seed_and_exchange_gossip(start_daemons):
     daemons = start_daemons("a", "a", "a", "b", "b", "b")
-    wait_all_see(daemons, 6)
+    wait_for_live_count(daemons, 6)
     daemons[0].board.learn(NewsItem("revision", 7, "content"))
     daemons[0].board.learn(NewsItem("vm/llm-1", 1, "live"))
     wait_until(lambda: all(daemon.board.find("revision") for daemon in daemons))
@@ -104,14 +104,14 @@
 
 def test_a_crashed_daemon_is_dead_everywhere(start_daemons):
     daemons = start_daemons("a", "a", "b", "b")
-    wait_all_see(daemons, 4)
+    wait_for_live_count(daemons, 4)
     daemons[1].crash()
-    wait_all_see([daemons[0], *daemons[2:]], 3)
+    wait_for_live_count([daemons[0], *daemons[2:]], 3)
 
 
-def test_one_cut_link_accuses_nobody(start_daemons):
+def test_one_broken_link_raises_no_suspicion(start_daemons):
     daemons = start_daemons("a", "a", "b", "b")
-    wait_all_see(daemons, 4)
+    wait_for_live_count(daemons, 4)
     changes = []
     for daemon in daemons:
         daemon.membership.add_listener(changes.append)
@@ -120,66 +120,66 @@
     assert [one for one in changes if one.state is not MemberState.ALIVE] == []
 
 
-def test_a_cut_zone_is_dead_to_the_others_and_joins_again(start_daemons):
+def test_a_partitioned_zone_is_declared_dead_and_rejoins(start_daemons):
     daemons = start_daemons("a", "a", "b", "b", "c")
-    wait_all_see(daemons, 5)
+    wait_for_live_count(daemons, 5)
     cut(daemons[:2], daemons[2:])
-    wait_all_see(daemons[:2], 2)
-    wait_all_see(daemons[2:], 3)
+    wait_for_live_count(daemons[:2], 2)
+    wait_for_live_count(daemons[2:], 3)
     daemons[4].board.learn(NewsItem("revision", 8, "news of the cut"))
     heal(daemons)
-    wait_all_see(daemons, 5)
+    wait_for_live_count(daemons, 5)
     wait_until(lambda: daemons[0].board.find("revision") is not None)
 
 
-def test_an_isolated_daemon_shows_the_others_dead_and_accuses_nobody(start_daemons):
+def test_an_isolated_daemon_shows_its_peers_dead_without_reporting_them(start_daemons):
     daemons = start_daemons("a", "a", "a")
-    wait_all_see(daemons, 3)
+    wait_for_live_count(daemons, 3)
     cut(daemons[:1], daemons[1:])
-    wait_all_see(daemons[:1], 1)
+    wait_for_live_count(daemons[:1], 1)
     assert daemons[0].membership.is_isolated
     incarnation = daemons[1].membership.own.incarnation
     heal(daemons)
-    wait_all_see(daemons, 3)
+    wait_for_live_count(daemons, 3)
     assert daemons[1].membership.own.incarnation == incarnation
 
 
 def test_a_leaving_daemon_is_shown_leaving(start_daemons):
     daemons = start_daemons("a", "a", "a")
-    wait_all_see(daemons, 3)
+    wait_for_live_count(daemons, 3)
     daemons[2].membership.leave()
-    wait_all_see(daemons[:2], 2)
+    wait_for_live_count(daemons[:2], 2)
     members = {one.name: one for one in daemons[0].membership.list_members()}
     assert members["a-2"].state is MemberState.LEAVING
 
 
-def test_a_restarted_daemon_overrides_its_earlier_self(start_daemons):
+def test_a_restarted_daemon_overrides_its_earlier_incarnation(start_daemons):
     daemons = start_daemons("a", "a")
-    wait_all_see(daemons, 2)
+    wait_for_live_count(daemons, 2)
     daemons[1].crash()
-    wait_all_see(daemons[:1], 1)
+    wait_for_live_count(daemons[:1], 1)
     again = Daemon("a-1", "a", (daemons[0].address,))
     try:
-        wait_all_see([daemons[0], again], 2)
+        wait_for_live_count([daemons[0], again], 2)
     finally:
         again.crash()
 
 
 def test_a_daemon_at_the_address_of_a_crashed_one_does_not_answer_for_it(start_daemons):
     daemons = start_daemons("a", "a", "a")
-    wait_all_see(daemons, 3)
+    wait_for_live_count(daemons, 3)
     daemons[2].crash()
     other = Daemon("a-9", "a", (daemons[0].address,), listen=daemons[2].address)
     try:
-        wait_until(lambda: set(daemons[0].see()) == {"a-0", "a-1", "a-9"})
-        wait_all_see([*daemons[:2], other], 3)
+        wait_until(lambda: set(daemons[0].list_live_states()) == {"a-0", "a-1", "a-9"})
+        wait_for_live_count([*daemons[:2], other], 3)
     finally:
         other.crash()
 
 
-def test_a_link_cut_in_one_direction_accuses_nobody(start_daemons):
+def test_a_link_broken_in_one_direction_raises_no_suspicion(start_daemons):
     daemons = start_daemons("a", "a", "b", "b")
-    wait_all_see(daemons, 4)
+    wait_for_live_count(daemons, 4)
     changes = []
     for daemon in daemons:
         daemon.membership.add_listener(changes.append)
@@ -188,18 +188,18 @@
     assert [one for one in changes if one.state is not MemberState.ALIVE] == []
 
 
-def test_an_invalid_member_harms_nobody(start_daemons):
+def test_an_invalid_member_item_is_ignored(start_daemons):
     daemons = start_daemons("a", "a")
-    wait_all_see(daemons, 2)
+    wait_for_live_count(daemons, 2)
     daemons[0].board.learn(NewsItem("member/odd", 4, "not a member"))
     daemons[0].board.learn(NewsItem("revision", 1, "after it"))
     wait_until(lambda: daemons[1].board.find("revision"))
-    wait_all_see(daemons, 2)
+    wait_for_live_count(daemons, 2)
 
 
 def test_two_processes_of_one_name_do_not_outbid_each_other(start_daemons):
     daemons = start_daemons("a", "a")
-    wait_all_see(daemons, 2)
+    wait_for_live_count(daemons, 2)
     twin = Daemon("a-1", "a", (daemons[0].address,))
     try:
         wait_until(lambda: daemons[0].board.find("member/a-1").value[2] == twin.address)
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 120])
-def test_every_member_is_probed_and_news_reaches_every_zone(size):
+def test_every_member_is_probed_and_gossip_reaches_every_zone(size):
     members = [
         Member(f"d{zone}-{number}", f"zone{zone}", f"region{zone // 2}", "", "")
         for zone in range(4)
@@ -229,13 +229,13 @@
     assert len(reached) == len(members)
 
 
-def test_a_stopping_daemon_is_dead_to_the_others_before_anyone_suspects_it(start_daemons):
+def test_a_stopping_daemon_is_declared_dead_without_suspicion(start_daemons):
     daemons = start_daemons("a", "a", "a")
-    wait_all_see(daemons, 3)
+    wait_for_live_count(daemons, 3)
     states = []
     for daemon in daemons[:2]:
         daemon.membership.add_listener(lambda member: states.append(member.state))
     daemons[2].membership.stop()
     daemons[2].network.stop()
-    wait_all_see(daemons[:2], 2)
+    wait_for_live_count(daemons[:2], 2)
     assert set(states) == {MemberState.DEAD}
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -48,7 +48,7 @@
             gevent.sleep(0.01)
 
 
-def test_a_large_item_comes_once_over_many_links(make_node):
+def test_a_large_item_is_transferred_once_over_many_links(make_node):
     nodes = [make_node(f"n{number}") for number in range(4)]
     for node in nodes:
         node.link(*(other for other in nodes if other is not node))
@@ -58,7 +58,7 @@
     assert [node.spread.items_in for node in nodes[1:]] == [1, 1, 1]
 
 
-def test_the_next_holder_is_asked_when_the_first_is_gone(make_node):
+def test_the_next_holder_is_asked_when_the_first_has_stopped(make_node):
     gone, holder, late = (make_node(name) for name in ("gone", "holder", "late"))
     holder.board.learn(NewsItem("revision", 1, LARGE))
     announcement = Have([["revision", 1]])
@@ -69,7 +69,7 @@
     wait_until(lambda: late.board.find("revision"))
 
 
-def test_a_board_larger_than_every_bound_is_repaired_whole(make_node):
+def test_a_repair_larger_than_every_limit_is_complete(make_node):
     bounds = SpreadBounds(max_item_bytes=3_000, max_fetch_keys=7, max_difference_rows=1_000)
     full, empty = make_node("full", bounds), make_node("empty", bounds)
     for number in range(100):
@@ -93,7 +93,7 @@
     assert left.spread.compute_digest("a") == right.spread.compute_digest("a")
 
 
-def test_an_item_over_the_bound_is_not_passed_on(make_node):
+def test_an_item_over_the_size_limit_is_not_sent(make_node):
     left, right = make_node("left", SpreadBounds(max_item_bytes=500)), make_node("right")
     left.link(right)
     left.board.learn(NewsItem("large", 1, LARGE))
--- a/tests/test_zone_status.py
+++ b/tests/test_zone_status.py
@@ -65,9 +65,9 @@
     made = {name: make_status(name, objects) for name in ("a", "b")}
     for status, _ in made.values():
         status.report()
-    told = [(name, sent) for name, (_, network) in made.items() for sent in network.sent]
-    assert len(told) == 1
-    other, (address, report) = told[0]
+    sent_reports = [(name, sent) for name, (_, network) in made.items() for sent in network.sent]
+    assert len(sent_reports) == 1
+    other, (address, report) = sent_reports[0]
     reporter = address.removesuffix(":1")
     made[reporter][1].handlers[DaemonReport]("", report)
     assert [made[name][0].write() for name in (other, reporter)] == [False, True]
@@ -98,18 +98,18 @@
         (4, 9, ZoneState.SILENT),
     ],
 )
-def test_a_zones_state_is_told_by_numbers_and_versions(revision, object_version, state):
+def test_a_zones_state_follows_from_revision_numbers_and_versions(revision, object_version, state):
     seen = view(revision, object_version, pointer_version=10)
     assert (seen.state, seen.age_ms) == (state, 3_000)
 
 
-def test_a_zone_without_a_readable_word_was_never_heard():
+def test_a_zone_without_a_readable_status_is_never_heard():
     objects = [StoredObject("status", ZONE, 1, {"zone": 5})]
     states = [one.state for one in view_zones([ZONE, "other"], objects, 1, 0, 0)]
     assert states == [ZoneState.NEVER_HEARD] * 2
 
 
-def test_what_refused_requests_is_counted_by_limit():
+def test_refused_requests_are_counted_by_limit():
     metrics = EntryMetrics()
     for outcome in ("ok", "token_limit", "token_limit", "overloaded"):
         metrics.requests.labels("assistant-llm", outcome).inc()
