--- a/hemlockswitch/process/lease.py
+++ b/hemlockswitch/process/lease.py
@@ -221,7 +221,7 @@
         return bool(address) and found.value.get("address") == address
 
     def _plan_next_poll(self, found: StoredObject, before: _ObservedVersion | None) -> float:
-        """Return the time until the next poll after a new version of the lease.
+        """Take a lease without a term, else return the time until the next poll.
 
         A change within two renewals of the previous poll shows that the holder is running, so the
         next poll is later.
