--- a/hemlockswitch/process/copies/zone_load.py
+++ b/hemlockswitch/process/copies/zone_load.py
@@ -151,16 +151,16 @@
         An unresponsive zone counts with its last summary, since its callers still send requests.
         """
         others = [received for zone, received in self._received.items() if zone != self._zone]
-        return sum(heard.summary.busy.get(target, 0.0) for heard in others)
+        return sum(received.summary.busy.get(target, 0.0) for received in others)
 
     def list_places(self) -> list[Place]:
         """Return the places offered by other zones that have a live leader."""
         limit_ms = self._clock.now_ms() - 3 * self._rewrite_interval_ms
         return [
             Place(zone, offer.machine_class, offer.price_per_hour, offer.reclaims_per_hour)
-            for zone, heard in sorted(self._received.items())
-            if zone != self._zone and heard.since_ms >= limit_ms
-            for offer in heard.summary.offers
+            for zone, received in sorted(self._received.items())
+            if zone != self._zone and received.since_ms >= limit_ms
+            for offer in received.summary.offers
         ]
 
     def _receive(self, item: StoredObject) -> None:
--- a/hemlockswitch/process/servers/subsets.py
+++ b/hemlockswitch/process/servers/subsets.py
@@ -53,12 +53,12 @@
         return {server for server, rank in self._ranks.items() if rank < takers}
 
     def _follow_members(self, others: frozenset[str]) -> None:
-        come = others - self._members
-        gone = self._members - others
+        added = others - self._members
+        removed = self._members - others
         for server, rank in self._ranks.items():
             own_weight = self._weigh(server, self._own_name)
-            rank += sum(self._weigh(server, name) > own_weight for name in come)
-            rank -= sum(self._weigh(server, name) > own_weight for name in gone)
+            rank += sum(self._weigh(server, name) > own_weight for name in added)
+            rank -= sum(self._weigh(server, name) > own_weight for name in removed)
             self._ranks[server] = rank
         self._members = others
 
--- a/hemlockswitch/process/servers/vm_feed.py
+++ b/hemlockswitch/process/servers/vm_feed.py
@@ -53,8 +53,8 @@
                 continue
             since_ms = self._missing_since_ms.setdefault(name, now_ms)
             if now_ms - since_ms >= VM_REMOVAL_DELAY_MS:
-                gone = {**item.value, "state": BackendState.GONE.value}
-                self._board.learn(NewsItem(item.key, item.version + 1, gone, tombstone=True))
+                removed = {**item.value, "state": BackendState.GONE.value}
+                self._board.learn(NewsItem(item.key, item.version + 1, removed, tombstone=True))
                 self._remove_notice(name)
                 del self._missing_since_ms[name]
 
--- a/hemlockswitch/process/shares/record.py
+++ b/hemlockswitch/process/shares/record.py
@@ -129,8 +129,8 @@
         units = entry.held.grants.get(account, NOTHING)
         if self._is_ended(entry):
             lent = units.limit(entry.held.lendable.get(account, NOTHING))
-            gone_for_ms = self._measure_ended_ms(entry)
-            rates = NOTHING if gone_for_ms >= ENDED_RATES_RETENTION_MS else lent
+            ended_for_ms = self._measure_ended_ms(entry)
+            rates = NOTHING if ended_for_ms >= ENDED_RATES_RETENTION_MS else lent
             return Units(rates.requests, rates.tokens, lent.slots)
         if not self.is_expired(entry):
             return units
