--- a/hemlockswitch/process/controller.py
+++ b/hemlockswitch/process/controller.py
@@ -18,17 +18,17 @@
 from hemlockswitch.core.errors import HemlockError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.copies.control import Controller, ControlTimes
+from hemlockswitch.process.copies.control import Controller, ControlSettings
 from hemlockswitch.process.copies.cost import CostMeter
 from hemlockswitch.process.copies.observed_zone import Sources
 from hemlockswitch.process.copies.reclaims import Reclaims
 from hemlockswitch.process.copies.records import CopyRecords
-from hemlockswitch.process.copies.usage import Daemons
+from hemlockswitch.process.copies.usage import EntryDaemonClient
 from hemlockswitch.process.copies.zone_load import ZoneSummaries
 from hemlockswitch.process.lease import Lease, LeaseTimes
-from hemlockswitch.process.news.board import NewsBoard
+from hemlockswitch.process.news.board import GossipState
 from hemlockswitch.process.revisions.configuration import Configuration
-from hemlockswitch.process.revisions.spread import RevisionSpread
+from hemlockswitch.process.revisions.spread import RevisionUpdater
 from hemlockswitch.process.revisions.store import RevisionStore
 from hemlockswitch.process.revisions.tasks import READ_TIMEOUT_MS, follow_pointer
 from hemlockswitch.version.models import OperatorFile
@@ -67,8 +67,8 @@
         self._platform = platform
         self._store = RevisionStore(platform, clock, READ_TIMEOUT_MS)
         self._configuration = Configuration(clock)
-        self._spread = RevisionSpread(
-            self._configuration, NewsBoard(), network, list_daemons, lambda: None, clock
+        self._spread = RevisionUpdater(
+            self._configuration, GossipState(), network, list_daemons, lambda: None, clock
         )
 
     @property
@@ -147,11 +147,11 @@
             self._platform,
             self._clock,
             OrderClient(settings.order_timeout_ms),
-            Daemons(self._network, settings.seeds),
+            EntryDaemonClient(self._network, settings.seeds),
             self._reclaims,
             ZoneSummaries(self._platform, self._clock, settings.zone, copies.report_ms),
         )
-        times = ControlTimes(
+        times = ControlSettings(
             copies.replace_ms, copies.shrink_after_ms, copies.gone_after_ms, copies.parallel_starts
         )
         records = CopyRecords(self._platform)
@@ -190,7 +190,7 @@
     def _run_lease(self) -> None:
         while True:
             was_held = self.lease.is_held
-            pause_ms = self.lease.take_turn()
+            pause_ms = self.lease.run_step()
             if self.lease.is_held and not was_held:
                 self._wake.set()
             self._clock.sleep_ms(pause_ms)
@@ -207,7 +207,7 @@
         try:
             file = self._current.refresh()
             if file is not None:
-                self.controller.run_pass(file)
+                self.controller.reconcile(file)
         except HemlockError as error:
             log_event(Event.CONTROL_PASS_FAILED, "warning", kind=error.kind, detail=error.detail)
         except Exception as error:
--- a/hemlockswitch/process/copies/changes.py
+++ b/hemlockswitch/process/copies/changes.py
@@ -19,7 +19,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.copies.records import CopyRecord, CopyRecords, CopyState
-from hemlockswitch.process.copies.usage import Daemons, Usage
+from hemlockswitch.process.copies.usage import EntryDaemonClient, Usage
 from hemlockswitch.process.lease import Lease
 from hemlockswitch.version.machine_class import MachineClass
 
@@ -208,7 +208,7 @@
         platform: PlatformClient,
         records: CopyRecords,
         lease: Lease,
-        daemons: Daemons,
+        daemons: EntryDaemonClient,
         order_sender: OrderSender,
     ) -> None:
         self._platform = platform
@@ -223,7 +223,7 @@
             return None
         try:
             self._daemons.announce_stop(names)
-            return self._daemons.ask_usage(names)
+            return self._daemons.query_usage(names)
         except PeerError as error:
             log_event(Event.DAEMONS_SILENT, "warning", names=names, detail=error.detail)
             return None
--- a/hemlockswitch/process/copies/control.py
+++ b/hemlockswitch/process/copies/control.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class ControlTimes:
+class ControlSettings:
     """The time constants and start limit of the controller.
 
     Parameters
@@ -62,7 +62,7 @@
         lease: Lease,
         records: CopyRecords,
         sources: Sources,
-        times: ControlTimes | None = None,
+        times: ControlSettings | None = None,
         cost: CostMeter | None = None,
     ) -> None:
         self._cost = cost
@@ -70,7 +70,7 @@
         self._lease = lease
         self._records = records
         self._clock = sources.clock
-        self._times = times or ControlTimes()
+        self._times = times or ControlSettings()
         self._order_sender = OrderSender(sources.orders, lease)
         self._starter = CopyStarter(sources.platform, records, lease, sources.clock)
         self._stopper = CopyStopper(
@@ -85,7 +85,7 @@
         )
         self._plans: dict[str, Plan] = {}
 
-    def run_pass(self, file: OperatorFile) -> None:
+    def reconcile(self, file: OperatorFile) -> None:
         """Run one reconciliation pass; without the lease, do nothing."""
         if not self._lease.is_held:
             return
--- a/hemlockswitch/process/copies/observed_zone.py
+++ b/hemlockswitch/process/copies/observed_zone.py
@@ -15,7 +15,7 @@
 from hemlockswitch.process.copies.reclaims import Reclaims
 from hemlockswitch.process.copies.records import CopyRecord
 from hemlockswitch.process.copies.targets import WantedTarget
-from hemlockswitch.process.copies.usage import Daemons, Usage
+from hemlockswitch.process.copies.usage import EntryDaemonClient, Usage
 from hemlockswitch.process.copies.zone_load import (
     OfferedPlace,
     ZoneLoads,
@@ -46,7 +46,7 @@
     platform: PlatformClient
     clock: Clock
     orders: OrderClient
-    daemons: Daemons
+    daemons: EntryDaemonClient
     reclaims: Reclaims
     summaries: ZoneSummaries
 
@@ -183,7 +183,7 @@
 
     def _ask_usage(self) -> Usage | None:
         try:
-            return self._sources.daemons.ask_usage(self.vms)
+            return self._sources.daemons.query_usage(self.vms)
         except PeerError as error:
             log_event(Event.DAEMONS_SILENT, "debug", detail=error.detail)
             return None
--- a/hemlockswitch/process/copies/usage.py
+++ b/hemlockswitch/process/copies/usage.py
@@ -192,7 +192,7 @@
     return Usage({}, list(names), {}, {}, [name], [])
 
 
-class Daemons:
+class EntryDaemonClient:
     """Queries the first entry daemon that answers on behalf of the controller.
 
     Explanation
@@ -213,7 +213,7 @@
         self._seeds = list(seeds)
         self._answered: list[str] = []
 
-    def ask_usage(self, names: Iterable[str]) -> Usage:
+    def query_usage(self, names: Iterable[str]) -> Usage:
         """Return the use of the named servers by all running daemons.
 
         Raises
--- a/hemlockswitch/process/departure.py
+++ b/hemlockswitch/process/departure.py
@@ -7,7 +7,7 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.facts import Facts
+from hemlockswitch.process.facts import ClusterState
 from hemlockswitch.process.handover.handover import Handover, HandoverMember
 from hemlockswitch.process.handover.messages import (
     ConfirmTake,
@@ -19,7 +19,7 @@
 from hemlockswitch.process.handover.resuming import Resuming
 from hemlockswitch.process.handover.state_store import StateStore
 from hemlockswitch.process.membership.members import MemberState
-from hemlockswitch.process.news.board import NewsItem
+from hemlockswitch.process.news.board import GossipItem
 from hemlockswitch.process.records import RequestRecords
 from hemlockswitch.process.servers.backends import NOTICE_PREFIX
 from hemlockswitch.process.serving import Serving
@@ -49,7 +49,7 @@
     def __init__(
         self,
         settings: EntrySettings,
-        facts: Facts,
+        facts: ClusterState,
         clock: Clock,
         relay: Relay,
         opener: AttemptOpener,
@@ -58,7 +58,7 @@
         self._settings = settings
         self._facts = facts
         self._clock = clock
-        self.told = Signal()
+        self.stop_requested = Signal()
         self._count = count
         self.store = StateStore(clock, opener.cancel, count)
         self.handover = Handover(
@@ -72,7 +72,7 @@
             count=count,
         )
         self._serve_peers()
-        facts.board.add_listener(f"{NOTICE_PREFIX}{settings.name}", self._handle_notice)
+        facts.gossip_state.add_listener(f"{NOTICE_PREFIX}{settings.name}", self._handle_notice)
         facts.directory.add_leaving_listener(self._handle_leaving)
 
     def build_resuming(
@@ -94,7 +94,7 @@
     def request(self) -> None:
         """Request a departure within the settings' grace period; called by signal handlers."""
         self.handover.set_deadline(self._clock.now_ms() + self._settings.stop_grace_ms)
-        self.told.set()
+        self.stop_requested.set()
 
     def run(self, is_busy: Callable[[], bool]) -> None:
         """Announce the departure, finish what fits in the time and hand over the remainder."""
@@ -112,7 +112,7 @@
         network.handle(ConfirmTake, self.store.confirm, quick=True)
         network.handle(DropState, self.store.drop, quick=True)
 
-    def _handle_notice(self, item: NewsItem) -> None:
+    def _handle_notice(self, item: GossipItem) -> None:
         if item.key != f"{NOTICE_PREFIX}{self._settings.name}" or item.value is None:
             return
         left_ms = int(item.value.get("deadline_wall_ms", 0)) - self._clock.wall_ms()
@@ -126,7 +126,7 @@
     def _leave_in(self, left_ms: float) -> None:
         log_event(Event.ENTRY_LEAVING, left_ms=int(left_ms))
         self.handover.set_deadline(self._clock.now_ms() + left_ms)
-        self.told.set()
+        self.stop_requested.set()
 
     def _list_holders(self) -> list[HandoverMember]:
         """Return the entry daemons that may store states, both live and leaving ones."""
--- a/hemlockswitch/process/entry.py
+++ b/hemlockswitch/process/entry.py
@@ -16,19 +16,19 @@
 from hemlockswitch.process.claims.members import build_claims
 from hemlockswitch.process.copies.usage import UsageReporter
 from hemlockswitch.process.departure import Departure
-from hemlockswitch.process.facts import Facts
+from hemlockswitch.process.facts import ClusterState
 from hemlockswitch.process.metrics import EntryMetrics
 from hemlockswitch.process.peer_metrics import PeerCollector
 from hemlockswitch.process.quarantine.guard import Guard
-from hemlockswitch.process.quarantine.held_requests import HeldRequests
+from hemlockswitch.process.quarantine.held_requests import QuarantineStore
 from hemlockswitch.process.quarantine.metrics import GuardCollector
-from hemlockswitch.process.quarantine.server_ends import ServerEnds
-from hemlockswitch.process.quarantine.suspect_news import SuspectNews
+from hemlockswitch.process.quarantine.server_ends import ConnectionCrashDetector
+from hemlockswitch.process.quarantine.suspect_news import SuspectGossip
 from hemlockswitch.process.records import RequestRecords
 from hemlockswitch.process.reports import RequestReports
 from hemlockswitch.process.revisions.tasks import RevisionTasks
 from hemlockswitch.process.serving import Serving
-from hemlockswitch.process.shares.members import CALL_MS as SHARE_CALL_MS
+from hemlockswitch.process.shares.members import PLATFORM_CALL_TIMEOUT_MS as SHARE_CALL_MS
 from hemlockswitch.process.shares.members import build_shares
 from hemlockswitch.process.tasks import Tasks
 from hemlockswitch.process.traces import Tracing
@@ -86,18 +86,18 @@
 
     def _build_facts(self) -> None:
         """Build the daemon's view of the cluster and the configuration in force."""
-        self.facts = Facts.from_settings(self.settings, "entry", self.clock)
-        self.board = self.facts.board
-        self.directory = self.facts.directory
-        PeerCollector.register(self.facts, self.metrics.registry)
+        self.cluster_state = ClusterState.from_settings(self.settings, "entry", self.clock)
+        self.gossip_state = self.cluster_state.gossip_state
+        self.directory = self.cluster_state.directory
+        PeerCollector.register(self.cluster_state, self.metrics.registry)
         self.usage = UsageReporter(
-            self.facts.network,
+            self.cluster_state.network,
             self.directory,
             lambda: dict(self.records.refused),
             self._list_peers,
         )
         self.revisions = RevisionTasks(
-            self.facts,
+            self.cluster_state,
             self.settings.name,
             self.settings.zone,
             "hemlock-entry",
@@ -107,8 +107,8 @@
         )
         self.status.add("revision", lambda: self.revision)
         self.status.add("configuration", self.revisions.describe_status)
-        self.status.add("members", self.facts.describe_members)
-        self.status.add("backend_servers", self.facts.describe_backends)
+        self.status.add("members", self.cluster_state.describe_members)
+        self.status.add("backend_servers", self.cluster_state.describe_backends)
         self.status.add("leaving", lambda: sorted(self.directory.list_leaving()))
         self.status.add("zone", lambda: self.settings.zone)
         self.status.add("name", lambda: self.settings.name)
@@ -128,17 +128,17 @@
         """Build the quarantine of requests that crash backend servers."""
         self.quarantine = Quarantine(self.clock)
         process = f"{self.settings.name}/{self.clock.wall_ms()}"
-        news = SuspectNews(
-            self.settings.name, self.board, self.quarantine, self._is_isolated, self.clock
+        news = SuspectGossip(
+            self.settings.name, self.gossip_state, self.quarantine, self._is_isolated, self.clock
         )
         self.guard = Guard(
             self.quarantine,
-            ServerEnds(
+            ConnectionCrashDetector(
                 lambda server: not self.directory.is_leaving(server.name),
                 lambda server: refuses_connection(server.address, CRASH_CHECK_TIMEOUT_MS),
                 self.clock,
             ),
-            HeldRequests(process, self.quarantine, self.facts.platform, self.clock),
+            QuarantineStore(process, self.quarantine, self.cluster_state.platform, self.clock),
             news,
             lambda: False,
             self.clock,
@@ -147,15 +147,17 @@
         self.status.add("quarantine", self.quarantine.describe)
 
     def _is_isolated(self) -> bool:
-        membership = self.facts.membership
+        membership = self.cluster_state.membership
         return membership is not None and membership.is_isolated
 
     def _build_relay(self, client: BackendClient, reports: RequestReports) -> None:
         """Build the parts that choose a backend server and relay its stream."""
         self.router = Router(
-            self.directory, self._find_traits, await_facts=self.facts.freshness.await_facts
+            self.directory,
+            self._find_traits,
+            await_cluster_state=self.cluster_state.freshness.await_refresh,
         )
-        self.directory.add_leaving_listener(lambda name, _: self.router.memory.forget_server(name))
+        self.directory.add_leaving_listener(lambda name, _: self.router.memory.remove_server(name))
         self.budget = RetryBudget(Limits().retry_ratio, self.clock)
         self.opener = AttemptOpener(client, self.clock)
         self.relay = Relay(
@@ -180,7 +182,11 @@
     def _build_service_calls(self, client: BackendClient, reports: RequestReports) -> None:
         """Build the calls to plain services, and the claims that prevent repeated runs."""
         self.claims = build_claims(
-            self.settings, self.facts, self.clock, self._find_limits, self.metrics.count_claim
+            self.settings,
+            self.cluster_state,
+            self.clock,
+            self._find_limits,
+            self.metrics.count_claim,
         )
         self.status.add("claims", self.claims.describe)
         self.services = ServiceCaller(
@@ -196,7 +202,7 @@
 
     def _build_admission(self, reports: RequestReports) -> None:
         """Build the parts that admit requests, record them and serve their callers."""
-        self.shares = build_shares(self.settings, self.facts, self.clock, self._find_file)
+        self.shares = build_shares(self.settings, self.cluster_state, self.clock, self._find_file)
         self.status.add("limits", self.shares.describe)
         capacity = CapacityQueue(self.clock)
         self.admission = Admission(self.shares, self.clock, capacity, starts_full=False)
@@ -211,7 +217,7 @@
         """Build the handover of requests, which needs all the other parts of their path."""
         self.departure = Departure(
             self.settings,
-            self.facts,
+            self.cluster_state,
             self.clock,
             self.relay,
             self.opener,
@@ -240,7 +246,7 @@
     def use_file(self, file: OperatorFile, number: int) -> None:
         """Put a configuration in force in every part."""
         self.file, self.revision = file, number
-        self.facts.zones = file.zones
+        self.cluster_state.zones = file.zones
         self.metrics.revision.set(number)
         self.budget.set_ratio(file.limits.retry_ratio)
         self.directory.set_draining(file.draining)
@@ -252,7 +258,7 @@
         """Open the sockets, spawn the tasks and return the bound addresses."""
         self.control.start()
         self.callers.start()
-        peer_address = self.facts.start(self.callers.bound_address, self._tasks.spawn)
+        peer_address = self.cluster_state.start(self.callers.bound_address, self._tasks.spawn)
         self.revisions.configuration.add_listener(
             lambda revision: self.use_file(revision.file, revision.number)
         )
@@ -266,7 +272,7 @@
             "callers": self.callers.bound_address,
             "control": self.control.bound_address,
             "peers": peer_address,
-            "peer_listen": self.facts.network.bound_address,
+            "peer_listen": self.cluster_state.network.bound_address,
         }
 
     def stop(self) -> None:
@@ -278,7 +284,7 @@
         gevent.spawn(self.shares.leave).join(timeout=SHARE_CALL_MS / MS_PER_SECOND)
         self.shares.stop()
         self._tasks.kill()
-        self.facts.stop()
+        self.cluster_state.stop()
         self.callers.stop(timeout=1)
         self.control.stop(timeout=1)
 
@@ -298,7 +304,7 @@
 
     def _list_peers(self) -> list[tuple[str, str]]:
         """Return the names and peer addresses of the live peers of all zones."""
-        live = self.facts.membership.list_live() if self.facts.membership else []
+        live = self.cluster_state.membership.list_live() if self.cluster_state.membership else []
         return [(one.name, one.peer_address) for one in live if one.name != self.settings.name]
 
     def _find_limits(self) -> Limits:
--- a/hemlockswitch/process/facts.py
+++ b/hemlockswitch/process/facts.py
@@ -11,13 +11,18 @@
 from hemlockswitch.process.freshness import Freshness, Refresh, choose_sample
 from hemlockswitch.process.membership.discovery import Discovery
 from hemlockswitch.process.membership.membership import Member, Membership, ProbeTimes
-from hemlockswitch.process.news.board import NewsBoard
-from hemlockswitch.process.news.spread import Spread
+from hemlockswitch.process.news.board import GossipState
+from hemlockswitch.process.news.spread import Gossip
 from hemlockswitch.process.servers.backends import NOTICE_PREFIX, VM_PREFIX, BackendDirectory
 from hemlockswitch.process.servers.load_polls import LoadPolls
 from hemlockswitch.process.servers.vm_feed import VmFeed
-from hemlockswitch.process.servers.watchers import FEED_PREFIX, NoticeFeed, Post, Watcher
-from hemlockswitch.process.servers.zones import ZoneDesk, ZoneQuestion, ZoneQuestions
+from hemlockswitch.process.servers.watchers import (
+    FEED_PREFIX,
+    NoticeFeed,
+    Watcher,
+    WatcherSelection,
+)
+from hemlockswitch.process.servers.zones import ZoneQueries, ZoneQueryHandler, ZoneQuestion
 from hemlockswitch.version.settings import ProgramSettings
 
 ZONE_PREFIXES = (VM_PREFIX, NOTICE_PREFIX, FEED_PREFIX)
@@ -26,7 +31,7 @@
 ZONES_CHECK_MS = 500
 
 
-class Facts:
+class ClusterState:
     """The gossip items, the members, the backend servers, and whether they are up to date.
 
     Explanation
@@ -48,34 +53,34 @@
     def __init__(
         self,
         settings: ProgramSettings,
-        board: NewsBoard,
+        board: GossipState,
         network: PeerNetwork,
         platform: PlatformClient,
         clock: Clock,
     ) -> None:
         self._settings = settings
         self._clock = clock
-        self.board = board
+        self.gossip_state = board
         self.network = network
         self.platform = platform
         self.membership: Membership | None = None
         self.zones: tuple[str, ...] = ()
-        self.spread = Spread(
+        self.gossip = Gossip(
             board, network, settings.zone, zone_prefixes=ZONE_PREFIXES, clock=clock
         )
         self.directory = BackendDirectory(
             board, clock, settings.zone, settings.name, self.list_names
         )
-        self.post = Post(settings.name, settings.zone, self.list_names)
+        self.post = WatcherSelection(settings.name, settings.zone, self.list_names)
         self.feed = NoticeFeed(platform, self.post, board, clock)
         self.vms = VmFeed(platform, settings.zone, board, clock)
         self.loads = LoadPolls(self.directory, clock)
         self.freshness = Freshness(clock, self._list_sources)
-        self.questions = ZoneQuestions(
+        self.zone_queries = ZoneQueries(
             settings.name, self.directory, network, self._list_addresses, clock
         )
         self._zone_tasks: dict[str, gevent.Greenlet] = {}
-        desk = ZoneDesk(self.directory, lambda: self.freshness.is_fresh)
+        desk = ZoneQueryHandler(self.directory, lambda: self.freshness.is_fresh)
         network.handle(ZoneQuestion, desk.answer)
 
     @classmethod
@@ -89,7 +94,7 @@
             clock=clock,
         )
         platform = PlatformClient.from_settings(settings, role)
-        return cls(settings, NewsBoard(), network, platform, clock)
+        return cls(settings, GossipState(), network, platform, clock)
 
     def list_names(self) -> list[str]:
         """Return the names of the zone's live daemons; before the start, only this one's."""
@@ -112,9 +117,9 @@
         )
         self.membership = Membership(
             own,
-            self.board,
+            self.gossip_state,
             self.network,
-            self.spread,
+            self.gossip,
             seeds=settings.seeds,
             discover=discovery.list_addresses,
             clock=self._clock,
@@ -124,7 +129,7 @@
         spawn("freshness", self.freshness.run)
         watch_vms = Watcher("vm list", self.post, self.vms.ask, VM_LIST_INTERVAL_MS, self._clock)
         spawn("vm list", watch_vms.run)
-        spawn("notices", Watcher("notices", self.post, self.feed.ask, 0, self._clock).run)
+        spawn("notices", Watcher("notices", self.post, self.feed.read_notices, 0, self._clock).run)
         spawn("notice checks", self.feed.run_checks)
         spawn("loads", self.loads.run)
         spawn("zone questions", self._run_questions)
@@ -164,11 +169,11 @@
     def _run_questions(self) -> None:
         """Run a query task for each other zone that this daemon queries."""
         while True:
-            wanted = set(self.questions.choose_zones())
+            wanted = set(self.zone_queries.choose_zones())
             for zone in set(self._zone_tasks) - wanted:
                 self._zone_tasks.pop(zone).kill(block=False)
             for zone in wanted - set(self._zone_tasks):
-                self._zone_tasks[zone] = gevent.spawn(self.questions.run, zone)
+                self._zone_tasks[zone] = gevent.spawn(self.zone_queries.run, zone)
             self._clock.sleep_ms(ZONES_CHECK_MS)
 
     def _list_addresses(self) -> dict[str, list[str]]:
@@ -182,7 +187,7 @@
         peers = set(self._list_addresses().get(self._settings.zone, []))
         chosen = choose_sample(sorted(peers - {self.network.address}), MAX_REFRESH_PEERS)
         ask_peers: list[Refresh] = [self._make_peer_refresh(address) for address in chosen]
-        return [lambda: self.feed.ask(wait_ms=0), *ask_peers]
+        return [lambda: self.feed.read_notices(wait_ms=0), *ask_peers]
 
     def _make_peer_refresh(self, address: str) -> Refresh:
-        return lambda: self.questions.refresh_from(address)
+        return lambda: self.zone_queries.refresh_from(address)
--- a/hemlockswitch/process/freshness.py
+++ b/hemlockswitch/process/freshness.py
@@ -51,7 +51,7 @@
         self._check()
         return self._refreshed.is_set()
 
-    def await_facts(self) -> None:
+    def await_refresh(self) -> None:
         """Wait after a pause, for at most `REFRESH_TIMEOUT_MS`, until the state is refreshed."""
         if not self.is_fresh:
             self._refreshed.wait(REFRESH_TIMEOUT_MS / MS_PER_SECOND)
--- a/hemlockswitch/process/gateway/accounts.py
+++ b/hemlockswitch/process/gateway/accounts.py
@@ -156,13 +156,13 @@
             if spent_ms >= oldest_ms
         }
 
-    def pop_changed(self) -> dict[str, float]:
+    def pop_unreported(self) -> dict[str, float]:
         """Return the sums of the accounts that have spent here since the last call."""
         changed = {account: self.spent[account] for account in self._unreported}
         self._unreported.clear()
         return changed
 
-    def take_report(self, daemon: str, spent: Mapping[str, float]) -> None:
+    def apply_report(self, daemon: str, spent: Mapping[str, float]) -> None:
         """Apply another daemon's sums; `daemon` differs for each start of a process.
 
         Sums arrive over several paths; one that is lower than the recorded sum is ignored.
--- a/hemlockswitch/process/gateway/change_relay.py
+++ b/hemlockswitch/process/gateway/change_relay.py
@@ -132,5 +132,5 @@
         self._loads.apply_changes(report.name, changes, sent, order)
         self._loads.failures.apply_reported(report.name, report.results)
         process = name_process(report.name, report.incarnation)
-        self._limits.take_report(process, report.spent)
-        self._rollouts.take_told(process, report.rollouts)
+        self._limits.apply_report(process, report.spent)
+        self._rollouts.apply_reports(process, report.rollouts)
--- a/hemlockswitch/process/gateway/configuration.py
+++ b/hemlockswitch/process/gateway/configuration.py
@@ -11,7 +11,7 @@
 Decoder = Callable[[StoredObject], ServingTable]
 
 
-class TableHolder:
+class ServingTableStore:
     """Current serving table, updated from the configuration object in the object service.
 
     Parameters
--- a/hemlockswitch/process/gateway/daemon.py
+++ b/hemlockswitch/process/gateway/daemon.py
@@ -14,11 +14,11 @@
 from hemlockswitch.process.gateway.accounts import SharedLimits
 from hemlockswitch.process.gateway.adapter import Adapter
 from hemlockswitch.process.gateway.change_relay import ChangeRelay, name_process
-from hemlockswitch.process.gateway.configuration import TableHolder
+from hemlockswitch.process.gateway.configuration import ServingTableStore
 from hemlockswitch.process.gateway.duty_parts import build_duties
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.followed_objects import FollowedObjects
-from hemlockswitch.process.gateway.knowledge import Knowledge
+from hemlockswitch.process.gateway.knowledge import GatewayState
 from hemlockswitch.process.gateway.loads import ServerLoads
 from hemlockswitch.process.gateway.observation import GatewayObserver
 from hemlockswitch.process.gateway.pages import GatewayPages
@@ -29,14 +29,14 @@
 from hemlockswitch.process.gateway.reporting import ReportSchedule
 from hemlockswitch.process.gateway.reports import ReportExchange
 from hemlockswitch.process.gateway.rollouts import Rollouts
-from hemlockswitch.process.gateway.service_models import FIT_MS, ServiceModels
+from hemlockswitch.process.gateway.service_models import FIT_INTERVAL_MS, ServiceModels
 from hemlockswitch.process.gateway.suspect_exchange import SuspectExchange
-from hemlockswitch.process.gateway.true_time import TrueTime
+from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.gateway.usage import UsageCounts
 from hemlockswitch.process.gateway.view import GatewayView
 from hemlockswitch.process.quarantine.guard import Guard
-from hemlockswitch.process.quarantine.held_requests import HeldRequests
-from hemlockswitch.process.quarantine.server_ends import ServerEnds
+from hemlockswitch.process.quarantine.held_requests import QuarantineStore
+from hemlockswitch.process.quarantine.server_ends import ConnectionCrashDetector
 from hemlockswitch.process.tasks import Tasks
 from hemlockswitch.request.forwarding import Forwarder
 from hemlockswitch.request.quarantine import Quarantine
@@ -80,11 +80,11 @@
     def _build_state(self) -> None:
         """Build the local state of the daemon: configuration, backend servers, other gateways."""
         adapter, clock = self._adapter, self._clock
-        self.true_time = TrueTime()
+        self.fleet_clock = FleetClock()
         self._incarnation = time.time_ns()
         self._process = name_process(self.settings.name, self._incarnation)
         self.usage = UsageCounts(self.settings.usage_window_s, self._process)
-        self.tables = TableHolder(adapter.config_name, adapter.decode_table)
+        self.tables = ServingTableStore(adapter.config_name, adapter.decode_table)
         self.models = ServiceModels(clock)
         self.pool = BackendPool(clock, self._count_connection)
         self.registry = ServerRegistry(adapter.decode_server, clock, self._evict_server)
@@ -109,7 +109,7 @@
         )
         self.quarantine = Quarantine(clock)
         self.rollouts = self._build_rollouts()
-        self.knowledge = Knowledge(
+        self.state = GatewayState(
             tables=self.tables,
             registry=self.registry,
             fleet=self.fleet,
@@ -118,7 +118,7 @@
             models=self.models,
             rollouts=self.rollouts,
             usage=self.usage,
-            true_time=self.true_time,
+            fleet_clock=self.fleet_clock,
         )
         self.followed = FollowedObjects(
             adapter,
@@ -127,7 +127,7 @@
             self.rollouts if self.settings.rollout_share is not None else None,
             self.network,
             self.fleet,
-            self.quarantine.hash_held,
+            self.quarantine.hash_quarantined,
             clock,
         )
 
@@ -144,7 +144,7 @@
         settings, clock = self.settings, self._clock
         self.limits = SharedLimits(
             clock,
-            self.fleet.get_share,
+            self.fleet.get_connected_fraction,
             lambda: self.schedule.contended.set(),
             settings.limit_slack,
             self.fleet.get_far_period,
@@ -156,21 +156,21 @@
             settings.name,
             self._incarnation,
             self.network,
-            self.knowledge,
+            self.state,
             self.limits,
             lambda: self.duties is not None and self.duties.leads,
             self.followed.view,
             clock,
         )
         self.schedule = ReportSchedule(self.reports, self.fleet, self.followed.guard, clock)
-        self.observer = GatewayObserver(self.usage, self.true_time, clock)
+        self.observer = GatewayObserver(self.usage, self.fleet_clock, clock)
         self.budget = RepeatBudget(
             settings.repeat_ratio,
             settings.repeat_extra,
             settings.repeat_window_s * MS_PER_SECOND,
             clock,
         )
-        view = GatewayView(self.knowledge, self._readiness, self.schedule.note_large_prompt, clock)
+        view = GatewayView(self.state, self._readiness, self.schedule.report_large_prompt, clock)
         self._build_guard()
         self.forwarder = Forwarder(
             self._adapter.dialect,
@@ -190,8 +190,8 @@
         self.suspects = SuspectExchange(self.network, self.fleet, quarantine, clock)
         self.guard = Guard(
             quarantine,
-            ServerEnds(self.registry.is_live, self.prober.refuses, clock),
-            HeldRequests(self._process, quarantine, self._adapter.store, clock),
+            ConnectionCrashDetector(self.registry.is_live, self.prober.refuses, clock),
+            QuarantineStore(self._process, quarantine, self._adapter.store, clock),
             self.suspects,
             lambda: self.duties is not None and self.duties.leads,
             clock,
@@ -205,7 +205,7 @@
         self.duties = build_duties(
             self.settings,
             self._adapter,
-            self.knowledge,
+            self.state,
             self.followed,
             lambda: self.network.address,
             self.reports.announce,
@@ -242,7 +242,7 @@
         page_addresses = self.pages.start()
         for follower in self.followed.followers:
             self._tasks.spawn(follower.kind, follower.run)
-        for kind, refresher in self.followed.keepers.items():
+        for kind, refresher in self.followed.refreshers.items():
             self._tasks.spawn(f"freshness of {kind}", refresher.run)
         for name, run in self._list_tasks().items():
             self._tasks.spawn(name, run)
@@ -321,24 +321,24 @@
         while True:
             self.fleet.refresh(self._adapter.store)
             if self.duties is not None and self.duties.leads:
-                self.fleet.remove_gone(self._adapter.store)
+                self.fleet.remove_expired(self._adapter.store)
             self._clock.sleep_ms(self.fleet.get_list_period_ms())
 
     def _sweep(self) -> None:
         while True:
             self._clock.sleep_ms(SWEEP_INTERVAL_MS)
             self.pool.sweep()
-            self.true_time.hear(self.fleet.list_opinions())
+            self.fleet_clock.apply_estimates(self.fleet.list_time_estimates())
 
     def _fit_models(self) -> None:
         while True:
-            self._clock.sleep_ms(FIT_MS)
+            self._clock.sleep_ms(FIT_INTERVAL_MS)
             self.models.fit()
 
     def _evict_server(self, server: BackendServer) -> None:
         self.pool.forget(server.address)
-        self.reachability.forget(server)
-        self.loads.forget(server.incarnation)
+        self.reachability.evict(server)
+        self.loads.evict(server.incarnation)
 
     def _count_connection(self, _address: str) -> None:
         self.observer.metrics.connections += 1
--- a/hemlockswitch/process/gateway/duties.py
+++ b/hemlockswitch/process/gateway/duties.py
@@ -9,7 +9,7 @@
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.gateway.rollout_duty import RolloutDuty
 from hemlockswitch.process.gateway.scaling import ScalingDuty
-from hemlockswitch.process.gateway.true_time import TrueTime
+from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.gateway.usage import UsageDuty
 from hemlockswitch.process.gateway.usage_keeper import SAVE_INTERVAL_MS, UsageStore, save_or_log
 from hemlockswitch.process.lease import Lease, LeaseError, LeaseTimes
@@ -69,7 +69,7 @@
         usage_store: UsageStore,
         rollouts: RolloutDuty,
         peers: PeerLeadership,
-        true_time: TrueTime,
+        fleet_clock: FleetClock,
         clock: Clock,
         announce: Callable[[], None] = lambda: None,
     ) -> None:
@@ -80,7 +80,7 @@
         self._usage_store = usage_store
         self._rollouts = rollouts
         self._peers = peers
-        self._true_time = true_time
+        self._fleet_clock = fleet_clock
         self._clock = clock
         self._was_held = False
         self._is_released = False
@@ -96,7 +96,7 @@
             if not self._lease.is_held and self._peers.has_other_leader():
                 self._clock.sleep_ms(TURN_INTERVAL_MS)
                 continue
-            pause_ms = self._lease.take_turn()
+            pause_ms = self._lease.run_step()
             if self._is_released:
                 # The call was in progress when the process was asked to stop.
                 self._lease.release()
@@ -120,7 +120,7 @@
             self._scaling.take_over()
             self._usage_store.take_over()
             self._rollouts.take_over()
-            self._usage.take_over(self._true_time.now_ms())
+            self._usage.take_over(self._fleet_clock.now_ms())
         for duty in (self._close_rollouts, self._order_copies, self._report_usage):
             try:
                 duty()
@@ -153,5 +153,5 @@
         self._scaling.take_turn(self._lease.get_fencing)
 
     def _report_usage(self) -> None:
-        for window in self._usage.list_due(self._true_time.now_ms()):
+        for window in self._usage.list_due(self._fleet_clock.now_ms()):
             self._usage.report(window, self._lease.get_fencing)
--- a/hemlockswitch/process/gateway/duty_parts.py
+++ b/hemlockswitch/process/gateway/duty_parts.py
@@ -6,7 +6,7 @@
 from hemlockswitch.process.gateway.adapter import Adapter
 from hemlockswitch.process.gateway.duties import LEASE_NAME, DutyRunner, make_lease_times
 from hemlockswitch.process.gateway.followed_objects import FollowedObjects
-from hemlockswitch.process.gateway.knowledge import Knowledge
+from hemlockswitch.process.gateway.knowledge import GatewayState
 from hemlockswitch.process.gateway.planned_copies import PlannedCopies
 from hemlockswitch.process.gateway.rollout_duty import RolloutDuty
 from hemlockswitch.process.gateway.scaling import ScalingApi, ScalingDuty
@@ -19,7 +19,7 @@
 def build_duties(
     settings: GatewaySettings,
     adapter: Adapter,
-    knowledge: Knowledge,
+    state: GatewayState,
     followed: FollowedObjects,
     get_address: Callable[[], str],
     announce: Callable[[], None],
@@ -36,7 +36,7 @@
     api, store = adapter.duty_api, adapter.store
     if api is None:
         return None
-    fleet = knowledge.fleet
+    fleet = state.fleet
     lease = Lease(
         store,
         clock,
@@ -46,15 +46,15 @@
         fleet.count_daemons,
         get_address,
     )
-    usage_store = UsageStore(knowledge.usage, store, clock)
+    usage_store = UsageStore(state.usage, store, clock)
     return DutyRunner(
         lease,
-        UsageDuty(knowledge.usage, store, api, usage_store.load, fleet.get_usage_period),
-        _build_scaling(settings, api, knowledge, followed, clock),
+        UsageDuty(state.usage, store, api, usage_store.load, fleet.get_usage_period),
+        _build_scaling(settings, api, state, followed, clock),
         usage_store,
-        _build_rollouts(adapter, knowledge, clock),
+        _build_rollouts(adapter, state, clock),
         fleet,
-        knowledge.true_time,
+        state.fleet_clock,
         clock,
         announce,
     )
@@ -63,7 +63,7 @@
 def _build_scaling(
     settings: GatewaySettings,
     api: ScalingApi,
-    knowledge: Knowledge,
+    knowledge: GatewayState,
     followed: FollowedObjects,
     clock: Clock,
 ) -> ScalingDuty:
@@ -77,14 +77,14 @@
         planned.list_servers,
         planned.measure_demand,
         lambda service: knowledge.models.get(service).tokens_per_ms,
-        followed.knows_all_servers,
-        followed.knows_most_servers,
+        followed.has_all_servers,
+        followed.has_most_servers,
         clock,
         knowledge.rollouts.is_moving,
     )
 
 
-def _build_rollouts(adapter: Adapter, knowledge: Knowledge, clock: Clock) -> RolloutDuty:
+def _build_rollouts(adapter: Adapter, knowledge: GatewayState, clock: Clock) -> RolloutDuty:
     return RolloutDuty(
         knowledge.rollouts,
         adapter.store,
@@ -92,6 +92,6 @@
         adapter.encode_rollout_status,
         knowledge.registry.list_all,
         knowledge.loads.count_running,
-        knowledge.true_time,
+        knowledge.fleet_clock,
         clock,
     )
--- a/hemlockswitch/process/gateway/fleet.py
+++ b/hemlockswitch/process/gateway/fleet.py
@@ -81,7 +81,7 @@
         """Apply a complete list of registrations; gateways that report without being listed stay."""
         self.is_listed = True
         listed = {item.name for item in page.items}
-        connected = {peer.name for peer in self.list_heard()}
+        connected = {peer.name for peer in self.list_connected()}
         for item in page.items:
             if item.name == self.name:
                 self._apply_own(item)
@@ -127,7 +127,7 @@
             self.own_version = outcome.version or None
         return False
 
-    def remove_gone(self, store: ListedStore) -> None:
+    def remove_expired(self, store: ListedStore) -> None:
         """Remove the registrations of gateways that have been unresponsive for `GATEWAY_REMOVAL_DELAY_MS`.
 
         Called by the holder of the duties. A gateway that was only cut off for this long finds its
@@ -155,7 +155,7 @@
         self._peer_groups = None
         self._connected = None
 
-    def note_report(self, address: str, report: GatewayReport, view: StoreView) -> None:
+    def record_report(self, address: str, report: GatewayReport, view: StoreView) -> None:
         """Record another gateway's report, and add the gateway if it has not been listed yet."""
         peer = self._peers.get(report.name)
         if peer is None:
@@ -222,7 +222,7 @@
         zones.pop("", None)
         return [draw_relays(peers, oldest_ms) for peers in zones.values()]
 
-    def list_heard(self) -> list[Peer]:
+    def list_connected(self) -> list[Peer]:
         """Return the connected gateways: those that were received from recently."""
         now_ms = self._clock.now_ms()
         if self._connected is None or now_ms - self._connected_listed_ms > CONNECTED_CACHE_MS:
@@ -253,13 +253,13 @@
         }
         return [peer for peer in received if peer.zone not in unresponsive]
 
-    def get_share(self) -> float:
+    def get_connected_fraction(self) -> float:
         """Return the fraction of the fleet that is connected to this gateway, which is included."""
-        return self.count_in_touch() / self.count_daemons()
+        return self.count_connected() / self.count_daemons()
 
-    def count_in_touch(self) -> int:
+    def count_connected(self) -> int:
         """Return the number of connected gateways, including this one."""
-        return len(self.list_heard()) + 1
+        return len(self.list_connected()) + 1
 
     def count_daemons(self) -> int:
         """Return the number of gateways that are registered or report, including this one."""
@@ -298,15 +298,15 @@
 
     def sum_demand(self, service: str) -> float:
         """Return the demand of a service that the connected gateways report, summed up."""
-        reports = [peer.report for peer in self.list_heard() if peer.report is not None]
+        reports = [peer.report for peer in self.list_connected() if peer.report is not None]
         return sum(report.demand.get(service, 0.0) for report in reports)
 
-    def list_opinions(self) -> dict[str, float]:
+    def list_time_estimates(self) -> dict[str, float]:
         """Return the present wall-clock time by the estimate of each connected gateway."""
         now_ms = self._clock.now_ms()
         return {
             peer.name: peer.report.believed_ms + now_ms - peer.reported_ms
-            for peer in self.list_heard()
+            for peer in self.list_connected()
             if peer.report is not None
         }
 
--- a/hemlockswitch/process/gateway/followed_objects.py
+++ b/hemlockswitch/process/gateway/followed_objects.py
@@ -11,7 +11,7 @@
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.process.gateway.adapter import Adapter
-from hemlockswitch.process.gateway.configuration import TableHolder
+from hemlockswitch.process.gateway.configuration import ServingTableStore
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.follower import (
     WATCH_WAIT_MS,
@@ -60,7 +60,7 @@
     def __init__(
         self,
         adapter: Adapter,
-        tables: TableHolder,
+        tables: ServingTableStore,
         registry: ServerRegistry,
         rollouts: Rollouts | None,
         network: PeerNetwork,
@@ -101,7 +101,7 @@
         followers = {one.kind: one for one in self.followers}
         exchange = ConfirmationExchange(network, fleet, followers, self._transits, clock)
         find_scope = self.watchers.find_query_scope
-        self.keepers = {
+        self.refreshers = {
             kind: ViewRefresher(one, find_scope, exchange.send, clock)
             for kind, one in followers.items()
         }
@@ -128,11 +128,11 @@
         """Whether a configuration is in force, and all followed kinds have been listed."""
         return self._tables.current is not None and all(one.is_synced for one in self.followers)
 
-    def knows_all_servers(self) -> bool:
+    def has_all_servers(self) -> bool:
         """Return whether the registry has been followed long enough to contain every server."""
         return self._registry.is_complete(self.servers.first_synced_ms)
 
-    def knows_most_servers(self) -> bool:
+    def has_most_servers(self) -> bool:
         """Return whether the registry has been followed for at least one heartbeat interval."""
         return self._registry.is_mostly_filled(self.servers.first_synced_ms)
 
@@ -190,6 +190,6 @@
 
     def _get_settle_ms(self) -> float:
         """Return how long changes of the registry may gather."""
-        if not self.knows_all_servers():
+        if not self.has_all_servers():
             return MAX_SETTLE_MS
         return SETTLE_MS if self.watchers.is_watcher() else 0.0
--- a/hemlockswitch/process/gateway/knowledge.py
+++ b/hemlockswitch/process/gateway/knowledge.py
@@ -2,19 +2,19 @@
 
 from dataclasses import dataclass
 
-from hemlockswitch.process.gateway.configuration import TableHolder
+from hemlockswitch.process.gateway.configuration import ServingTableStore
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.loads import ServerLoads
 from hemlockswitch.process.gateway.reachability import Reachability
 from hemlockswitch.process.gateway.registry import ServerRegistry
 from hemlockswitch.process.gateway.rollouts import Rollouts
 from hemlockswitch.process.gateway.service_models import ServiceModels
-from hemlockswitch.process.gateway.true_time import TrueTime
+from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.gateway.usage import UsageCounts
 
 
 @dataclass(frozen=True)
-class Knowledge:
+class GatewayState:
     """The components that store the local state of a gateway.
 
     Parameters
@@ -28,10 +28,10 @@
     models : the fitted models of the services.
     rollouts : the orders that move services to other versions.
     usage : the counts for the usage reports.
-    true_time : the estimate of the wall-clock time.
+    fleet_clock : the estimate of the wall-clock time.
     """
 
-    tables: TableHolder
+    tables: ServingTableStore
     registry: ServerRegistry
     fleet: Fleet
     reachability: Reachability
@@ -39,4 +39,4 @@
     models: ServiceModels
     rollouts: Rollouts
     usage: UsageCounts
-    true_time: TrueTime
+    fleet_clock: FleetClock
--- a/hemlockswitch/process/gateway/known_versions.py
+++ b/hemlockswitch/process/gateway/known_versions.py
@@ -12,7 +12,7 @@
 """Minimum time between two lists of the rollout orders because of a version that no order names."""
 
 
-class KnownVersions:
+class AdmittedVersions:
     """The versions that may get requests without a rollout order, by service.
 
     Explanation
@@ -37,7 +37,7 @@
         self._listed_ms = float("-inf")
         self._refreshed_ms = float("-inf")
 
-    def note_listed(self) -> None:
+    def record_listed(self) -> None:
         """Record that all rollout orders have just been listed."""
         self._listed_ms = self._clock.now_ms()
 
--- a/hemlockswitch/process/gateway/loads.py
+++ b/hemlockswitch/process/gateway/loads.py
@@ -17,8 +17,8 @@
 )
 from hemlockswitch.request.dialect import Chain, Prompt
 from hemlockswitch.request.engine_model import PRIOR
-from hemlockswitch.request.homes import NO_HOME, Homes
-from hemlockswitch.request.placement import HOMES_CONSIDERED, Candidate, draw_considered
+from hemlockswitch.request.homes import NOT_PREFERRED, PreferredServers
+from hemlockswitch.request.placement import PREFERRED_CONSIDERED, Candidate, sample_servers
 from hemlockswitch.version.backend import BackendServer
 
 MAX_RECORDED_PREFIXES = 4_096
@@ -96,7 +96,7 @@
         self._waiting_tokens = waiting_tokens
         self._on_begun = on_begun
 
-    def note_first_event(self, *, succeeds: bool = True) -> None:
+    def record_first_event(self, *, succeeds: bool = True) -> None:
         """Record that the server has read the prompt; `succeeds` unless the answer is a failure."""
         if succeeds:
             self._on_begun()
@@ -106,7 +106,7 @@
     def end(self, failed: bool) -> None:
         """Record the end of the send attempt."""
         self._loads.add(self._name, -1, -self._waiting_tokens)
-        self._loads.note_result(self._name, failed)
+        self._loads.record_result(self._name, failed)
 
 
 @dataclass(frozen=True)
@@ -149,7 +149,7 @@
         self._cached_prefixes: dict[str, CachedPrefixes] = {}
         self._demand: dict[str, DemandMeter] = {}
         self._reported = ReportedLoads(clock, get_period)
-        self._homes: dict[str, Homes] = defaultdict(Homes)
+        self._homes: dict[str, PreferredServers] = defaultdict(PreferredServers)
         self._begun_ms = clock.now_ms()
         self._unreported_prompts: deque[SentPrompt] = deque(maxlen=MAX_REPORTED_PROMPTS)
 
@@ -179,11 +179,11 @@
         self._unreported_loads.add(name)
         self._on_change()
 
-    def note_result(self, name: str, failed: bool) -> None:
+    def record_result(self, name: str, failed: bool) -> None:
         """Record the result of a send attempt."""
         self.failures.record_own(name, failed=failed)
 
-    def forget(self, name: str) -> None:
+    def evict(self, name: str) -> None:
         """Discard the state of a removed server, except its send attempts in progress."""
         self.failures.evict(name)
         self._unreported_loads.discard(name)
@@ -236,7 +236,7 @@
         self._unreported_prompts.clear()
         return sent
 
-    def take_report(
+    def apply_report(
         self,
         daemon: str,
         report: Mapping[str, ServerLoad],
@@ -268,7 +268,7 @@
         prompt: Prompt | None,
         tokens_per_ms: float = PRIOR.tokens_per_ms,
         find_distance_ms: Callable[[str], float] = lambda _: 0.0,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> list[Candidate]:
         """Return the servers to compare for a request, with their load.
 
@@ -281,13 +281,13 @@
         chance : draws the servers that are compared for a prompt; None to compare all.
         """
         ranks = self._rank_preferred_servers(servers, prompt)
-        if prompt is not None and chance is not None:
+        if prompt is not None and rng is not None:
             likely = self._list_caching_servers(prompt)
-            likely |= {name for name, rank in ranks.items() if rank < HOMES_CONSIDERED}
-            servers = draw_considered(
+            likely |= {name for name, rank in ranks.items() if rank < PREFERRED_CONSIDERED}
+            servers = sample_servers(
                 servers,
                 lambda server: server.name in likely or server.incarnation in likely,
-                chance,
+                rng,
             )
         reported = self._reported.sum_loads({server.incarnation for server in servers})
         comparison = _Look(prompt, ranks, reported, tokens_per_ms, find_distance_ms)
@@ -321,7 +321,7 @@
             cached_tokens=(
                 self._count_cached(name, comparison.prompt) if comparison.prompt else None
             ),
-            home_rank=comparison.ranks.get(server.name, NO_HOME),
+            preference_rank=comparison.ranks.get(server.name, NOT_PREFERRED),
             distance_ms=comparison.find_distance_ms(server.zone),
             failure_rate=self.failures.get_rate(name),
         )
--- a/hemlockswitch/process/gateway/observation.py
+++ b/hemlockswitch/process/gateway/observation.py
@@ -4,7 +4,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.gateway.metrics import GatewayMetrics
-from hemlockswitch.process.gateway.true_time import TrueTime
+from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.gateway.usage import UsageCounts
 from hemlockswitch.request.progress import Progress
 from hemlockswitch.request.send_states import SendFailure
@@ -48,14 +48,14 @@
     ==========
 
     usage : counts the requests that began to run.
-    true_time : source of the wall-clock time by which usage is counted.
+    fleet_clock : source of the wall-clock time by which usage is counted.
     clock : source of the monotonic time.
     """
 
-    def __init__(self, usage: UsageCounts, true_time: TrueTime, clock: Clock) -> None:
+    def __init__(self, usage: UsageCounts, fleet_clock: FleetClock, clock: Clock) -> None:
         self.metrics = GatewayMetrics()
         self._usage = usage
-        self._true_time = true_time
+        self._fleet_clock = fleet_clock
         self._clock = clock
         self._line_limiter = LineRateLimiter(clock)
 
@@ -80,7 +80,7 @@
         waited_ms = progress.began_ms - progress.request.received_ms
         self.metrics.begun[admitted.route.name].observe(waited_ms)
         if admitted.account is not None:
-            self._usage.count(self._true_time.now_ms(), admitted.account.name)
+            self._usage.count(self._fleet_clock.now_ms(), admitted.account.name)
 
     def request_ended(self, progress: Progress) -> None:
         """Count and log a request that has ended."""
--- a/hemlockswitch/process/gateway/reachability.py
+++ b/hemlockswitch/process/gateway/reachability.py
@@ -249,7 +249,7 @@
                 chosen += random.sample(suspects, min(MAX_PROBES_PER_ZONE, len(suspects)))
         return chosen
 
-    def forget(self, server: BackendServer) -> None:
+    def evict(self, server: BackendServer) -> None:
         """Discard the state of a removed server."""
         self._suspects.pop(server.incarnation, None)
         self._reached_ms.pop(server.incarnation, None)
--- a/hemlockswitch/process/gateway/readiness.py
+++ b/hemlockswitch/process/gateway/readiness.py
@@ -7,7 +7,7 @@
 from hemlockswitch.core.logs import log_event
 
 SYNC_POLL_INTERVAL_MS = 10.0
-LONGEST_START_MS = 3_000.0
+MAX_START_MS = 3_000.0
 """A gateway that has not received its initial state after this time is waiting for the end of an outage,
 not for a list in transit."""
 
@@ -28,7 +28,7 @@
     def __init__(self, is_synced: Callable[[], bool], clock: Clock) -> None:
         self._is_synced = is_synced
         self._clock = clock
-        self._start_deadline_ms = clock.now_ms() + LONGEST_START_MS
+        self._start_deadline_ms = clock.now_ms() + MAX_START_MS
         self._was_synced = False
         self._is_stopping = False
         self._was_ready = False
--- a/hemlockswitch/process/gateway/registry.py
+++ b/hemlockswitch/process/gateway/registry.py
@@ -198,7 +198,7 @@
             self._digest = xxhash.xxh32_intdigest("\n".join(states).encode())
         return self._digest
 
-    def note_misdirected(self, name: str) -> None:
+    def record_misdirected(self, name: str) -> None:
         """Exclude for `MISDIRECTED_EXCLUSION_MS` a server whose address now belongs to another server."""
         self._misdirected_until_ms[name] = self._clock.now_ms() + MISDIRECTED_EXCLUSION_MS
 
--- a/hemlockswitch/process/gateway/report_period.py
+++ b/hemlockswitch/process/gateway/report_period.py
@@ -54,10 +54,10 @@
 """Period of usage reports, and the maximum number of them per second at the one gateway that receives them
 all. What a killed gateway has counted since its last usage report is lost."""
 SETTLE_REPORTS = 2.0
-LEAST_SETTLE_MS = 2_000.0
+MIN_SETTLE_MS = 2_000.0
 """A window of usage is reported this number of periods, and at least this time, after its end: by then two
 reports of every gateway have arrived."""
-LEAST_TAKEOVER_MS = 1_500.0
+MIN_TAKEOVER_MS = 1_500.0
 TAKEOVER_MARGIN_MS = 300.0
 """A new holder of the duties waits for a usage period and this margin, and at least this time, before its
 first usage report: it announces itself to the others, and they send it their counts within a period."""
@@ -154,9 +154,9 @@
     @property
     def settle_ms(self) -> float:
         """The time after its end at which a window's counts are complete."""
-        return max(LEAST_SETTLE_MS, SETTLE_REPORTS * self.ms)
+        return max(MIN_SETTLE_MS, SETTLE_REPORTS * self.ms)
 
     @property
     def takeover_ms(self) -> float:
         """The time after which a new holder of the duties has received the counts of all gateways."""
-        return max(LEAST_TAKEOVER_MS, self.ms + TAKEOVER_MARGIN_MS)
+        return max(MIN_TAKEOVER_MS, self.ms + TAKEOVER_MARGIN_MS)
--- a/hemlockswitch/process/gateway/reported_loads.py
+++ b/hemlockswitch/process/gateway/reported_loads.py
@@ -6,7 +6,7 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.process.gateway.report_period import ReportPeriod
 
-FRESH_MS = 500.0
+FRESH_REPORT_MS = 500.0
 """The waiting tokens of a report younger than this count in full. Changed loads are reported within less
 time, so these tokens still wait; only an older report comes from a gateway that cannot send, and the server
 has read on since. Subtracting the tokens read since the report from the first moment on served 0.915 of the
@@ -32,7 +32,7 @@
     Parameters
     ==========
 
-    token_ages : by server, the sum of each report's waiting tokens times its age beyond `FRESH_MS`.
+    token_ages : by server, the sum of each report's waiting tokens times its age beyond `FRESH_REPORT_MS`.
 
     The sums are plain numbers because the loads of all daemons are added up for each request: building
     `ServerLoad` objects would take half of the time of a placement.
@@ -55,7 +55,7 @@
     ) -> None:
         """Add one daemon's load on the servers in `names`, or on all servers."""
         running, waiting_tokens, token_ages = self.running, self.waiting_tokens, self.token_ages
-        stale_ms = max(age_ms - FRESH_MS, 0.0)
+        stale_ms = max(age_ms - FRESH_REPORT_MS, 0.0)
         for name in loads if names is None else loads.keys() & names:
             load = loads[name]
             running[name] = running.get(name, 0) + load.running
--- a/hemlockswitch/process/gateway/reporting.py
+++ b/hemlockswitch/process/gateway/reporting.py
@@ -47,7 +47,7 @@
         self._watch_guard = watch_guard
         self._clock = clock
 
-    def note_large_prompt(self) -> None:
+    def report_large_prompt(self) -> None:
         """Report at once after sending a prompt that keeps a server busy for long (small fleet only)."""
         if not self._fleet.reports_by_zone:
             self._urgent.set()
@@ -60,7 +60,7 @@
             self._urgent.wait((period.ms - period.urgent_gap_ms) / MS_PER_SECOND)
             self._urgent.clear()
             self._reports.send_near()
-            self._watch_guard.compare([peer.view for peer in self._fleet.list_heard()])
+            self._watch_guard.compare([peer.view for peer in self._fleet.list_connected()])
 
     def send_far(self) -> None:
         """Report to the far gateways until the task is killed.
--- a/hemlockswitch/process/gateway/reports.py
+++ b/hemlockswitch/process/gateway/reports.py
@@ -22,7 +22,7 @@
     send_to_first,
     write_loads,
 )
-from hemlockswitch.process.gateway.knowledge import Knowledge
+from hemlockswitch.process.gateway.knowledge import GatewayState
 from hemlockswitch.process.gateway.messages import (
     ChangeReport,
     GatewayReport,
@@ -56,7 +56,7 @@
         name: str,
         incarnation: int,
         network: PeerNetwork,
-        state: Knowledge,
+        state: GatewayState,
         limits: SharedLimits,
         leads: Callable[[], bool],
         get_view: Callable[[], StoreView],
@@ -69,7 +69,7 @@
         self._loads = state.loads
         self._limits = limits
         self._usage = state.usage
-        self._true_time = state.true_time
+        self._fleet_clock = state.fleet_clock
         self._leads = leads
         self._reachability = state.reachability
         self._models = state.models
@@ -105,9 +105,9 @@
             self._next_number(),
             write_loads(self._loads.pop_changed()),
             self._pop_sent(),
-            self._limits.pop_changed(),
+            self._limits.pop_unreported(),
             self._loads.failures.pop_unreported(),
-            self._rollouts.pop_changed(leads=self._leads()),
+            self._rollouts.pop_changed_reports(leads=self._leads()),
         )
         for relays in self._fleet.draw_relays():
             send_to_first(self._network, relays, change)
@@ -115,11 +115,13 @@
     def send_spending(self) -> None:
         """Send the spending of the accounts to every connected gateway."""
         spent = self._limits.describe_spent()
-        self._send(self._fleet.list_heard(), SpendingReport(self._name, self._incarnation, spent))
+        self._send(
+            self._fleet.list_connected(), SpendingReport(self._name, self._incarnation, spent)
+        )
 
     def send_usage(self) -> None:
         """Send the usage counts to the holder of the duties."""
-        holders = [one for one in self._fleet.list_heard() if one.report and one.report.leads]
+        holders = [one for one in self._fleet.list_connected() if one.report and one.report.leads]
         if holders:
             usage = self._usage.describe_own()
             self._send(holders, UsageReport(self._name, self._incarnation, usage))
@@ -139,7 +141,7 @@
         return GatewayReport(
             name=self._name,
             incarnation=self._incarnation,
-            believed_ms=self._true_time.now_ms(),
+            believed_ms=self._fleet_clock.now_ms(),
             loads=write_loads(self._loads.describe_own()),
             demand=self._loads.measure_own_demand(),
             spent=self._limits.describe_spent(),
@@ -156,20 +158,20 @@
             period_ms=period.ms,
             link_mbps=self._fleet.link_mbps,
             held_digest=view.held_digest,
-            rollouts=self._rollouts.write_all(leads=self._leads()),
+            rollouts=self._rollouts.make_reports(leads=self._leads()),
             view_age_ms=round(view.age_ms),
         )
 
     def _apply_report(self, address: str, report: GatewayReport) -> None:
-        self._fleet.note_report(address, report, self._read_view(report))
+        self._fleet.record_report(address, report, self._read_view(report))
         order = (report.incarnation, report.number)
-        self._loads.take_report(
+        self._loads.apply_report(
             report.name, read_loads(report.loads), read_sent(report.sent), order
         )
         process = name_process(report.name, report.incarnation)
-        self._limits.take_report(process, report.spent)
-        self._rollouts.take_told(process, report.rollouts)
-        self._models.take_report(report.name, report.models)
+        self._limits.apply_report(process, report.spent)
+        self._rollouts.apply_reports(process, report.rollouts)
+        self._models.apply_report(report.name, report.models)
         self._reachability.record_report(report.zone, report.name, report.period_ms)
         servers = self._list_servers() if report.unreachable else ()
         self._reachability.apply_unreachable(report.zone, report.unreachable, servers)
@@ -197,7 +199,7 @@
         )
 
     def _apply_spending(self, _address: str, report: SpendingReport) -> None:
-        self._limits.take_report(name_process(report.name, report.incarnation), report.spent)
+        self._limits.apply_report(name_process(report.name, report.incarnation), report.spent)
 
     def _apply_usage(self, _address: str, report: UsageReport) -> None:
-        self._usage.take_report(name_process(report.name, report.incarnation), report.usage)
+        self._usage.apply_report(name_process(report.name, report.incarnation), report.usage)
--- a/hemlockswitch/process/gateway/rollout_duty.py
+++ b/hemlockswitch/process/gateway/rollout_duty.py
@@ -11,7 +11,7 @@
     MIN_MOVE_MS,
     RolloutProgress,
 )
-from hemlockswitch.process.gateway.true_time import TrueTime
+from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.request.rollout_verdict import Verdict
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.rollout import OrderIdentity, RolloutOrder, RolloutState
@@ -51,7 +51,7 @@
     encode_status : returns the status to write for a state.
     list_servers : returns the registered backend servers.
     count_running : returns the number of requests in progress on given servers, over all gateways.
-    true_time : source of the wall-clock time.
+    fleet_clock : source of the wall-clock time.
     clock : source of the monotonic time.
     """
 
@@ -63,7 +63,7 @@
         encode_status: Callable[[RolloutOrder, RolloutState], dict[str, Any]],
         list_servers: Callable[[], list[BackendServer]],
         count_running: Callable[[Collection[str]], int],
-        true_time: TrueTime,
+        fleet_clock: FleetClock,
         clock: Clock,
     ) -> None:
         self._rollouts = rollouts
@@ -72,7 +72,7 @@
         self._encode_status = encode_status
         self._list_servers = list_servers
         self._count_running = count_running
-        self._true_time = true_time
+        self._fleet_clock = fleet_clock
         self._clock = clock
         self._recorded: set[OrderIdentity] = set()
         self._found_good: set[OrderIdentity] = set()
@@ -104,7 +104,7 @@
         """Store when the order began, or read the record that an earlier holder stored."""
         order = progress.order
         now_ms = self._clock.now_ms()
-        began_unix_ms = self._true_time.now_ms() - progress.get_age_ms(now_ms)
+        began_unix_ms = self._fleet_clock.now_ms() - progress.get_age_ms(now_ms)
         value = {
             "target": order.target,
             "created": order.created,
@@ -114,7 +114,7 @@
         if found is None:
             outcome = self._store.create(RECORD_KIND, order.service, value)
         elif _belongs_to_order(found.value, order):
-            progress.record_age(self._true_time.now_ms() - found.value["began_unix_ms"], now_ms)
+            progress.record_age(self._fleet_clock.now_ms() - found.value["began_unix_ms"], now_ms)
             self._recorded.add(order.identity)
             if found.value.get("found_good") is True:
                 self._found_good.add(order.identity)
--- a/hemlockswitch/process/gateway/rollout_progress.py
+++ b/hemlockswitch/process/gateway/rollout_progress.py
@@ -178,7 +178,7 @@
 
     def charge(self, route: str, now_ms: float) -> None:
         """Charge the credit for a request that is about to be sent to the new version."""
-        self._credit.pay(route)
+        self._credit.spend(route)
         self._last_trial_ms = now_ms
         self.sent_to_target += 1
 
--- a/hemlockswitch/process/gateway/rollout_sends.py
+++ b/hemlockswitch/process/gateway/rollout_sends.py
@@ -137,7 +137,7 @@
         return self._clock.now_ms() - self._began_ms
 
 
-class ObservedTicket:
+class RolloutTicket:
     """Send ticket that also reports the result to the rollout order.
 
     Parameters
@@ -151,10 +151,10 @@
         self._ticket = ticket
         self._attempt = attempt
 
-    def note_first_event(self, *, succeeds: bool) -> None:
+    def record_first_event(self, *, succeeds: bool) -> None:
         """Record that the answer has begun."""
         self._attempt.record_answer(succeeds=succeeds)
-        self._ticket.note_first_event(succeeds=succeeds)
+        self._ticket.record_first_event(succeeds=succeeds)
 
     def end(self, failed: bool) -> None:
         """Record that the attempt has ended."""
--- a/hemlockswitch/process/gateway/rollouts.py
+++ b/hemlockswitch/process/gateway/rollouts.py
@@ -17,7 +17,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.identifiers import hash_stable, rank_rendezvous
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.gateway.known_versions import KnownVersions
+from hemlockswitch.process.gateway.known_versions import AdmittedVersions
 from hemlockswitch.process.gateway.messages import RolloutFields
 from hemlockswitch.process.gateway.rollout_progress import RolloutProgress
 from hemlockswitch.process.gateway.rollout_sends import RolloutAttempt, SendLimits
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class SendWish:
+class SendProperties:
     """Properties of a request that decide which version it may be sent to.
 
     Parameters
@@ -90,7 +90,7 @@
         clock: Clock,
         chance: random.Random | None = None,
     ) -> None:
-        self.versions = KnownVersions(clock)
+        self.versions = AdmittedVersions(clock)
         self._decode = decode
         self._bound = bound
         self._count_daemons = count_daemons
@@ -101,7 +101,7 @@
 
     def replace_all(self, page: ObjectPage) -> None:
         """Apply a complete list of orders; orders that are not on it are withdrawn."""
-        self.versions.note_listed()
+        self.versions.record_listed()
         listed = {item.name for item in page.items if not item.deleted}
         for service in [name for name in self._progress if name not in listed]:
             self._withdraw(service)
@@ -123,7 +123,7 @@
             return
         current = self._progress.get(order.service)
         if current is not None and current.order.identity == order.identity:
-            self._take_state(current, order)
+            self._apply_state(current, order)
             return
         if current is not None:
             self._withdraw(order.service)
@@ -139,7 +139,7 @@
             state=order.state.value if order.state else "",
         )
 
-    def _take_state(self, progress: RolloutProgress, order: RolloutOrder) -> None:
+    def _apply_state(self, progress: RolloutProgress, order: RolloutOrder) -> None:
         """Apply the state read for an order; a final state is never replaced."""
         if progress.order.is_final:
             return
@@ -183,7 +183,7 @@
             return not is_in_force
         return self.versions.is_withheld(server)
 
-    def select(self, request: SendWish, servers: list[BackendServer]) -> list[BackendServer]:
+    def select(self, request: SendProperties, servers: list[BackendServer]) -> list[BackendServer]:
         """Return the servers, out of a service's `servers`, that a request may be sent to."""
         if self._bound is None:
             return servers
@@ -199,7 +199,7 @@
         return self._select_by_order(progress, request, _ServersByVersion(target, others))
 
     def _select_by_order(
-        self, progress: RolloutProgress, request: SendWish, listed: _ServersByVersion
+        self, progress: RolloutProgress, request: SendProperties, listed: _ServersByVersion
     ) -> list[BackendServer]:
         if progress.order.state is RolloutState.COMPLETED:
             return listed.target or listed.others
@@ -214,7 +214,7 @@
         return chosen
 
     def _select_open(
-        self, progress: RolloutProgress, request: SendWish, listed: _ServersByVersion
+        self, progress: RolloutProgress, request: SendProperties, listed: _ServersByVersion
     ) -> list[BackendServer]:
         """Return the candidate servers of a request while the order is open."""
         now_ms = self._clock.now_ms()
@@ -228,7 +228,7 @@
         return listed.others
 
     def _select_trial(
-        self, progress: RolloutProgress, request: SendWish, target: list[BackendServer]
+        self, progress: RolloutProgress, request: SendProperties, target: list[BackendServer]
     ) -> list[BackendServer]:
         """Return the candidate servers of a trial: the canary servers, or all so that their caches fill."""
         now_ms = self._clock.now_ms()
@@ -240,7 +240,7 @@
         count = max(1, round(len(target) * CANARY_SHARE))
         return [by_name[name] for name in ranked[:count]]
 
-    def begin_send(
+    def begin_attempt(
         self, route: str, server: BackendServer, expected_ms: float
     ) -> RolloutAttempt | None:
         """Start to track a send attempt under the service's open order; None if there is none."""
@@ -272,12 +272,12 @@
         for progress in self.list_open():
             progress.check(self._clock.now_ms())
 
-    def write_all(self, *, leads: bool) -> list[RolloutFields]:
+    def make_reports(self, *, leads: bool) -> list[RolloutFields]:
         """Return this gateway's report on each open order, for its peers."""
         now_ms = self._clock.now_ms()
         return [one.make_report(now_ms, leads=leads) for one in self.list_open()]
 
-    def pop_changed(self, *, leads: bool) -> list[RolloutFields]:
+    def pop_changed_reports(self, *, leads: bool) -> list[RolloutFields]:
         """Return the reports on the open orders that have changed since the last call."""
         now_ms = self._clock.now_ms()
         changed = [one for one in self.list_open() if one.has_changed]
@@ -285,9 +285,9 @@
             one.has_changed = False
         return [one.make_report(now_ms, leads=leads) for one in changed]
 
-    def take_told(self, process: str, told: Sequence[RolloutFields]) -> None:
+    def apply_reports(self, process: str, reports: Sequence[RolloutFields]) -> None:
         """Apply a peer's reports; a report on an order other than the recorded one is ignored."""
-        for fields in told:
+        for fields in reports:
             progress = self._progress.get(fields[0])
             if progress is not None and progress.order.identity == tuple(fields[:3]):
                 progress.apply_report(process, fields, self._clock.now_ms())
--- a/hemlockswitch/process/gateway/service_models.py
+++ b/hemlockswitch/process/gateway/service_models.py
@@ -13,7 +13,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.request.engine_model import (
-    FEWEST_TOLD,
+    MIN_REPORTED_OBSERVATIONS,
     PRIOR,
     EngineModel,
     EngineWork,
@@ -21,9 +21,9 @@
 )
 from hemlockswitch.request.placement import PRIOR_CALL_MS
 
-FIT_MS = 2_000.0
+FIT_INTERVAL_MS = 2_000.0
 """Time between two fits; one takes some 2 ms of processor time for each service with engines."""
-TOLD_LIFE_MS = 10_000.0
+REPORTED_MODEL_LIFETIME_MS = 10_000.0
 """How long another gateway's reported model is used."""
 CALL_TIME_STEP = 0.05
 """Relative step by which each call moves the usual call time up or down, so that it settles at the
@@ -63,11 +63,11 @@
         """Return the usual duration of a call of a plain service."""
         return self._call_ms.get(service, PRIOR_CALL_MS)
 
-    def note_first_event(self, service: str, work: EngineWork, took_ms: float) -> None:
+    def record_first_event(self, service: str, work: EngineWork, took_ms: float) -> None:
         """Record the time from a send attempt to the first event of an engine's answer."""
         self._fitters.setdefault(service, ModelFitter()).note(self._clock.now_ms(), work, took_ms)
 
-    def note_call(self, service: str, took_ms: float) -> None:
+    def record_call(self, service: str, took_ms: float) -> None:
         """Record the duration of a call of a plain service."""
         usual_ms = self.get_call_ms(service)
         self._call_ms[service] = usual_ms * (
@@ -79,10 +79,10 @@
         return {
             service: fitter.model.coefficients
             for service, fitter in self._fitters.items()
-            if fitter.count >= FEWEST_TOLD
+            if fitter.count >= MIN_REPORTED_OBSERVATIONS
         }
 
-    def take_report(self, gateway: str, reported: Mapping[str, ModelCoefficients]) -> None:
+    def apply_report(self, gateway: str, reported: Mapping[str, ModelCoefficients]) -> None:
         """Apply another gateway's models, except those with coefficients that no engine can have."""
         models: dict[str, EngineModel] = {}
         for service, coefficients in reported.items():
@@ -124,14 +124,14 @@
 
     def _combine(self, service: str) -> EngineModel:
         """Return the median of the recently reported models and the own model."""
-        oldest_ms = self._clock.now_ms() - TOLD_LIFE_MS
+        oldest_ms = self._clock.now_ms() - REPORTED_MODEL_LIFETIME_MS
         models = [
             report.models[service]
             for report in self._reported.values()
             if report.received_ms >= oldest_ms and service in report.models
         ]
         fitter = self._fitters.get(service)
-        if fitter is not None and (fitter.count >= FEWEST_TOLD or not models):
+        if fitter is not None and (fitter.count >= MIN_REPORTED_OBSERVATIONS or not models):
             models.append(fitter.model)
         if not models:
             return self.get(service)
--- a/hemlockswitch/process/gateway/suspect_exchange.py
+++ b/hemlockswitch/process/gateway/suspect_exchange.py
@@ -70,24 +70,24 @@
         while True:
             self._changed.wait()
             self._changed.clear()
-            self.tell()
+            self.send_changes()
             self._clock.sleep_ms(SEND_INTERVAL_MS)
 
-    def note_change(self) -> None:
+    def publish_changes(self) -> None:
         """Wake the task because a record has changed."""
         self._changed.set()
 
-    def differ(self) -> bool:
+    def has_differing_peer(self) -> bool:
         """Return whether another gateway quarantines different contents."""
         return bool(self._list_differing_peers())
 
-    def are_missed(self) -> bool:
+    def has_disconnected_peer(self) -> bool:
         """Return whether some gateways are not connected."""
-        return self._fleet.count_in_touch() < self._fleet.count_daemons()
+        return self._fleet.count_connected() < self._fleet.count_daemons()
 
-    def tell(self) -> None:
+    def send_changes(self) -> None:
         """Send the changed records to every other gateway."""
-        records = self._quarantine.pop_untold()
+        records = self._quarantine.pop_unsent()
         for first in range(0, len(records), MAX_RECORDS_PER_MESSAGE):
             fields = [one.list_fields() for one in records[first : first + MAX_RECORDS_PER_MESSAGE]]
             report = SuspectReport(self._fleet.name, fields)
@@ -124,13 +124,13 @@
 
     def _list_differing_peers(self) -> list[Peer]:
         """Return the gateways that quarantine different contents, according to their last reports."""
-        digest = self._quarantine.hash_held()
-        return [peer for peer in self._fleet.list_heard() if peer.view.held_digest != digest]
+        digest = self._quarantine.hash_quarantined()
+        return [peer for peer in self._fleet.list_connected() if peer.view.held_digest != digest]
 
     def apply_report(self, _address: str, report: SuspectReport) -> None:
         """Apply the records of another gateway, and relay a message from another zone to the near gateways."""
         for fields in report.suspects[:MAX_RECORDS_PER_MESSAGE]:
-            self._quarantine.take(SuspectRecord.from_fields(fields))
+            self._quarantine.merge(SuspectRecord.from_fields(fields))
         if self._fleet.reports_by_zone and not report.is_relayed:
             relayed = SuspectReport(report.name, report.suspects, is_relayed=True)
             self._network.send_all([peer.address for peer in self._fleet.list_near()], relayed)
--- a/hemlockswitch/process/gateway/true_time.py
+++ b/hemlockswitch/process/gateway/true_time.py
@@ -26,7 +26,7 @@
     return time.time_ns() / NANOSECONDS_PER_MS
 
 
-class TrueTime:
+class FleetClock:
     """An estimate of the wall-clock time, which does not follow steps of the machine's clock.
 
     The wall clock is read once, advanced by the boot clock, and compared with the estimates of other
@@ -36,9 +36,9 @@
     ========
 
     >>> moments = {"boot": 0.0}
-    >>> believed = TrueTime(lambda: moments["boot"], lambda: 1_000_000.0)
-    >>> believed.hear({"b": 5_000.0, "c": 5_010.0, "d": 5_020.0})
-    >>> believed.now_ms()
+    >>> fleet_clock = FleetClock(lambda: moments["boot"], lambda: 1_000_000.0)
+    >>> fleet_clock.apply_estimates({"b": 5_000.0, "c": 5_010.0, "d": 5_020.0})
+    >>> fleet_clock.now_ms()
     5010.0
     """
 
@@ -54,7 +54,7 @@
         """Return the estimated wall-clock time."""
         return self._read_boot() + self._offset_ms
 
-    def hear(self, estimates: dict[str, float]) -> None:
+    def apply_estimates(self, estimates: dict[str, float]) -> None:
         """Compare with the present estimates of other daemons, and adopt their median if far off."""
         if len(estimates) < MIN_ESTIMATES:
             return
--- a/hemlockswitch/process/gateway/usage.py
+++ b/hemlockswitch/process/gateway/usage.py
@@ -56,7 +56,7 @@
         """Return this process's counts, in the form sent to other gateways."""
         return {str(window): dict(counts) for window, counts in self._own.items()}
 
-    def take_report(self, daemon: str, counts: ReportedCounts) -> None:
+    def apply_report(self, daemon: str, counts: ReportedCounts) -> None:
         """Apply another gateway's counts; `daemon` differs for each start of a process."""
         recorded = self._peers.setdefault(daemon, {})
         for window, accounts in counts.items():
--- a/hemlockswitch/process/gateway/view.py
+++ b/hemlockswitch/process/gateway/view.py
@@ -5,17 +5,17 @@
 from dataclasses import replace
 
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.process.gateway.knowledge import Knowledge
+from hemlockswitch.process.gateway.knowledge import GatewayState
 from hemlockswitch.process.gateway.readiness import Readiness
-from hemlockswitch.process.gateway.rollout_sends import ObservedTicket
-from hemlockswitch.process.gateway.rollouts import SendWish, draw_canary
+from hemlockswitch.process.gateway.rollout_sends import RolloutTicket
+from hemlockswitch.process.gateway.rollouts import SendProperties, draw_canary
 from hemlockswitch.request.forward_admission import AdmittedRequest
 from hemlockswitch.request.placement import (
     Placement,
     ServiceSpeed,
     choose_server,
     describe_work,
-    keep_least_running,
+    select_least_loaded,
 )
 from hemlockswitch.request.sending import SendTicket
 from hemlockswitch.version.backend import BackendServer
@@ -25,7 +25,7 @@
 """Share of an engine's memory that is expected to cache prompt parts; running requests use the
 remaining memory."""
 PLAIN_CAPACITY_TOKENS = 0.0
-LARGE_READING_MS = 40.0
+LARGE_PROMPT_READ_MS = 40.0
 """A prompt that takes an engine at least this long to read is reported to the other gateways at once."""
 
 
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        state: Knowledge,
+        state: GatewayState,
         readiness: Readiness,
         on_large_prompt: Callable[[], None],
         clock: Clock,
@@ -60,9 +60,9 @@
         self._clock = clock
         self._random = random.Random()
 
-    def await_synced(self, most_ms: float) -> None:
-        """Wait up to `most_ms` until the state that requests need has been filled."""
-        self._readiness.await_synced(most_ms)
+    def await_synced(self, timeout_ms: float) -> None:
+        """Wait up to `timeout_ms` until the state that requests need has been filled."""
+        self._readiness.await_synced(timeout_ms)
 
     def get_table(self) -> ServingTable | None:
         """Return the configuration in force, or None."""
@@ -89,7 +89,7 @@
         servers = [server for server in ready if server.incarnation not in excluded]
         servers = self._reachability.select_reachable(servers)
         is_first = not (excluded or is_careful or admitted.facts.last_event_id)
-        wish = SendWish(
+        wish = SendProperties(
             service=admitted.service,
             route=admitted.route.name,
             is_first=is_first,
@@ -109,17 +109,17 @@
             None if is_careful else self._random,
         )
         if is_careful:
-            candidates = keep_least_running(candidates)
+            candidates = select_least_loaded(candidates)
         placement = choose_server(prompt, candidates, speed)
         if placement is None:
             return None
         return replace(placement, list_age_ms=self._registry.measure_age_ms())
 
-    def begin_send(self, admitted: AdmittedRequest, placement: Placement) -> SendTicket:
+    def begin_attempt(self, admitted: AdmittedRequest, placement: Placement) -> SendTicket:
         """Count a send attempt, and update the service's model when its answer begins."""
         began_ms = self._clock.now_ms()
         engine = self._models.get(admitted.service)
-        if engine.estimate_reading_ms(placement.uncached_tokens) >= LARGE_READING_MS:
+        if engine.estimate_prefill_ms(placement.uncached_tokens) >= LARGE_PROMPT_READ_MS:
             self._on_large_prompt()
         server = placement.candidate.server
         ticket = self._loads.begin(
@@ -129,8 +129,8 @@
             self._find_capacity(admitted.service),
             lambda: self._update_model(admitted, placement, self._clock.now_ms() - began_ms),
         )
-        trial = self._rollouts.begin_send(admitted.route.name, server, placement.expected_ms)
-        return ticket if trial is None else ObservedTicket(ticket, trial)
+        trial = self._rollouts.begin_attempt(admitted.route.name, server, placement.expected_ms)
+        return ticket if trial is None else RolloutTicket(ticket, trial)
 
     def _update_model(
         self, admitted: AdmittedRequest, placement: Placement, took_ms: float
@@ -139,30 +139,30 @@
             return  # The model describes the version in force, which the trial is compared with.
         prompt = admitted.facts.prompt
         if prompt is None:
-            self._models.note_call(admitted.service, took_ms)
+            self._models.record_call(admitted.service, took_ms)
             return
         work = describe_work(prompt, placement.candidate)
-        self._models.note_first_event(admitted.service, work, took_ms)
+        self._models.record_first_event(admitted.service, work, took_ms)
 
     def find_connect_timeout_ms(self) -> float:
         """Return the time-out for connecting to a server."""
         return self._reachability.find_connect_timeout_ms()
 
-    def note_connected(self, server: BackendServer, took_ms: float) -> None:
+    def record_connected(self, server: BackendServer, took_ms: float) -> None:
         """Record that a new connection to a server was opened."""
         self._reachability.record_connected(server, took_ms)
 
-    def note_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
+    def record_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
         """Record that connecting failed; `is_silent` if the server did not answer the attempt at all."""
         self._reachability.record_unreachable(server, is_silent=is_silent)
 
-    def note_answer(self, server: BackendServer) -> None:
+    def record_answer(self, server: BackendServer) -> None:
         """Record that a server sent bytes of an answer."""
         self._reachability.record_answer(server)
 
-    def note_misdirected(self, server_name: str) -> None:
+    def record_misdirected(self, server_name: str) -> None:
         """Exclude for a while a server whose address now belongs to another server."""
-        self._registry.note_misdirected(server_name)
+        self._registry.record_misdirected(server_name)
 
     def count_daemons(self) -> int | None:
         """Return how many daemons share the budgets; None until they have been listed."""
--- a/hemlockswitch/process/gateway/zone_watchers.py
+++ b/hemlockswitch/process/gateway/zone_watchers.py
@@ -59,7 +59,7 @@
 
     def find_query_scope(self) -> QueryScope:
         """Return whether this gateway queries the object service for the fleet, its zone, or itself only."""
-        if self._rank_current(self._fleet.list_heard())[0][1] == self._fleet.name:
+        if self._rank_current(self._fleet.list_connected())[0][1] == self._fleet.name:
             return QueryScope.FLEET
         if self._rank_current(self._list_zone_peers())[0][1] == self._fleet.name:
             return QueryScope.ZONE
--- a/hemlockswitch/process/handover/handover.py
+++ b/hemlockswitch/process/handover/handover.py
@@ -12,7 +12,7 @@
 from hemlockswitch.process.handover.state_store import StateStore
 from hemlockswitch.process.shares.parts import ShareMember as HandoverMember
 from hemlockswitch.request.generation import Generation, GenerationState
-from hemlockswitch.request.running import Running
+from hemlockswitch.request.running import RunningGeneration
 
 REQUEST_TIMEOUT_MS = 500.0
 MAX_RECEIVERS = 6
@@ -82,7 +82,7 @@
         clock: Clock,
         network: HandoverNetwork,
         list_members: Callable[[], Iterable[HandoverMember]],
-        list_running: Callable[[], list[Running]],
+        list_running: Callable[[], list[RunningGeneration]],
         store: StateStore,
         count: Callable[[str], None] = lambda outcome: None,
     ) -> None:
--- a/hemlockswitch/process/lease.py
+++ b/hemlockswitch/process/lease.py
@@ -152,7 +152,7 @@
             "left_ms": round(self._left_ms(self._held)) if self._held else 0,
         }
 
-    def take_turn(self) -> float:
+    def run_step(self) -> float:
         """Renew or poll the lease, and return the time in milliseconds until the next call."""
         try:
             if self._held is not None:
--- a/hemlockswitch/process/membership/members.py
+++ b/hemlockswitch/process/membership/members.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from hemlockswitch.process.news.board import NewsItem
+from hemlockswitch.process.news.board import GossipItem
 
 MEMBER_PREFIX = "member/"
 STATES_PER_INCARNATION = 4
@@ -51,7 +51,7 @@
         return self.state in LIVE_STATES
 
     @classmethod
-    def from_item(cls, item: NewsItem) -> "Member":
+    def from_item(cls, item: GossipItem) -> "Member":
         """Return the member that a gossip item describes.
 
         Examples
@@ -68,9 +68,9 @@
         state = MemberState(state)
         return cls(name, zone, region, peer_address, caller_address, state, incarnation)
 
-    def to_item(self) -> NewsItem:
+    def to_item(self) -> GossipItem:
         """Return the gossip item that describes this member."""
-        return NewsItem(
+        return GossipItem(
             MEMBER_PREFIX + self.name,
             self.incarnation * STATES_PER_INCARNATION + self.state,
             [self.zone, self.region, self.peer_address, self.caller_address],
--- a/hemlockswitch/process/membership/membership.py
+++ b/hemlockswitch/process/membership/membership.py
@@ -16,8 +16,8 @@
 from hemlockswitch.process.membership.members import MEMBER_PREFIX, Member, MemberState
 from hemlockswitch.process.membership.overlay import Links, choose_links
 from hemlockswitch.process.membership.probes import SWEEP_INTERVAL_MS, Prober, ProbeTimes
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
-from hemlockswitch.process.news.spread import Spread
+from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.news.spread import Gossip
 
 __all__ = ["Member", "MemberState", "Membership", "ProbeTimes"]
 
@@ -35,7 +35,7 @@
     ===========
 
     Each member is a gossip item whose version increases with the member's incarnation and, within
-    one incarnation, with its state; `Spread` disseminates these items like any others. Only the
+    one incarnation, with its state; `Gossip` disseminates these items like any others. Only the
     daemon itself increases its incarnation: when it receives a report that it is suspect or dead,
     it refutes the report with a higher incarnation.
 
@@ -55,9 +55,9 @@
     def __init__(
         self,
         own: Member,
-        board: NewsBoard,
+        board: GossipState,
         network: PeerNetwork,
-        spread: Spread,
+        spread: Gossip,
         *,
         seeds: Iterable[str] = (),
         discover: Callable[[], list[str]] = list,
@@ -100,7 +100,7 @@
         address = self._network.address
         incarnation = self._clock.wall_ms()
         self._own = replace(self._own, peer_address=address, incarnation=incarnation)
-        self._board.learn(self._own.to_item())
+        self._board.record(self._own.to_item())
         self._spread.start(lambda: self._find_links().gossip_peers)
         tasks = (self._join_forever, self._prober.run, self._sweep_forever, self._retry_dead)
         self._tasks = [gevent.spawn(task) for task in tasks]
@@ -108,13 +108,13 @@
     def leave(self) -> None:
         """Announce that this daemon is leaving; it accepts no new work from now on."""
         self._own = replace(self._own, state=MemberState.LEAVING)
-        self._board.learn(self._own.to_item())
+        self._board.record(self._own.to_item())
 
     def stop(self) -> None:
         """Announce that this daemon has stopped, and stop the tasks."""
         gevent.killall(self._tasks, block=False)
         self._own = replace(self._own, state=MemberState.DEAD)
-        self._board.learn(self._own.to_item())
+        self._board.record(self._own.to_item())
         self._spread.stop()
 
     @property
@@ -168,7 +168,7 @@
             self._links = choose_links(self._own, live)
         return self._links
 
-    def _apply_item(self, item: NewsItem) -> None:
+    def _apply_item(self, item: GossipItem) -> None:
         try:
             member = Member.from_item(item)
         except (TypeError, ValueError) as error:
@@ -207,7 +207,7 @@
         incarnation = max(self._clock.wall_ms(), reported.incarnation + 1)
         self._own = replace(self._own, incarnation=incarnation)
         log_event(Event.MEMBERSHIP_REFUTED, "warning", heard=reported.state.name.lower())
-        self._board.learn(self._own.to_item())
+        self._board.record(self._own.to_item())
 
     def _suspect(self, unresponsive: list[Member]) -> None:
         if len(unresponsive) > 1:
@@ -220,7 +220,7 @@
         for member in unresponsive:
             known = self._members.get(member.name)
             if known is not None and known.state is MemberState.ALIVE:
-                self._board.learn(replace(known, state=MemberState.SUSPECT).to_item())
+                self._board.record(replace(known, state=MemberState.SUSPECT).to_item())
 
     def _sweep_forever(self) -> None:
         last_ms = self._clock.now_ms()
@@ -247,7 +247,7 @@
             # and act only if all of those have failed as well.
             wait_ms = self.times.suspicion_timeout_ms * (1 if name in probed else 2)
             if self._active_ms - since_ms >= wait_ms:
-                self._board.learn(replace(self._members[name], state=MemberState.DEAD).to_item())
+                self._board.record(replace(self._members[name], state=MemberState.DEAD).to_item())
 
     def _retry_dead(self) -> None:
         while True:
--- a/hemlockswitch/process/membership/probes.py
+++ b/hemlockswitch/process/membership/probes.py
@@ -11,7 +11,7 @@
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock
 from hemlockswitch.core.errors import ErrorKind, PeerError
 from hemlockswitch.process.membership.members import Member
-from hemlockswitch.process.news.spread import Spread
+from hemlockswitch.process.news.spread import Gossip
 
 SWEEP_INTERVAL_MS = 500
 MAX_HELPERS = 3
@@ -125,7 +125,7 @@
         self,
         own: Member,
         network: PeerNetwork,
-        spread: Spread,
+        spread: Gossip,
         times: ProbeTimes,
         clock: Clock,
         list_probed: Callable[[], Iterable[Member]],
--- a/hemlockswitch/process/news/board.py
+++ b/hemlockswitch/process/news/board.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class NewsItem:
+class GossipItem:
     """A versioned value.
 
     Parameters
@@ -26,36 +26,36 @@
     tombstone: bool = False
 
 
-Listener = Callable[[NewsItem], None]
+Listener = Callable[[GossipItem], None]
 
 
-class NewsBoard:
+class GossipState:
     """Stores the newest item of each key; the higher version wins.
 
     Explanation
     ===========
 
-    `learn` is idempotent and commutative, so items may arrive repeatedly, late and by any path.
+    `record` is idempotent and commutative, so items may arrive repeatedly, late and by any path.
     Listeners are called once for each item that is newer than the stored one; a listener must not
     block (it should put the item on its task's queue).
 
     Examples
     ========
 
-    >>> board = NewsBoard()
-    >>> board.learn(NewsItem("vm/llm-1", 2, "live"))
+    >>> board = GossipState()
+    >>> board.record(GossipItem("vm/llm-1", 2, "live"))
     True
-    >>> board.learn(NewsItem("vm/llm-1", 1, "starting"))
+    >>> board.record(GossipItem("vm/llm-1", 1, "starting"))
     False
     >>> board.find("vm/llm-1").value
     'live'
     """
 
     def __init__(self) -> None:
-        self._items: dict[str, NewsItem] = {}
+        self._items: dict[str, GossipItem] = {}
         self._listeners: list[tuple[str, Listener]] = []
 
-    def learn(self, item: NewsItem) -> bool:
+    def record(self, item: GossipItem) -> bool:
         """Store `item` if it is newer than the stored one, and call the listeners.
 
         Returns
@@ -72,15 +72,15 @@
                 listener(item)
         return True
 
-    def forget(self, key: str) -> None:
+    def discard(self, key: str) -> None:
         """Discard the item of `key` without calling the listeners."""
         self._items.pop(key, None)
 
-    def find(self, key: str) -> NewsItem | None:
+    def find(self, key: str) -> GossipItem | None:
         """Return the newest item of `key`, or None."""
         return self._items.get(key)
 
-    def list_items(self, prefix: str = "") -> list[NewsItem]:
+    def list_items(self, prefix: str = "") -> list[GossipItem]:
         """Return the newest items whose key starts with `prefix`."""
         return [item for key, item in self._items.items() if key.startswith(prefix)]
 
--- a/hemlockswitch/process/news/digests.py
+++ b/hemlockswitch/process/news/digests.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from hemlockswitch.core.identifiers import hash_stable
-from hemlockswitch.process.news.board import NewsItem
+from hemlockswitch.process.news.board import GossipItem
 
 BUCKETS = 64
 _PACKED = struct.Struct(f">{BUCKETS}Q")
@@ -28,9 +28,9 @@
     ========
 
     >>> left, right = Digest(), Digest()
-    >>> left.replace(NewsItem("a", 1, None))
-    >>> left.replace(NewsItem("a", 2, None))
-    >>> right.replace(NewsItem("a", 2, None))
+    >>> left.replace(GossipItem("a", 1, None))
+    >>> left.replace(GossipItem("a", 2, None))
+    >>> right.replace(GossipItem("a", 2, None))
     >>> left.total == right.total
     True
     """
@@ -40,7 +40,7 @@
         self._buckets = [0] * BUCKETS
         self._hashes: dict[str, int] = {}
 
-    def replace(self, item: NewsItem) -> None:
+    def replace(self, item: GossipItem) -> None:
         """Include `item`, in place of the item with the same key."""
         new = 0 if item.tombstone else hash_stable(f"{item.key}\0{item.version}")
         change = new ^ self._hashes.get(item.key, 0)
--- a/hemlockswitch/process/news/messages.py
+++ b/hemlockswitch/process/news/messages.py
@@ -6,12 +6,12 @@
 import msgpack
 
 from hemlockswitch.connection.messages import register_message
-from hemlockswitch.process.news.board import NewsItem
+from hemlockswitch.process.news.board import GossipItem
 
 
 @register_message("news")
 @dataclass(frozen=True)
-class News:
+class GossipItems:
     """Items, as rows of key, version, value and tombstone flag."""
 
     items: list[list[Any]]
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class SpreadBounds:
+class GossipLimits:
     """Limits of the gossip protocol.
 
     Parameters
@@ -87,13 +87,13 @@
     size_bytes: int
 
     @classmethod
-    def from_item(cls, item: NewsItem) -> "Row":
+    def from_item(cls, item: GossipItem) -> "Row":
         """Return the row of an item.
 
         Examples
         ========
 
-        >>> Row.from_item(NewsItem("revision", 3, "")).content
+        >>> Row.from_item(GossipItem("revision", 3, "")).content
         ['revision', 3, '', False]
         """
         content = [item.key, item.version, item.value, item.tombstone]
--- a/hemlockswitch/process/news/retrieval.py
+++ b/hemlockswitch/process/news/retrieval.py
@@ -8,7 +8,7 @@
 
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.core.errors import PeerError
-from hemlockswitch.process.news.messages import Fetch, Have, News, SpreadBounds
+from hemlockswitch.process.news.messages import Fetch, GossipItems, GossipLimits, Have
 
 
 @dataclass
@@ -39,9 +39,9 @@
     def __init__(
         self,
         network: PeerNetwork,
-        bounds: SpreadBounds,
+        bounds: GossipLimits,
         lacks: Callable[[str, int], bool],
-        receive: Callable[[str, News], None],
+        receive: Callable[[str, GossipItems], None],
     ) -> None:
         self._network = network
         self._bounds = bounds
--- a/hemlockswitch/process/news/spread.py
+++ b/hemlockswitch/process/news/spread.py
@@ -14,24 +14,24 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.membership.members import Member
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
+from hemlockswitch.process.news.board import GossipItem, GossipState
 from hemlockswitch.process.news.digests import Digest, choose_bucket, list_different
 from hemlockswitch.process.news.messages import (
     Compare,
     Difference,
     Fetch,
+    GossipItems,
+    GossipLimits,
     Have,
-    News,
     Row,
-    SpreadBounds,
     batch_rows,
 )
 from hemlockswitch.process.news.retrieval import Retrievals
 
-__all__ = ["Spread", "SpreadBounds"]
+__all__ = ["Gossip", "GossipLimits"]
 
 
-class Spread:
+class Gossip:
     """Sends the items of a board to the linked peers and repairs what was missed.
 
     Explanation
@@ -54,23 +54,23 @@
 
     def __init__(
         self,
-        board: NewsBoard,
+        board: GossipState,
         network: PeerNetwork,
         zone: str,
         *,
         zone_prefixes: tuple[str, ...] = (),
         clock: Clock | None = None,
-        bounds: SpreadBounds | None = None,
+        bounds: GossipLimits | None = None,
     ) -> None:
         self.repairs = 0
         self.items_in = 0
-        self.items_known = 0
+        self.duplicate_items = 0
         self._board = board
         self._network = network
         self._zone = zone
         self._zone_prefixes = zone_prefixes
         self._clock = clock or SystemClock()
-        self._bounds = bounds or SpreadBounds()
+        self._bounds = bounds or GossipLimits()
         self._list_peers: Callable[[], Iterable[Member]] = tuple
         self._global_digest = Digest()
         self._zone_digest = Digest()
@@ -85,7 +85,7 @@
         for item in board.list_items():
             self._record_item(item)
         board.add_listener("", self._record_item)
-        network.handle(News, self._receive_news, quick=True)
+        network.handle(GossipItems, self._receive_news, quick=True)
         network.handle(Compare, self._answer_compare, quick=True)
         network.handle(Fetch, self._answer_fetch, quick=True)
 
@@ -152,7 +152,7 @@
             if learned_ms > oldest_ms:
                 break
             del self._tombstones[key]
-            self._board.forget(key)
+            self._board.discard(key)
 
     def _repair_quietly(self, address: str, zone: str) -> None:
         try:
@@ -169,7 +169,7 @@
         known = self._board.find(key)
         return not tombstone if known is None else known.version < version
 
-    def _list_missing(self, zone: str, held: dict[str, Any], buckets: set[int]) -> list[NewsItem]:
+    def _list_missing(self, zone: str, held: dict[str, Any], buckets: set[int]) -> list[GossipItem]:
         """Return the items in `buckets` whose version is newer than the peer's in `held`."""
         missing = []
         for item in self._list_shared(zone):
@@ -183,13 +183,13 @@
     def _is_zone_key(self, key: str) -> bool:
         return bool(self._zone_prefixes) and key.startswith(self._zone_prefixes)
 
-    def _list_shared(self, zone: str) -> list[NewsItem]:
+    def _list_shared(self, zone: str) -> list[GossipItem]:
         items = self._board.list_items()
         if zone == self._zone or not self._zone_prefixes:
             return items
         return [item for item in items if not self._is_zone_key(item.key)]
 
-    def _record_item(self, item: NewsItem) -> None:
+    def _record_item(self, item: GossipItem) -> None:
         digest = self._zone_digest if self._is_zone_key(item.key) else self._global_digest
         digest.replace(item)
         self._tombstones.pop(item.key, None)
@@ -222,7 +222,7 @@
             ]
             self._push_rows(address, chosen)
 
-    def _make_rows(self, items: Iterable[NewsItem]) -> list[Row]:
+    def _make_rows(self, items: Iterable[GossipItem]) -> list[Row]:
         rows = [Row.from_item(item) for item in items]
         for row in rows:
             if row.size_bytes > self._bounds.max_item_bytes:
@@ -240,15 +240,15 @@
 
     def _send_items(self, address: str, rows: list[Row]) -> None:
         for batch in batch_rows(rows, self._bounds.max_batch_bytes):
-            self._network.send(address, News(batch))
+            self._network.send(address, GossipItems(batch))
 
-    def _receive_news(self, sender: str, news: News) -> None:
+    def _receive_news(self, sender: str, news: GossipItems) -> None:
         self._source = sender
         try:
             for key, version, value, tombstone in news.items:
                 self.items_in += 1
-                if not self._board.learn(NewsItem(key, version, value, tombstone)):
-                    self.items_known += 1
+                if not self._board.record(GossipItem(key, version, value, tombstone)):
+                    self.duplicate_items += 1
         finally:
             self._source = ""
 
@@ -267,11 +267,11 @@
                 rows[bucket].append([item.key, item.version, item.tombstone])
         return _limit_rows(rows, self._bounds.max_difference_rows)
 
-    def _answer_fetch(self, sender: str, fetch: Fetch) -> News:
+    def _answer_fetch(self, sender: str, fetch: Fetch) -> GossipItems:
         items = (self._board.find(key) for key in fetch.keys[: self._bounds.max_fetch_keys])
         rows = self._make_rows(item for item in items if item is not None)
         batches = batch_rows(rows, self._bounds.max_item_bytes)
-        return News(batches[0] if batches else [])
+        return GossipItems(batches[0] if batches else [])
 
 
 def _limit_rows(rows: dict[int, list[list[Any]]], bound: int) -> Difference:
--- a/hemlockswitch/process/peer_metrics.py
+++ b/hemlockswitch/process/peer_metrics.py
@@ -8,7 +8,7 @@
 from prometheus_client.registry import Collector
 
 from hemlockswitch.connection.links import Traffic
-from hemlockswitch.process.facts import Facts
+from hemlockswitch.process.facts import ClusterState
 
 
 class PeerCollector(Collector):
@@ -20,11 +20,11 @@
     facts : the daemon's view of the cluster.
     """
 
-    def __init__(self, facts: Facts) -> None:
+    def __init__(self, facts: ClusterState) -> None:
         self._facts = facts
 
     @classmethod
-    def register(cls, facts: Facts, registry: CollectorRegistry) -> None:
+    def register(cls, facts: ClusterState, registry: CollectorRegistry) -> None:
         """Add the metrics to `registry`."""
         registry.register(cls(facts))
 
@@ -38,7 +38,7 @@
         yield from _collect_traffic(self._facts.network.traffic)
         streams = len(self._facts.network.list_streams())
         yield GaugeMetricFamily("hemlock_peer_streams", "Open peer streams.", streams)
-        repairs = self._facts.spread.repairs
+        repairs = self._facts.gossip.repairs
         yield CounterMetricFamily(
             "hemlock_news_repairs", "Repairs of gossip items with a peer.", repairs
         )
--- a/hemlockswitch/process/quarantine/guard.py
+++ b/hemlockswitch/process/quarantine/guard.py
@@ -18,11 +18,11 @@
 from hemlockswitch.process.quarantine.held_requests import (
     HELD_KIND,
     MAX_LIST_LAG_MS,
-    HeldRequests,
+    QuarantineStore,
     TrialOutcome,
 )
 from hemlockswitch.request.clearance import Clearance, Content
-from hemlockswitch.request.quarantine import Quarantine, Standing
+from hemlockswitch.request.quarantine import Quarantine, QuarantineStatus
 from hemlockswitch.version.backend import BackendServer
 
 QUARANTINE_POLL_INTERVAL_MS = 250.0
@@ -47,16 +47,16 @@
 class QuarantinePeers(Protocol):
     """The peers that also count server crashes."""
 
-    def note_change(self) -> None:
+    def publish_changes(self) -> None:
         """Publish the changes of this daemon's quarantine."""
 
     def repair(self) -> None:
         """Send this daemon's records to the peers whose quarantine differs."""
 
-    def differ(self) -> bool:
+    def has_differing_peer(self) -> bool:
         """Return whether the quarantine of any peer differs from this daemon's."""
 
-    def are_missed(self) -> bool:
+    def has_disconnected_peer(self) -> bool:
         """Return whether any peer is disconnected."""
 
 
@@ -95,7 +95,7 @@
         self,
         quarantine: Quarantine,
         crash_detector: CrashDetector,
-        store: HeldRequests,
+        store: QuarantineStore,
         peers: QuarantinePeers,
         acts_for_peers: Callable[[], bool],
         clock: Clock,
@@ -121,12 +121,14 @@
         """Return how a request may be sent now, or raise if its content is quarantined."""
         if self._quarantine.is_empty:
             return Clearance.FREE
-        standing = self._quarantine.find_standing(content.fingerprint)
-        if standing.is_held:
+        standing = self._quarantine.find_status(content.fingerprint)
+        if standing.is_quarantined:
             return self._clear_quarantined(content.fingerprint, standing, may_try)
         return Clearance.CAREFUL if standing.is_careful else Clearance.FREE
 
-    def _clear_quarantined(self, fingerprint: str, standing: Standing, may_try: bool) -> Clearance:
+    def _clear_quarantined(
+        self, fingerprint: str, standing: QuarantineStatus, may_try: bool
+    ) -> Clearance:
         if may_try and standing.trial_in_ms == 0:
             outcome = self._request_trial(fingerprint)
             trials = self._quarantine.get_record(fingerprint).trials
@@ -139,9 +141,9 @@
             )
             if outcome.is_granted:
                 self.counts.trials += 1
-                self._peers.note_change()
+                self._peers.publish_changes()
                 return Clearance.TRIAL
-            standing = self._quarantine.find_standing(fingerprint)
+            standing = self._quarantine.find_status(fingerprint)
         detail = f"{standing.ends} servers have crashed while running the content {fingerprint}"
         raise RequestError(
             ErrorKind.QUARANTINED, detail, retry_after_ms=_compute_retry_after_ms(standing)
@@ -156,23 +158,25 @@
             return TrialOutcome(False, error.detail)
         return refused
 
-    def note_broken(self, content: Content, server: BackendServer) -> bool:
+    def record_broken_connection(self, content: Content, server: BackendServer) -> bool:
         """Count a closed connection against its content if the server has crashed."""
         if not self._crash_detector.has_crashed(server):
             return False
         self.counts.ends += 1
-        self._quarantine.note_end(content.fingerprint, server.incarnation)
+        self._quarantine.record_crash(content.fingerprint, server.incarnation)
         self._publish_changes("own")
         return True
 
-    def note_answered(self, content: Content, server: BackendServer, sent_ms: float) -> None:
+    def record_complete_answer(
+        self, content: Content, server: BackendServer, sent_ms: float
+    ) -> None:
         """Clear the server and the content of suspicion after a complete response."""
         if self._quarantine.is_empty:
             return
-        self._quarantine.note_alive(server.incarnation, sent_ms)
-        if self._quarantine.find_standing(content.fingerprint).is_held:
+        self._quarantine.record_alive(server.incarnation, sent_ms)
+        if self._quarantine.find_status(content.fingerprint).is_quarantined:
             self._store.schedule_removal(content.fingerprint)
-        self._quarantine.note_answer(content.fingerprint)
+        self._quarantine.record_answer(content.fingerprint)
         self._publish_changes("own")
 
     def run(self) -> None:
@@ -190,7 +194,7 @@
         self._store.untrack_released(acts_for_peers=acts_for_peers)
         if self._store.must_save(acts_for_peers=acts_for_peers):
             self._try_store_action(lambda: self._store.save(acts_for_peers=acts_for_peers))
-        self._quarantine.forget_old()
+        self._quarantine.remove_expired()
         self._peers.repair()
         self._publish_changes("told")
 
@@ -219,17 +223,17 @@
         since_ms = self._clock.now_ms() - self._loaded_ms
         if self._loaded_ms - self._first_loaded_ms < MAX_LIST_LAG_MS <= since_ms:
             return True  # The first list may lack writes from the `MAX_LIST_LAG_MS` before it.
-        if since_ms >= DIFFERING_LOAD_INTERVAL_MS and self._peers.differ():
+        if since_ms >= DIFFERING_LOAD_INTERVAL_MS and self._peers.has_differing_peer():
             return True
         if since_ms >= QUARANTINED_LOAD_INTERVAL_MS and self._logged_fingerprints:
             return True
-        return since_ms >= DISCONNECTED_LOAD_INTERVAL_MS and self._peers.are_missed()
+        return since_ms >= DISCONNECTED_LOAD_INTERVAL_MS and self._peers.has_disconnected_peer()
 
     def _publish_changes(self, source: str) -> None:
         """Publish the changes, and log the contents that became quarantined or released."""
-        if self._quarantine.has_untold:
-            self._peers.note_change()
-        held = set(self._quarantine.list_held())
+        if self._quarantine.has_unsent:
+            self._peers.publish_changes()
+        held = set(self._quarantine.list_quarantined())
         for fingerprint in sorted(held - self._logged_fingerprints):
             record = self._quarantine.get_record(fingerprint)
             log_event(
@@ -248,9 +252,9 @@
         self.counts.held = len(held)
 
 
-def _compute_retry_after_ms(standing: Standing) -> int:
+def _compute_retry_after_ms(standing: QuarantineStatus) -> int:
     """Return the time after which a quarantined request may be tried or its record expires."""
     wait_ms = standing.trial_in_ms
     return round(
-        standing.forgotten_in_ms if wait_ms is None else max(wait_ms, QUARANTINE_POLL_INTERVAL_MS)
+        standing.expires_in_ms if wait_ms is None else max(wait_ms, QUARANTINE_POLL_INTERVAL_MS)
     )
--- a/hemlockswitch/process/quarantine/held_requests.py
+++ b/hemlockswitch/process/quarantine/held_requests.py
@@ -33,7 +33,7 @@
     detail: str = ""
 
 
-class HeldRequests:
+class QuarantineStore:
     """Stores the contents in `quarantine`, and grants trials.
 
     Parameters
@@ -72,13 +72,13 @@
             record = _read_record(item)
             if record is not None:
                 listed.add(record.fingerprint)
-                self._quarantine.take(record)
+                self._quarantine.merge(record)
                 self._last_stored_ms[record.fingerprint] = self._clock.now_ms()
         oldest_ms = self._clock.now_ms() - MAX_LIST_LAG_MS
         for fingerprint, stored_ms in list(self._last_stored_ms.items()):
             if fingerprint not in listed and stored_ms < oldest_ms:
                 del self._last_stored_ms[fingerprint]
-                self._quarantine.note_answer(fingerprint)
+                self._quarantine.record_answer(fingerprint)
         self.is_loaded = True
 
     def schedule_removal(self, fingerprint: str) -> None:
@@ -93,7 +93,7 @@
 
         acts_for_peers : whether to remove also contents that other daemons released.
         """
-        for fingerprint in set(self._last_stored_ms) - set(self._quarantine.list_held()):
+        for fingerprint in set(self._last_stored_ms) - set(self._quarantine.list_quarantined()):
             del self._last_stored_ms[fingerprint]
             if acts_for_peers:
                 self._pending_removals.add(fingerprint)
@@ -118,14 +118,14 @@
         """
         for fingerprint in self._list_unsaved(acts_for_peers):
             self._create(fingerprint)
-        self._pending_removals -= set(self._quarantine.list_held())
+        self._pending_removals -= set(self._quarantine.list_quarantined())
         for fingerprint in sorted(self._pending_removals):
             self._remove(fingerprint)
 
     def _list_unsaved(self, acts_for_peers: bool) -> list[str]:
         return [
             fingerprint
-            for fingerprint in self._quarantine.list_held()
+            for fingerprint in self._quarantine.list_quarantined()
             if fingerprint not in self._last_stored_ms
             and (acts_for_peers or self._quarantine.was_seen_here(fingerprint))
         ]
@@ -143,14 +143,14 @@
         if found is None:
             if fingerprint in self._last_stored_ms:
                 del self._last_stored_ms[fingerprint]
-                self._quarantine.note_answer(fingerprint)
+                self._quarantine.record_answer(fingerprint)
                 return TrialOutcome(True, "the content was released by another daemon")
             return self._write_trial(fingerprint, record.trials + 1, None)
         self._last_stored_ms[fingerprint] = self._clock.now_ms()
-        self._quarantine.take(_read_record(found) or record)
+        self._quarantine.merge(_read_record(found) or record)
         # The stored record may show a trial by another daemon, and another request of this daemon may
         # have started one during the read.
-        if self._quarantine.find_standing(fingerprint).trial_in_ms != 0:
+        if self._quarantine.find_status(fingerprint).trial_in_ms != 0:
             return TrialOutcome(False, "another trial of the content has started")
         return self._write_trial(fingerprint, record.trials + 1, found.version)
 
@@ -163,7 +163,7 @@
         if not isinstance(outcome, Written) and not self._was_written(outcome, fingerprint, value):
             return TrialOutcome(False, "another daemon wrote the trial first")
         self._last_stored_ms[fingerprint] = self._clock.now_ms()
-        self._quarantine.note_trial(fingerprint, trials)
+        self._quarantine.record_trial(fingerprint, trials)
         return TrialOutcome(True)
 
     def _was_written(self, outcome: WriteOutcome, fingerprint: str, value: Any) -> bool:
--- a/hemlockswitch/process/quarantine/server_ends.py
+++ b/hemlockswitch/process/quarantine/server_ends.py
@@ -24,7 +24,7 @@
 """A server that answered the first probe more slowly is not probed again, as the request waits for it."""
 
 
-class ServerEnds:
+class ConnectionCrashDetector:
     """Detects crashed servers.
 
     Parameters
--- a/hemlockswitch/process/quarantine/suspect_news.py
+++ b/hemlockswitch/process/quarantine/suspect_news.py
@@ -10,13 +10,18 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
-from hemlockswitch.request.quarantine import LIFE_MS, Quarantine, SuspectFields, SuspectRecord
+from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.request.quarantine import (
+    SUSPECT_RETENTION_MS,
+    Quarantine,
+    SuspectFields,
+    SuspectRecord,
+)
 
 SUSPECT_PREFIX = "suspect/"
 
 
-class SuspectNews:
+class SuspectGossip:
     """Exchanges records of suspect contents with the other entry daemons.
 
     Parameters
@@ -32,7 +37,7 @@
     def __init__(
         self,
         name: str,
-        board: NewsBoard,
+        board: GossipState,
         quarantine: Quarantine,
         is_isolated: Callable[[], bool],
         clock: Clock,
@@ -44,12 +49,12 @@
         self._clock = clock
         board.add_listener(SUSPECT_PREFIX, self._apply_item)
 
-    def note_change(self) -> None:
+    def publish_changes(self) -> None:
         """Publish changed records, and withdraw expired ones."""
-        for record in self._quarantine.pop_untold():
+        for record in self._quarantine.pop_unsent():
             key = f"{SUSPECT_PREFIX}{record.fingerprint}/{self._name}"
             self._publish(key, record.list_fields())
-        oldest_ms = self._clock.wall_ms() - LIFE_MS
+        oldest_ms = self._clock.wall_ms() - SUSPECT_RETENTION_MS
         for item in self._board.list_items(SUSPECT_PREFIX):
             if item.version < oldest_ms and not item.tombstone:
                 self._publish(item.key, None)
@@ -58,23 +63,23 @@
         """Publish an item with a version above all earlier ones of its key, even if the clock was set back."""
         current = self._board.find(key)
         version = max(self._clock.wall_ms(), current.version + 1 if current is not None else 0)
-        self._board.learn(NewsItem(key, version, fields, tombstone=fields is None))
+        self._board.record(GossipItem(key, version, fields, tombstone=fields is None))
 
     def repair(self) -> None:
         """Do nothing: the gossip protocol itself repairs differences between daemons."""
 
-    def differ(self) -> bool:
+    def has_differing_peer(self) -> bool:
         """Return False: the gossip protocol itself repairs differences between daemons."""
         return False
 
-    def are_missed(self) -> bool:
+    def has_disconnected_peer(self) -> bool:
         """Return whether this daemon receives messages from no peer."""
         return self._is_isolated()
 
-    def _apply_item(self, item: NewsItem) -> None:
+    def _apply_item(self, item: GossipItem) -> None:
         if item.tombstone or item.key.endswith(f"/{self._name}"):
             return
         try:
-            self._quarantine.take(SuspectRecord.from_fields(item.value))
+            self._quarantine.merge(SuspectRecord.from_fields(item.value))
         except (TypeError, ValueError) as error:
             log_event(Event.NEWS_UNREADABLE, "warning", key=item.key, detail=repr(error))
--- a/hemlockswitch/process/records.py
+++ b/hemlockswitch/process/records.py
@@ -58,7 +58,7 @@
         self._request_id = request_id
         self._target = target
         self._permit: Permit | None = None
-        self.begun_ms = records.clock.now_ms()
+        self.started_ms = records.clock.now_ms()
 
     def admit(
         self, account: str, tokens_wanted: int, priority: int, deadline_ms: float | None
--- a/hemlockswitch/process/revisions/applying.py
+++ b/hemlockswitch/process/revisions/applying.py
@@ -28,7 +28,7 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.errors import ConfigurationError, ErrorKind, PlatformError
 from hemlockswitch.core.identifiers import make_identifier
-from hemlockswitch.process.revisions.store import Current, RevisionStore
+from hemlockswitch.process.revisions.store import CurrentRevision, RevisionStore
 from hemlockswitch.version.checks import CheckedFile
 from hemlockswitch.version.differences import Change, compare_trees
 from hemlockswitch.version.documents import digest_tree
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class Applied:
+class ApplyResult:
     """The result of an apply that took effect.
 
     Parameters
@@ -125,7 +125,7 @@
         self._clock = clock
         self._deadline_ms = clock.now_ms() + timeout_ms
 
-    def apply(self, checked: CheckedFile, seen: int | None) -> Applied:
+    def apply(self, checked: CheckedFile, seen: int | None) -> ApplyResult:
         """Put a file in force as a new revision.
 
         Parameters
@@ -146,7 +146,7 @@
             self._delete_revision(applied.number - RETAINED_REVISIONS)
         return applied
 
-    def _apply_once(self, checked: CheckedFile, seen: int | None) -> Applied:
+    def _apply_once(self, checked: CheckedFile, seen: int | None) -> ApplyResult:
         base = self._store.read_current()
         if base.revision is not None and base.revision.digest == digest_tree(checked.tree):
             return self._confirm_unchanged(checked, base, base.revision, seen)
@@ -167,8 +167,8 @@
                 self._objects.delete(REVISION_KIND, str(number), stored.version)
 
     def _confirm_unchanged(
-        self, checked: CheckedFile, base: Current, revision: Revision, seen: int | None
-    ) -> Applied:
+        self, checked: CheckedFile, base: CurrentRevision, revision: Revision, seen: int | None
+    ) -> ApplyResult:
         """Rewrite the pointer with its current value, to detect that `base` is a stale read."""
         outcome = self._write_until_known(
             lambda: self._objects.update(
@@ -180,10 +180,10 @@
             found = self._store.read_current(outcome.version)
         if found.number == base.number:
             number, digest, apply_id = revision.number, revision.digest, revision.apply_id
-            return Applied(number, digest, apply_id, (), written=False, version=base.version)
+            return ApplyResult(number, digest, apply_id, (), written=False, version=base.version)
         raise self._make_conflict(checked, base.number if seen is None else seen, found)
 
-    def _write(self, checked: CheckedFile, base: Current) -> Applied:
+    def _write(self, checked: CheckedFile, base: CurrentRevision) -> ApplyResult:
         proposal = self._write_revision(
             Revision.from_checked(
                 checked,
@@ -199,8 +199,8 @@
         return self._resolve_conflict(checked, proposal, base, outcome.version)
 
     def _resolve_conflict(
-        self, checked: CheckedFile, proposal: Revision, base: Current, version: int
-    ) -> Applied:
+        self, checked: CheckedFile, proposal: Revision, base: CurrentRevision, version: int
+    ) -> ApplyResult:
         """Determine whether a conflict was caused by this apply's own write or by another apply."""
         try:
             found = self._store.read_current(version)
@@ -235,13 +235,13 @@
                 return found.apply_id == proposal.apply_id
             self._pause()
 
-    def _move_pointer(self, proposal: Revision, base: Current) -> WriteOutcome:
+    def _move_pointer(self, proposal: Revision, base: CurrentRevision) -> WriteOutcome:
         value = proposal.to_pointer()
         if base.revision is None:
             return self._objects.create(POINTER_KIND, CURRENT_POINTER, value)
         return self._objects.update(POINTER_KIND, CURRENT_POINTER, value, base.version)
 
-    def _was_in_force(self, proposal: Revision, found: Current) -> bool:
+    def _was_in_force(self, proposal: Revision, found: CurrentRevision) -> bool:
         """Return whether the proposal is the revision in force or an ancestor of it."""
         revision = found.revision
         while revision is not None and revision.number > proposal.number:
@@ -279,14 +279,14 @@
             )
         self._clock.sleep_ms(RETRY_PAUSE_MS)
 
-    def _report(self, proposal: Revision, base: Current, version: int) -> Applied:
+    def _report(self, proposal: Revision, base: CurrentRevision, version: int) -> ApplyResult:
         old_tree = {} if base.revision is None else base.revision.tree
         changes = tuple(compare_trees(old_tree, proposal.tree))
         number, digest, apply_id = proposal.number, proposal.digest, proposal.apply_id
-        return Applied(number, digest, apply_id, changes, version=version)
+        return ApplyResult(number, digest, apply_id, changes, version=version)
 
     def _make_conflict(
-        self, checked: CheckedFile, seen: int, found: Current
+        self, checked: CheckedFile, seen: int, found: CurrentRevision
     ) -> RevisionConflictError:
         known = self._store.read_revision(seen) if seen else None
         found_tree = {} if found.revision is None else found.revision.tree
--- a/hemlockswitch/process/revisions/messages.py
+++ b/hemlockswitch/process/revisions/messages.py
@@ -4,13 +4,13 @@
 from typing import Any
 
 from hemlockswitch.connection.messages import register_message
-from hemlockswitch.process.news.board import NewsItem
+from hemlockswitch.process.news.board import GossipItem
 
 REVISION_KEY = "revision"
 
 
 @dataclass(frozen=True)
-class RevisionNews:
+class RevisionItem:
     """The value of the gossip item about a revision.
 
     Parameters
@@ -29,22 +29,22 @@
     changes: list[Any] | None
 
     @classmethod
-    def from_item(cls, item: NewsItem | None) -> "RevisionNews | None":
+    def from_item(cls, item: GossipItem | None) -> "RevisionItem | None":
         """Decode an item; return None for no item and for one in a different format."""
         try:
             return None if item is None else cls(*item.value)
         except TypeError:
             return None
 
-    def to_item(self, number: int) -> NewsItem:
+    def to_item(self, number: int) -> GossipItem:
         """Return the gossip item with this value."""
         value = [self.head, self.holder, self.base_number, self.base_digest, self.changes]
-        return NewsItem(REVISION_KEY, number, value)
+        return GossipItem(REVISION_KEY, number, value)
 
 
 @register_message("revision-question")
 @dataclass(frozen=True)
-class RevisionQuestion:
+class RevisionQuery:
     """Requests the revision in force at the receiver if it is newer than `number`.
 
     Parameters
@@ -61,8 +61,8 @@
 
 @register_message("revision-answer")
 @dataclass(frozen=True)
-class RevisionAnswer:
-    """The reply to `RevisionQuestion`: a difference, a complete file or only a head.
+class RevisionReply:
+    """The reply to `RevisionQuery`: a difference, a complete file or only a head.
 
     Parameters
     ==========
--- a/hemlockswitch/process/revisions/spread.py
+++ b/hemlockswitch/process/revisions/spread.py
@@ -24,13 +24,13 @@
 from hemlockswitch.core.errors import HemlockError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.news.board import NewsBoard
+from hemlockswitch.process.news.board import GossipState
 from hemlockswitch.process.revisions.configuration import Configuration
 from hemlockswitch.process.revisions.messages import (
     REVISION_KEY,
-    RevisionAnswer,
-    RevisionNews,
-    RevisionQuestion,
+    RevisionItem,
+    RevisionQuery,
+    RevisionReply,
 )
 from hemlockswitch.version.differences import (
     apply_changes,
@@ -51,7 +51,7 @@
 
 
 @dataclass
-class SpreadCounts:
+class ReceivedCounts:
     """How many revisions this daemon received from each source, for metrics and /status."""
 
     by_news: int = 0
@@ -61,7 +61,7 @@
     failed: int = 0
 
 
-class RevisionSpread:
+class RevisionUpdater:
     """Updates this daemon's configuration to the highest revision that its peers have.
 
     Parameters
@@ -78,13 +78,13 @@
     def __init__(
         self,
         configuration: Configuration,
-        board: NewsBoard,
+        board: GossipState,
         network: PeerNetwork,
         list_peers: Callable[[], Iterable[str]],
         read_platform: Callable[[], Revision | None],
         clock: Clock,
     ) -> None:
-        self.counts = SpreadCounts()
+        self.counts = ReceivedCounts()
         self._configuration = configuration
         self._board = board
         self._network = network
@@ -93,7 +93,7 @@
         self._clock = clock
         self._wake = Signal()
         self._next_platform_read_ms = clock.now_ms() + PLATFORM_READ_DELAY_MS
-        network.handle(RevisionQuestion, self._answer)
+        network.handle(RevisionQuery, self._answer)
         board.add_listener(REVISION_KEY, lambda _: self._wake.set())
         configuration.add_listener(self._publish)
 
@@ -144,13 +144,13 @@
         )
 
     def _adopt_from_gossip(self) -> None:
-        news = RevisionNews.from_item(self._board.find(REVISION_KEY))
+        news = RevisionItem.from_item(self._board.find(REVISION_KEY))
         if news is None or news.changes is None:
             return
         have = self._configuration
         if (news.base_number, news.base_digest) != (have.revision, have.digest):
             return
-        if self._adopt(RevisionAnswer(news.head, news.changes), "news"):
+        if self._adopt(RevisionReply(news.head, news.changes), "news"):
             self.counts.by_news += 1
 
     def _adopt_from_peers(self) -> None:
@@ -184,7 +184,7 @@
         near = addresses[:MAX_NEAR_PEERS]
         far = addresses[MAX_NEAR_PEERS:]
         chosen = near + random.sample(far, min(len(far), MAX_FAR_PEERS))
-        news = RevisionNews.from_item(self._board.find(REVISION_KEY))
+        news = RevisionItem.from_item(self._board.find(REVISION_KEY))
         if news is None or news.holder in ("", own):
             return chosen
         return [news.holder, *(address for address in chosen if address != news.holder)]
@@ -196,15 +196,15 @@
             self._adopt_answer(answer, address)
         return not self._is_behind()
 
-    def _fetch(self, address: str, whole: bool) -> RevisionAnswer | None:
+    def _fetch(self, address: str, whole: bool) -> RevisionReply | None:
         have = self._configuration
-        query = RevisionQuestion(have.revision, have.digest, whole)
+        query = RevisionQuery(have.revision, have.digest, whole)
         try:
             return self._network.ask(address, query, REQUEST_TIMEOUT_MS)
         except HemlockError:
             return None
 
-    def _adopt_answer(self, answer: RevisionAnswer, address: str) -> None:
+    def _adopt_answer(self, answer: RevisionReply, address: str) -> None:
         if answer.changes is None and answer.file is None:
             return
         by_difference = answer.changes is not None
@@ -224,7 +224,7 @@
         if revision is not None and self._configuration.adopt(revision, "platform"):
             self.counts.by_platform += 1
 
-    def _adopt(self, answer: RevisionAnswer, source: str) -> bool:
+    def _adopt(self, answer: RevisionReply, source: str) -> bool:
         try:
             revision = self._read_answer(answer)
         except HemlockError as error:
@@ -233,7 +233,7 @@
             return False
         return self._configuration.adopt(revision, source)
 
-    def _read_answer(self, answer: RevisionAnswer) -> Revision:
+    def _read_answer(self, answer: RevisionReply) -> Revision:
         tree = answer.file
         if answer.changes is not None:
             current = self._configuration.current
@@ -241,17 +241,17 @@
             tree = apply_changes(base, unpack_changes(answer.changes))
         return Revision.from_value(answer.head | {"file": tree})
 
-    def _answer(self, sender: str, query: RevisionQuestion) -> RevisionAnswer:
+    def _answer(self, sender: str, query: RevisionQuery) -> RevisionReply:
         del sender
         current = self._configuration.current
         if current is None:
-            return RevisionAnswer({})
+            return RevisionReply({})
         if current.number <= query.number:
-            return RevisionAnswer(current.to_head())
+            return RevisionReply(current.to_head())
         changes = self._configuration.find_changes(query.number, query.digest)
         if changes is not None:
-            return RevisionAnswer(current.to_head(), pack_changes(changes))
-        return RevisionAnswer(current.to_head(), None, current.tree if query.whole else None)
+            return RevisionReply(current.to_head(), pack_changes(changes))
+        return RevisionReply(current.to_head(), None, current.tree if query.whole else None)
 
     def _publish(self, revision: Revision) -> None:
         """Announce a revision by gossip, including the changes if they are small."""
@@ -259,7 +259,7 @@
         rows = None if step.changes is None else pack_changes(step.changes)
         if rows is not None and len(msgpack.packb(rows)) > MAX_GOSSIP_CHANGES_BYTES:
             rows = None
-        news = RevisionNews(
+        news = RevisionItem(
             revision.to_head(), self._network.address, step.base_number, step.base_digest, rows
         )
-        self._board.learn(news.to_item(revision.number))
+        self._board.record(news.to_item(revision.number))
--- a/hemlockswitch/process/revisions/store.py
+++ b/hemlockswitch/process/revisions/store.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Current:
+class CurrentRevision:
     """The revision that the platform's pointer names.
 
     Parameters
@@ -69,7 +69,7 @@
         stored = self._read_object(REVISION_KIND, str(number))
         return None if stored is None else Revision.from_value(stored.value)
 
-    def read_current(self, min_version: int = NO_VERSION) -> Current:
+    def read_current(self, min_version: int = NO_VERSION) -> CurrentRevision:
         """Return the revision that the pointer names, retrying reads older than `min_version`.
 
         Raises
@@ -89,15 +89,15 @@
                 )
             self._clock.sleep_ms(RETRY_PAUSE_MS)
 
-    def _read_pointer(self) -> Current | None:
+    def _read_pointer(self) -> CurrentRevision | None:
         stored = self._read_object(POINTER_KIND, CURRENT_POINTER)
         if stored is None:
-            return Current(NO_VERSION, None)
+            return CurrentRevision(NO_VERSION, None)
         pointer = read_pointer(stored.value)
         revision = self.read_revision(pointer.number)
         if revision is None or revision.digest != pointer.digest:
             return None
-        return Current(stored.version, revision)
+        return CurrentRevision(stored.version, revision)
 
     def _read_object(self, kind: str, name: str) -> StoredObject | None:
         deadline_ms = self._clock.now_ms() + self._timeout_ms
--- a/hemlockswitch/process/revisions/tasks.py
+++ b/hemlockswitch/process/revisions/tasks.py
@@ -7,10 +7,10 @@
 from hemlockswitch.connection.stored_objects import StoredObject
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
-from hemlockswitch.process.facts import Facts
+from hemlockswitch.process.facts import ClusterState
 from hemlockswitch.process.membership.members import Member
 from hemlockswitch.process.revisions.configuration import Configuration
-from hemlockswitch.process.revisions.spread import RevisionSpread
+from hemlockswitch.process.revisions.spread import RevisionUpdater
 from hemlockswitch.process.revisions.store import RevisionStore, read_pointer
 from hemlockswitch.process.servers.watchers import Pointer, Watcher
 from hemlockswitch.process.status.zone_status import DaemonReport, ZoneMember, ZoneStatus
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        facts: Facts,
+        facts: ClusterState,
         name: str,
         zone: str,
         program: str,
@@ -70,9 +70,9 @@
         self._is_ready = is_ready
         self._describe = describe
         self._store = RevisionStore(facts.platform, clock, READ_TIMEOUT_MS)
-        self.spread = RevisionSpread(
+        self.spread = RevisionUpdater(
             self.configuration,
-            facts.board,
+            facts.gossip_state,
             facts.network,
             self.list_peers,
             lambda: self._store.read_current().revision,
--- a/hemlockswitch/process/servers/backends.py
+++ b/hemlockswitch/process/servers/backends.py
@@ -9,7 +9,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.membership.discovery import ENTRY_SERVES
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
+from hemlockswitch.process.news.board import GossipItem, GossipState
 from hemlockswitch.process.servers.dispatches import Dispatches
 from hemlockswitch.process.servers.loads import Ticket
 from hemlockswitch.process.servers.subsets import SUBSET_SIZE, Subset
@@ -18,7 +18,7 @@
 
 VM_PREFIX = "vm/"
 NOTICE_PREFIX = "notice/"
-ZONE_SILENCE_MS = 2_000.0
+ZONE_OFFER_EXPIRY_MS = 2_000.0
 
 LeavingListener = Callable[[str, int], None]
 
@@ -38,7 +38,7 @@
     ===========
 
     Servers of the local zone come from gossip (`vm/<name>` and `notice/<name>`). Servers of another
-    zone come from the answers of that zone's daemons, and expire `ZONE_SILENCE_MS` after the query was
+    zone come from the answers of that zone's daemons, and expire `ZONE_OFFER_EXPIRY_MS` after the query was
     sent, so that an unreachable zone gets no new work.
 
     A server that was reported as leaving stays leaving, even if a later record says otherwise.
@@ -56,18 +56,18 @@
 
     def __init__(
         self,
-        board: NewsBoard,
+        board: GossipState,
         clock: Clock,
         zone: str,
         own_name: str = "",
-        members: Callable[[], list[str]] = list,
+        list_members: Callable[[], list[str]] = list,
         subset_size: int = SUBSET_SIZE,
     ) -> None:
         self._clock = clock
         self.zone = zone
         self.overflowed_ms = -math.inf
         self._own_name = own_name
-        self._list_members = members
+        self._list_members = list_members
         self._subset_size = subset_size
         self._servers: dict[str, BackendServer] = {}
         self._offers: dict[str, _ZoneOffer] = {}
@@ -164,7 +164,7 @@
         """
         return self._dispatches.estimate(self.list_servers(target))
 
-    def note_overflow(self) -> None:
+    def record_overflow(self) -> None:
         """Record that the servers in use are overloaded, so that other zones are queried for servers."""
         self.overflowed_ms = self._clock.now_ms()
 
@@ -190,9 +190,9 @@
         serves = server.serves if server else ""
         return self._dispatches.begin(name, serves, prompt_tokens, max_tokens)
 
-    def note_first_token(self, ticket: Ticket) -> None:
+    def record_first_token(self, ticket: Ticket) -> None:
         """Record that the request's prompt has been computed."""
-        self._dispatches.note_first_token(ticket)
+        self._dispatches.record_first_token(ticket)
 
     def end(self, ticket: Ticket, failed: bool = False) -> None:
         """Count the request as ended; further calls for the ticket have no effect.
@@ -211,13 +211,13 @@
         """Record a load report of a server."""
         self._dispatches.record_load(name, report, round_trip_ms)
 
-    def learn_offer(self, zone: str, servers: Iterable[BackendServer], asked_ms: float) -> None:
+    def record_offer(self, zone: str, servers: Iterable[BackendServer], asked_ms: float) -> None:
         """Record the answer of another zone's daemon to a query sent at `asked_ms`."""
         current = self._offers.get(zone)
         if current is None or asked_ms > current.asked_ms:
             self._offers[zone] = _ZoneOffer({one.name: one for one in servers}, asked_ms)
 
-    def learn_leaving(self, name: str, deadline_wall_ms: int = 0) -> None:
+    def record_leaving(self, name: str, deadline_wall_ms: int = 0) -> None:
         """Record that the server is leaving: it permanently gets no new work."""
         if name in self._leaving:
             return
@@ -254,7 +254,7 @@
         return [server for server in servers if server is not None]
 
     def _list_offered(self, target: str) -> list[BackendServer]:
-        oldest_ms = self._clock.now_ms() - ZONE_SILENCE_MS
+        oldest_ms = self._clock.now_ms() - ZONE_OFFER_EXPIRY_MS
         return [
             server
             for zone, offer in self._offers.items()
@@ -263,7 +263,7 @@
             if server.serves == target
         ]
 
-    def _apply_vm(self, item: NewsItem) -> None:
+    def _apply_vm(self, item: GossipItem) -> None:
         try:
             server = BackendServer.from_record(item.value)
         except (KeyError, TypeError, ValueError) as error:
@@ -271,14 +271,14 @@
             return
         self._is_subset_stale = True
         if server.state in (BackendState.LEAVING, BackendState.GONE):
-            self.learn_leaving(server.name)
+            self.record_leaving(server.name)
         if server.state is BackendState.GONE:
             self._servers.pop(server.name, None)
             self._dispatches.evict(server.name)
         elif server.zone == self.zone and server.serves not in ("", ENTRY_SERVES):
             self._servers[server.name] = server
 
-    def _apply_notice(self, item: NewsItem) -> None:
+    def _apply_notice(self, item: GossipItem) -> None:
         name = item.key.removeprefix(NOTICE_PREFIX)
         value = item.value if isinstance(item.value, dict) else {}
-        self.learn_leaving(name, int(value.get("deadline_wall_ms", 0)))
+        self.record_leaving(name, int(value.get("deadline_wall_ms", 0)))
--- a/hemlockswitch/process/servers/dispatches.py
+++ b/hemlockswitch/process/servers/dispatches.py
@@ -63,10 +63,10 @@
         state.circuit.record_trial(now_ms)
         return ticket
 
-    def note_first_token(self, ticket: Ticket) -> None:
+    def record_first_token(self, ticket: Ticket) -> None:
         """Record that the request's prompt has been computed."""
         state = self._get_state(ticket.server_name)
-        state.load.note_first_token(ticket, self._clock.now_ms())
+        state.load.record_first_token(ticket, self._clock.now_ms())
         state.circuit.record_success()
 
     def end(self, ticket: Ticket, failed: bool) -> None:
--- a/hemlockswitch/process/servers/loads.py
+++ b/hemlockswitch/process/servers/loads.py
@@ -86,7 +86,7 @@
         self.waiting[ticket.identifier] = ticket
         self._record_history(ticket.begun_ms)
 
-    def note_first_token(self, ticket: Ticket, now_ms: float) -> None:
+    def record_first_token(self, ticket: Ticket, now_ms: float) -> None:
         """Count a request's prompt as computed."""
         if self.waiting.pop(ticket.identifier, None) is not None:
             self.first_token_ms[ticket.identifier] = now_ms
--- a/hemlockswitch/process/servers/vm_feed.py
+++ b/hemlockswitch/process/servers/vm_feed.py
@@ -3,7 +3,7 @@
 from typing import Any, Protocol
 
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
+from hemlockswitch.process.news.board import GossipItem, GossipState
 from hemlockswitch.process.servers.backends import NOTICE_PREFIX, VM_PREFIX
 from hemlockswitch.version.backend import BackendState
 
@@ -28,7 +28,7 @@
     """
 
     def __init__(
-        self, platform: ListingPlatform, zone: str, board: NewsBoard, clock: Clock
+        self, platform: ListingPlatform, zone: str, board: GossipState, clock: Clock
     ) -> None:
         self._platform = platform
         self._zone = zone
@@ -41,7 +41,7 @@
         listed = {vm.name: vm for vm in self._platform.list_vms(self._zone).vms}
         for name, vm in listed.items():
             self._missing_since_ms.pop(name, None)
-            self._board.learn(NewsItem(VM_PREFIX + name, vm.version, describe_vm(vm)))
+            self._board.record(GossipItem(VM_PREFIX + name, vm.version, describe_vm(vm)))
         self._note_missing(set(listed))
 
     def _note_missing(self, listed: set[str]) -> None:
@@ -54,7 +54,7 @@
             since_ms = self._missing_since_ms.setdefault(name, now_ms)
             if now_ms - since_ms >= VM_REMOVAL_DELAY_MS:
                 gone = {**item.value, "state": BackendState.GONE.value}
-                self._board.learn(NewsItem(item.key, item.version + 1, gone, tombstone=True))
+                self._board.record(GossipItem(item.key, item.version + 1, gone, tombstone=True))
                 self._remove_notice(name)
                 del self._missing_since_ms[name]
 
@@ -62,8 +62,8 @@
         """Publish a tombstone for the notice of a removed VM, so that gossip states can evict it."""
         notice = self._board.find(NOTICE_PREFIX + name)
         if notice is not None:
-            last = NewsItem(notice.key, notice.version + 1, notice.value, tombstone=True)
-            self._board.learn(last)
+            last = GossipItem(notice.key, notice.version + 1, notice.value, tombstone=True)
+            self._board.record(last)
 
 
 def describe_vm(vm: Any) -> dict[str, Any]:
--- a/hemlockswitch/process/servers/watchers.py
+++ b/hemlockswitch/process/servers/watchers.py
@@ -20,12 +20,12 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.identifiers import rank_rendezvous
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
+from hemlockswitch.process.news.board import GossipItem, GossipState
 from hemlockswitch.process.servers.backends import NOTICE_PREFIX
 
 FEED_PREFIX = "feed/"
 WATCHERS = 2
-SUBSTITUTES = 2
+SUBSTITUTE_WATCHERS = 2
 NOTICE_WAIT_MS = 1_000
 POINTER_WAIT_MS = 5_000
 HEARTBEAT_INTERVAL_MS = 500
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True)
-class Post:
+class WatcherSelection:
     """The inputs of the watcher selection: the daemon's name and zone, and the zone's live daemons."""
 
     own_name: str
@@ -87,7 +87,12 @@
     """
 
     def __init__(
-        self, label: str, post: Post, ask: Callable[[], None], interval_ms: float, clock: Clock
+        self,
+        label: str,
+        post: WatcherSelection,
+        ask: Callable[[], None],
+        interval_ms: float,
+        clock: Clock,
     ) -> None:
         self._label = label
         self._post = post
@@ -135,7 +140,9 @@
     report that the platform does not answer them, the next daemons in the order query it too.
     """
 
-    def __init__(self, platform: Platform, post: Post, board: NewsBoard, clock: Clock) -> None:
+    def __init__(
+        self, platform: Platform, post: WatcherSelection, board: GossipState, clock: Clock
+    ) -> None:
         self._platform = platform
         self._post = post
         self._board = board
@@ -153,7 +160,7 @@
         """Time since the last heartbeat of any watcher of the zone."""
         return self._clock.now_ms() - self._last_received_ms
 
-    def ask(self, wait_ms: int = NOTICE_WAIT_MS) -> None:
+    def read_notices(self, wait_ms: int = NOTICE_WAIT_MS) -> None:
         """Read the notices once, waiting until there is one, and publish them."""
         try:
             page = self._platform.watch_notices(self._post.zone, self._number, wait_ms)
@@ -164,7 +171,7 @@
         self._answered_ms = self._clock.now_ms()
         for notice in page.notices:
             value = {"deadline_wall_ms": notice.deadline_wall_ms}
-            self._board.learn(NewsItem(NOTICE_PREFIX + notice.vm, notice.number, value))
+            self._board.record(GossipItem(NOTICE_PREFIX + notice.vm, notice.number, value))
         self._number = page.number
         # A heartbeat without changes is redundant if the zone's second watcher has just published one.
         if page.notices or not self._watchers_answered or self.silent_ms >= HEARTBEAT_INTERVAL_MS:
@@ -188,11 +195,11 @@
             self.check()
 
     def _is_substitute(self) -> bool:
-        return not self._watchers_answered and self._post.is_watcher(WATCHERS + SUBSTITUTES)
+        return not self._watchers_answered and self._post.is_watcher(WATCHERS + SUBSTITUTE_WATCHERS)
 
     def _query_once(self) -> None:
         try:
-            self.ask(wait_ms=0)
+            self.read_notices(wait_ms=0)
         except HemlockError as error:
             log_event(Event.WATCH_FAILED, "warning", watch="notices in place", error=str(error))
 
@@ -205,9 +212,9 @@
         version = max(self._clock.wall_ms(), current.version + 1 if current else 0)
         self._published_answered = self._is_answered()
         value = {"number": self._number, "answered": self._published_answered}
-        self._board.learn(NewsItem(self._key, version, value, tombstone=True))
+        self._board.record(GossipItem(self._key, version, value, tombstone=True))
 
-    def _receive_heartbeat(self, item: NewsItem) -> None:
+    def _receive_heartbeat(self, item: GossipItem) -> None:
         if item.key != self._key:
             return
         self._last_received_ms = self._clock.now_ms()
--- a/hemlockswitch/process/servers/zones.py
+++ b/hemlockswitch/process/servers/zones.py
@@ -19,7 +19,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.identifiers import hash_stable, rank_rendezvous
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.servers.backends import ZONE_SILENCE_MS, BackendDirectory
+from hemlockswitch.process.servers.backends import ZONE_OFFER_EXPIRY_MS, BackendDirectory
 from hemlockswitch.version.backend import BackendServer
 
 ASK_INTERVAL_MS = 500
@@ -77,7 +77,7 @@
         """Register the handler of a query type."""
 
 
-class ZoneDesk:
+class ZoneQueryHandler:
     """Answers the queries of other daemons for the servers of this daemon's zone."""
 
     def __init__(self, directory: BackendDirectory, is_fresh: Callable[[], bool]) -> None:
@@ -125,7 +125,7 @@
     silent: bool = False
 
 
-class ZoneQuestions:
+class ZoneQueries:
     """Tasks that query other zones for their servers while these may be needed.
 
     Parameters
@@ -187,11 +187,11 @@
             state.digest = offer.digest
             state.servers = tuple(BackendServer.from_record(one) for one in offer.servers)
             for name in offer.leaving:
-                self._directory.learn_leaving(name)
+                self._directory.record_leaving(name)
         if state.silent:
             log_event(Event.ZONE_HEARD, zone=zone)
         state.answered_ms, state.silent = asked_ms, False
-        self._directory.learn_offer(zone, state.servers, asked_ms)
+        self._directory.record_offer(zone, state.servers, asked_ms)
 
     def refresh_from(self, address: str) -> None:
         """Fetch the leaving servers from a daemon of the local zone.
@@ -203,7 +203,7 @@
         """
         offer = self._network.ask(address, ZoneQuestion(self._own_name, 0), ASK_TIMEOUT_MS)
         for name in offer.leaving:
-            self._directory.learn_leaving(name)
+            self._directory.record_leaving(name)
 
     def _query_one(self, addresses: list[str], digest: int) -> ZoneOffer:
         if not addresses:
@@ -214,6 +214,6 @@
     def _record_silence(self, zone: str, state: _ZoneState) -> None:
         if state.silent or state.answered_ms is None:
             return
-        if self._clock.now_ms() - state.answered_ms > ZONE_SILENCE_MS:
+        if self._clock.now_ms() - state.answered_ms > ZONE_OFFER_EXPIRY_MS:
             state.silent = True
             log_event(Event.ZONE_SILENT, "warning", zone=zone)
--- a/hemlockswitch/process/serving.py
+++ b/hemlockswitch/process/serving.py
@@ -151,7 +151,7 @@
         record.admit(account.name, 0, find_priority(request, account), deadline_ms)
         with record:
             answer = self._services.call(request, account.name, found, path, deadline_ms)
-            self._records.observe_call(service, record.begun_ms)
+            self._records.observe_call(service, record.started_ms)
             return answer
 
     def resume(self, request: CallerRequest, resumed_id: str) -> CallerAnswer:
--- a/hemlockswitch/process/shares/members.py
+++ b/hemlockswitch/process/shares/members.py
@@ -4,9 +4,9 @@
 
 from hemlockswitch.connection.platform import PlatformClient
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.process.facts import Facts
+from hemlockswitch.process.facts import ClusterState
 from hemlockswitch.process.membership.membership import Membership
-from hemlockswitch.process.news.board import NewsBoard
+from hemlockswitch.process.news.board import GossipState
 from hemlockswitch.process.servers.backends import VM_PREFIX
 from hemlockswitch.process.shares.parts import ShareMember
 from hemlockswitch.process.shares.shares import Shares
@@ -14,14 +14,19 @@
 from hemlockswitch.version.models import OperatorFile
 from hemlockswitch.version.settings import EntrySettings
 
-CALL_MS = 1_000.0
+PLATFORM_CALL_TIMEOUT_MS = 1_000.0
 
 
 def build_shares(
-    settings: EntrySettings, facts: Facts, clock: Clock, find_file: Callable[[], OperatorFile]
+    settings: EntrySettings,
+    facts: ClusterState,
+    clock: Clock,
+    find_file: Callable[[], OperatorFile],
 ) -> Shares:
     """Return the daemon's shares of the limits, with a separate platform client."""
-    store = PlatformClient(settings.platform, "limits", settings.name, timeout_ms=CALL_MS)
+    store = PlatformClient(
+        settings.platform, "limits", settings.name, timeout_ms=PLATFORM_CALL_TIMEOUT_MS
+    )
     return Shares(
         name=settings.name,
         zone=settings.zone,
@@ -30,7 +35,7 @@
         network=facts.network,
         find_file=find_file,
         list_members=lambda: list_share_members(facts.membership),
-        is_gone=lambda name: is_vm_gone(facts.board, name),
+        is_gone=lambda name: is_vm_removed(facts.gossip_state, name),
     )
 
 
@@ -43,7 +48,7 @@
     ]
 
 
-def is_vm_gone(board: NewsBoard, name: str) -> bool:
+def is_vm_removed(board: GossipState, name: str) -> bool:
     """Return whether a VM was removed from the platform's VM list after it had been listed.
 
     Explanation
--- a/hemlockswitch/programs/ctl_apply.py
+++ b/hemlockswitch/programs/ctl_apply.py
@@ -6,7 +6,7 @@
 
 from hemlockswitch.core.clock import MS_PER_SECOND
 from hemlockswitch.core.errors import HemlockError
-from hemlockswitch.process.revisions.applying import Applied, Applier
+from hemlockswitch.process.revisions.applying import Applier, ApplyResult
 from hemlockswitch.process.revisions.store import RevisionStore
 from hemlockswitch.process.status.zone_status import STATUS_KIND
 from hemlockswitch.process.status.zone_view import ZoneState, ZoneView, view_zones
@@ -104,7 +104,7 @@
             raise InvalidFileError.from_reason("--from is neither a number nor 'latest'")
         return int(seen)
 
-    def _wait(self, checked: CheckedFile, applied: Applied, wait_ms: float) -> list[ZoneView]:
+    def _wait(self, checked: CheckedFile, applied: ApplyResult, wait_ms: float) -> list[ZoneView]:
         deadline_ms = self.clock.now_ms() + wait_ms
         views: list[ZoneView] = []
         while True:
@@ -115,7 +115,7 @@
                 return views or view_zones(checked.file.zones, (), applied.number, 0, 0)
             self.clock.sleep_ms(POLL_MS)
 
-    def _view(self, checked: CheckedFile, applied: Applied) -> list[ZoneView]:
+    def _view(self, checked: CheckedFile, applied: ApplyResult) -> list[ZoneView]:
         try:
             objects = self.client.list(STATUS_KIND).items
         except HemlockError:
@@ -123,7 +123,7 @@
         zones, now_ms = checked.file.zones, self.clock.wall_ms()
         return view_zones(zones, objects, applied.number, applied.version, now_ms)
 
-    def _describe(self, applied: Applied) -> dict[str, Any]:
+    def _describe(self, applied: ApplyResult) -> dict[str, Any]:
         return {
             "ok": True,
             "number": applied.number,
@@ -134,7 +134,7 @@
             "changes": [describe_change(change) for change in applied.changes],
         }
 
-    def _list_lines(self, applied: Applied) -> list[str]:
+    def _list_lines(self, applied: ApplyResult) -> list[str]:
         if not applied.written:
             return [f"nothing to change: revision {applied.number} holds this file already"]
         lines = [f"applied as revision {applied.number} ({applied.apply_id}); changes:"]
--- a/hemlockswitch/programs/ctl_status.py
+++ b/hemlockswitch/programs/ctl_status.py
@@ -8,7 +8,7 @@
 from hemlockswitch.connection.platform_models import ListedVm
 from hemlockswitch.core.clock import MS_PER_SECOND
 from hemlockswitch.core.errors import HemlockError
-from hemlockswitch.process.revisions.store import Current, RevisionStore
+from hemlockswitch.process.revisions.store import CurrentRevision, RevisionStore
 from hemlockswitch.process.status.fleet_view import count_copies, describe_copies, format_copies
 from hemlockswitch.process.status.zone_status import STATUS_KIND
 from hemlockswitch.process.status.zone_view import StoredDaemon, ZoneView, sum_refusals, view_zones
@@ -50,7 +50,7 @@
         except HemlockError:
             return None
 
-    def _view_zones(self, current: Current) -> list[ZoneView]:
+    def _view_zones(self, current: CurrentRevision) -> list[ZoneView]:
         if current.revision is None:
             return []
         objects = self.client.list(STATUS_KIND).items
@@ -59,7 +59,7 @@
         return view_zones(zones, objects, current.number, current.version, now_ms)
 
     def _describe(
-        self, current: Current, views: list[ZoneView], vms: tuple[ListedVm, ...] | None
+        self, current: CurrentRevision, views: list[ZoneView], vms: tuple[ListedVm, ...] | None
     ) -> dict[str, Any]:
         file = None if current.revision is None else current.revision.file
         counts = count_copies(file, vms) if file is not None and vms is not None else []
@@ -79,7 +79,7 @@
         }
 
     def _list_lines(
-        self, current: Current, views: list[ZoneView], vms: tuple[ListedVm, ...] | None
+        self, current: CurrentRevision, views: list[ZoneView], vms: tuple[ListedVm, ...] | None
     ) -> list[str]:
         if current.revision is None:
             return ["no revision was ever applied"]
--- a/hemlockswitch/programs/entry.py
+++ b/hemlockswitch/programs/entry.py
@@ -33,7 +33,7 @@
 
     def find_stop(self, daemon: EntryDaemon) -> tuple[Callable[[], Any], Signal]:
         """Return the daemon's own departure, which a reclaim notice begins as well."""
-        return daemon.departure.request, daemon.departure.told
+        return daemon.departure.request, daemon.departure.stop_requested
 
 
 def main() -> int:
--- a/hemlockswitch/request/choices.py
+++ b/hemlockswitch/request/choices.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class Scored:
+class ScoredCandidate:
     """A candidate with its predicted latency.
 
     Parameters
@@ -39,7 +39,7 @@
     slot_ms: float = 1.0
 
 
-class Wanted(Protocol):
+class RoutedRequest(Protocol):
     """The properties of a request that the rules use."""
 
     @property
@@ -82,7 +82,9 @@
 
 
 @singledispatch
-def pick(choice: Choice, scored: Sequence[Scored], wanted: Wanted, chance: random.Random) -> Scored:
+def pick(
+    choice: Choice, scored: Sequence[ScoredCandidate], wanted: RoutedRequest, chance: random.Random
+) -> ScoredCandidate:
     """Return the candidate that the rule `choice` picks.
 
     Parameters
@@ -98,10 +100,15 @@
 
 @pick.register
 def _pick_predicted(
-    choice: PredictedTime, scored: Sequence[Scored], wanted: Wanted, chance: random.Random
-) -> Scored:
+    choice: PredictedTime,
+    scored: Sequence[ScoredCandidate],
+    wanted: RoutedRequest,
+    chance: random.Random,
+) -> ScoredCandidate:
     bounded = drop_overloaded(scored, choice.max_over_mean)
-    preferred = find_home(scored, wanted, choice.affinity_blocks) if wanted.prefix_blocks else None
+    preferred = (
+        find_preferred(scored, wanted, choice.affinity_blocks) if wanted.prefix_blocks else None
+    )
     costs = {one.server.name: compute_cost(choice, one, one is preferred) for one in bounded}
     best_ms = min(costs.values())
     latest_ms = best_ms * (1 + choice.margin_share) + choice.margin_ms
@@ -112,17 +119,17 @@
         return min(cheap, key=lambda one: (one.requests, chance.random()))
     if preferred in cheap:
         return preferred
-    return find_home(cheap, wanted, choice.affinity_blocks)
+    return find_preferred(cheap, wanted, choice.affinity_blocks)
 
 
-def compute_cost(choice: PredictedTime, one: Scored, is_preferred: bool) -> float:
+def compute_cost(choice: PredictedTime, one: ScoredCandidate, is_preferred: bool) -> float:
     """Return the cost of picking a candidate, in milliseconds.
 
     Examples
     ========
 
     >>> server = BackendServer("llm-1", "marka-hall", "127.0.0.1:1", "assistant-llm")
-    >>> one = Scored(server, 50, 0, 100, prompt_tokens=100, seen_tokens=100, ms_per_token=0.5)
+    >>> one = ScoredCandidate(server, 50, 0, 100, prompt_tokens=100, seen_tokens=100, ms_per_token=0.5)
     >>> choice = PredictedTime(recompute_weight=0, preferred_hit_probability=0.8)
     >>> compute_cost(choice, one, is_preferred=False), compute_cost(choice, one, is_preferred=True)
     (50.0, 10.0)
@@ -136,7 +143,9 @@
     return one.first_token_ms - spared_ms + extra_ms
 
 
-def drop_overloaded(scored: Sequence[Scored], max_over_mean: float) -> list[Scored]:
+def drop_overloaded(
+    scored: Sequence[ScoredCandidate], max_over_mean: float
+) -> list[ScoredCandidate]:
     """Return the candidates whose request count is not far above the mean; always at least one.
 
     Examples
@@ -144,7 +153,7 @@
 
     >>> server = BackendServer("llm-1", "marka-hall", "127.0.0.1:1", "assistant-llm")
     >>> counts = [9, 1, 1]
-    >>> kept = drop_overloaded([Scored(server, 0, count, 0) for count in counts], 1.5)
+    >>> kept = drop_overloaded([ScoredCandidate(server, 0, count, 0) for count in counts], 1.5)
     >>> [one.requests for one in kept]
     [1, 1]
     """
@@ -153,7 +162,9 @@
     return [one for one in scored if one.requests <= most]
 
 
-def find_home(scored: Sequence[Scored], wanted: Wanted, affinity_blocks: int) -> Scored:
+def find_preferred(
+    scored: Sequence[ScoredCandidate], wanted: RoutedRequest, affinity_blocks: int
+) -> ScoredCandidate:
     """Return the preferred server for the request's leading blocks; all daemons agree on it."""
     by_name = {one.server.name: one for one in scored}
     leading = wanted.prefix_blocks[:affinity_blocks]
--- a/hemlockswitch/request/claims.py
+++ b/hemlockswitch/request/claims.py
@@ -11,7 +11,7 @@
 from hemlockswitch.request.fingerprint import hash_call
 
 MAX_KEY_CHARACTERS = 255
-KEPT_BODY_BYTES = 4_096
+MAX_RETAINED_BODY_BYTES = 4_096
 MAX_RETAINED_HEADER_BYTES = 1_024
 DIGEST_CHARACTERS = 32
 
@@ -66,7 +66,10 @@
         True
         """
         header_bytes = sum(len(name) + len(value) for name, value in answer.headers.items())
-        fits = len(answer.body) <= KEPT_BODY_BYTES and header_bytes <= MAX_RETAINED_HEADER_BYTES
+        fits = (
+            len(answer.body) <= MAX_RETAINED_BODY_BYTES
+            and header_bytes <= MAX_RETAINED_HEADER_BYTES
+        )
         return cls(
             Ran.YES,
             answer.status,
--- a/hemlockswitch/request/clearance.py
+++ b/hemlockswitch/request/clearance.py
@@ -50,10 +50,12 @@
         RequestError : the request is quarantined; the error has the time until the next trial.
         """
 
-    def note_broken(self, content: Content, server: BackendServer) -> bool:
+    def record_broken_connection(self, content: Content, server: BackendServer) -> bool:
         """Record a connection closed before the end of the answer; return whether the server crashed."""
 
-    def note_answered(self, content: Content, server: BackendServer, sent_ms: float) -> None:
+    def record_complete_answer(
+        self, content: Content, server: BackendServer, sent_ms: float
+    ) -> None:
         """Record a complete answer of a server to a request sent at `sent_ms`."""
 
 
--- a/hemlockswitch/request/dialect.py
+++ b/hemlockswitch/request/dialect.py
@@ -34,12 +34,12 @@
 
     parts : the parts in order; the last one is specific to the request or its session.
     input_tokens : length of the complete prompt.
-    most_output_tokens : maximum length of the answer.
+    max_output_tokens : maximum length of the answer.
     """
 
     parts: tuple[PromptPart, ...] = ()
     input_tokens: int = 0
-    most_output_tokens: int = 0
+    max_output_tokens: int = 0
 
     @cached_property
     def shared_chain(self) -> Chain:
--- a/hemlockswitch/request/engine_model.py
+++ b/hemlockswitch/request/engine_model.py
@@ -31,7 +31,7 @@
 PRIOR_WEIGHT = 12.0
 """Number of attempts that the current model is weighted as in a fit: the first attempts of a process
 may be uniform and provide no information on some coefficients."""
-FEWEST_TOLD = 30
+MIN_REPORTED_OBSERVATIONS = 30
 """Number of attempts that a model must be fitted to before other gateways use it."""
 MAX_BASE_MS = 2_000.0
 TOKENS_PER_MS_BOUNDS = (1.0, 5_000.0)
@@ -134,7 +134,7 @@
         """Return the predicted time to the first event."""
         return _multiply(self.coefficients, work.features)
 
-    def estimate_reading_ms(self, uncached_tokens: float) -> float:
+    def estimate_prefill_ms(self, uncached_tokens: float) -> float:
         """Return the time to process a number of uncached prompt tokens."""
         return uncached_tokens / self.tokens_per_ms
 
--- a/hemlockswitch/request/forward_admission.py
+++ b/hemlockswitch/request/forward_admission.py
@@ -105,7 +105,7 @@
         return 1.0
     if facts.prompt is None:
         return float(account.plain_tokens)
-    return float(facts.prompt.input_tokens + facts.prompt.most_output_tokens)
+    return float(facts.prompt.input_tokens + facts.prompt.max_output_tokens)
 
 
 def _find_account(
--- a/hemlockswitch/request/forwarding.py
+++ b/hemlockswitch/request/forwarding.py
@@ -40,7 +40,7 @@
 from hemlockswitch.request.unreached import UnreachedServers
 from hemlockswitch.version.backend import BackendServer
 
-COME_BACK_MS = 500
+RETRY_DELAY_MS = 500
 """Retry delay for the caller if no server could take the request: about the time until a started copy or
 a corrected list of servers becomes visible."""
 START_WAIT_SHARE = 0.25
@@ -174,9 +174,11 @@
         An answer that ends with the connection appears complete also if its server has crashed, so the
         guard first checks for a crash.
         """
-        if progress.ended_with_connection and self._guard.note_broken(admitted, answered.server):
+        if progress.ended_with_connection and self._guard.record_broken_connection(
+            admitted, answered.server
+        ):
             return
-        self._guard.note_answered(admitted, answered.server, answered.sent_ms)
+        self._guard.record_complete_answer(admitted, answered.server, answered.sent_ms)
 
     def _choose(self, progress: Progress, admitted: AdmittedRequest, reply: Reply) -> Placement:
         is_careful = progress.clearance.is_careful
@@ -198,7 +200,7 @@
             raise CallerLeftError("no server is left to continue the answer")
         if progress.state is SendState.NOT_RUN:
             detail = f"no backend server for service {admitted.service}"
-            raise RequestError(ErrorKind.NO_BACKEND, detail, retry_after_ms=COME_BACK_MS)
+            raise RequestError(ErrorKind.NO_BACKEND, detail, retry_after_ms=RETRY_DELAY_MS)
         raise RequestError(
             ErrorKind.OUTCOME_UNKNOWN, "no backend server is left for another attempt"
         )
@@ -235,7 +237,7 @@
         if failed.was_cut:
             # The guard tries to connect to the server, and the deadline may pass meanwhile: the
             # state of the request must be updated before.
-            self._guard.note_broken(admitted, placement.candidate.server)
+            self._guard.record_broken_connection(admitted, placement.candidate.server)
         if verdict.may_send_again and self._may_retry(progress, admitted, failed):
             return
         self._give_up(progress, verdict, failed.detail)
@@ -257,7 +259,7 @@
             progress.detail = detail
             raise CallerLeftError(detail)
         if verdict.state is SendState.NOT_RUN:
-            raise RequestError(verdict.answer, detail, retry_after_ms=COME_BACK_MS)
+            raise RequestError(verdict.answer, detail, retry_after_ms=RETRY_DELAY_MS)
         raise RequestError(verdict.answer, detail)
 
     def _give_up_overdue(self, progress: Progress, reply: Reply) -> None:
@@ -289,5 +291,5 @@
     The wait does not exceed the retry delay of a refusal, as the caller may retry only once.
     """
     if facts.time_left_ms is None:
-        return COME_BACK_MS
-    return min(COME_BACK_MS, facts.time_left_ms * START_WAIT_SHARE)
+        return RETRY_DELAY_MS
+    return min(RETRY_DELAY_MS, facts.time_left_ms * START_WAIT_SHARE)
--- a/hemlockswitch/request/homes.py
+++ b/hemlockswitch/request/homes.py
@@ -12,23 +12,26 @@
 
 PREFERRED_COUNT = 3
 """Number of preferred servers of a shared part; all lower-ranked servers are equivalent."""
-NO_HOME = PREFERRED_COUNT
+NOT_PREFERRED = PREFERRED_COUNT
 """Rank of a server that is not preferred."""
 CACHED_RANKS = 12
 """Number of servers cached for a part, which allows for some that are temporarily absent."""
 MAX_PARTS = 4_096
 
 
-def rank_homes(key: str, names: Iterable[str], count: int = PREFERRED_COUNT) -> list[str]:
+def rank_preferred_servers(
+    key: str, names: Iterable[str], count: int = PREFERRED_COUNT
+) -> list[str]:
     """Return the `count` most preferred servers of `key`, in descending order of preference.
 
     Examples
     ========
 
-    >>> homes = rank_homes("part", ["a", "b", "c", "d"], count=4)
-    >>> sorted(homes)
+    >>> ranked = rank_preferred_servers("part", ["a", "b", "c", "d"], count=4)
+    >>> sorted(ranked)
     ['a', 'b', 'c', 'd']
-    >>> rank_homes("part", [name for name in "abcd" if name != homes[0]]) == homes[1:]
+    >>> others = [name for name in "abcd" if name != ranked[0]]
+    >>> rank_preferred_servers("part", others) == ranked[1:]
     True
     """
     return nlargest(
@@ -36,15 +39,16 @@
     )
 
 
-class Homes:
+class PreferredServers:
     """Cache of the preferred servers of prompt parts, cleared when new servers appear.
 
     Examples
     ========
 
-    >>> homes = Homes()
+    >>> preferred = PreferredServers()
     >>> names = ["a", "b", "c", "d", "e"]
-    >>> homes.rank("part", names) == {name: rank for rank, name in enumerate(rank_homes("part", names))}
+    >>> ranked = rank_preferred_servers("part", names)
+    >>> preferred.rank("part", names) == {name: rank for rank, name in enumerate(ranked)}
     True
     """
 
@@ -69,7 +73,9 @@
     def _select(self, key: str, present: set[str]) -> list[str]:
         ranked = self._parts.get(key)
         if ranked is None:
-            ranked = self._parts[key] = rank_homes(key, self._ranked_names, CACHED_RANKS)
+            ranked = self._parts[key] = rank_preferred_servers(
+                key, self._ranked_names, CACHED_RANKS
+            )
             if len(self._parts) > MAX_PARTS:
                 self._parts.popitem(last=False)
         self._parts.move_to_end(key)
--- a/hemlockswitch/request/moving.py
+++ b/hemlockswitch/request/moving.py
@@ -13,7 +13,7 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.errors import RequestError
 from hemlockswitch.request.generation import Generation, Move
-from hemlockswitch.request.running import Chooser, Directory, MoveReady, Running
+from hemlockswitch.request.running import Chooser, Directory, MoveReady, RunningGeneration
 from hemlockswitch.version.backend import BackendServer
 
 MAX_CONCURRENT_TRANSFERS = 16
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        running: Callable[[], list[Running]],
+        running: Callable[[], list[RunningGeneration]],
         chooser: Chooser,
         directory: Directory,
         client: BackendClient,
@@ -96,7 +96,7 @@
                 departure = _Departure(server, generation.stream_id, deadline_ms)
                 gevent.spawn(self._move, running, departure)
 
-    def _move(self, running: Running, departure: _Departure) -> None:
+    def _move(self, running: RunningGeneration, departure: _Departure) -> None:
         """Move one generation, unless it ends or its attempt is lost first."""
         while self._is_current(running, departure):
             if self._finishes_in_time(running.generation, departure):
@@ -107,7 +107,7 @@
                 self._clock.sleep_ms(CHOICE_POLL_INTERVAL_MS)
 
     @staticmethod
-    def _is_current(running: Running, departure: _Departure) -> bool:
+    def _is_current(running: RunningGeneration, departure: _Departure) -> bool:
         generation = running.generation
         same = generation.stream_id == departure.stream_id
         return same and not generation.finish_event and running.stopped is None
@@ -124,7 +124,7 @@
         remaining_ms = (generation.max_tokens - done + 1) * gap_ms * REMAINING_TIME_FACTOR
         return now_ms + remaining_ms + RESERVE_MS < departure.deadline_ms
 
-    def _prepare(self, running: Running, departure: _Departure) -> bool:
+    def _prepare(self, running: RunningGeneration, departure: _Departure) -> bool:
         """Prepare another server and interrupt the relay to switch; return False to try again."""
         target = self._choose(running, departure)
         if target is None:
@@ -141,7 +141,7 @@
             running.interrupt(MoveReady())
         return True
 
-    def _choose(self, running: Running, departure: _Departure) -> BackendServer | None:
+    def _choose(self, running: RunningGeneration, departure: _Departure) -> BackendServer | None:
         need = running.build_need()
         try:
             return self._chooser.choose(
--- a/hemlockswitch/request/overdue.py
+++ b/hemlockswitch/request/overdue.py
@@ -3,7 +3,7 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.request.attempt import AttemptLostError
 from hemlockswitch.request.relay import Relay
-from hemlockswitch.request.running import Running
+from hemlockswitch.request.running import RunningGeneration
 
 SWEEP_INTERVAL_MS = 100.0
 FIRST_TOKEN_TIMEOUT_MS = 20_000.0
@@ -40,7 +40,7 @@
                 running.interrupt(AttemptLostError("the backend server became unresponsive"))
 
     @staticmethod
-    def _is_unresponsive(running: Running, now_ms: float) -> bool:
+    def _is_unresponsive(running: RunningGeneration, now_ms: float) -> bool:
         """Return whether the server has sent nothing for too long.
 
         Time in which the relay does not read, because the caller blocks, is not counted.
--- a/hemlockswitch/request/placement.py
+++ b/hemlockswitch/request/placement.py
@@ -25,7 +25,7 @@
 READ_COST_FACTOR = 3.0
 """Weight of an uncached prompt token relative to a queued one: processing it delays all later requests
 on that engine and takes memory. With 0, busy engines would recompute every prompt."""
-HOMES_CONSIDERED = 2
+PREFERRED_CONSIDERED = 2
 SAMPLED_SERVERS = 4
 """Number of randomly sampled servers to compare that are neither preferred for the prompt nor recorded
 as caching it. If every gateway compared all servers, each would choose the one that appears idle before
@@ -48,7 +48,7 @@
     waiting_tokens : prompt tokens of requests that have not produced their first event.
     cached_tokens : length of the prefix of this request's prompt that is recorded as cached there;
         None while this daemon may not have received the records.
-    home_rank : rank of the server among the preferred ones of the prompt's shared part; 0 is the
+    preference_rank : rank of the server among the preferred ones of the prompt's shared part; 0 is the
         most preferred.
     failure_rate : fraction of recent attempts that failed, 0 to 1.
     distance_ms : round-trip time in excess of that to a server next to this daemon.
@@ -58,7 +58,7 @@
     running: int = 0
     waiting_tokens: float = 0.0
     cached_tokens: float | None = None
-    home_rank: int = 0
+    preference_rank: int = 0
     failure_rate: float = 0.0
     distance_ms: float = 0.0
 
@@ -107,7 +107,7 @@
 def _count_preferred_tokens(prompt: Prompt, candidate: Candidate) -> float:
     """Return the number of shared tokens expected in the cache of a preferred server."""
     shared = sum(part.tokens for part in prompt.shared_parts)
-    rank = candidate.home_rank
+    rank = candidate.preference_rank
     return shared * PREFERRED_HIT_SHARES[rank] if rank < PREFERRED_COUNT else 0.0
 
 
@@ -134,21 +134,21 @@
     return call_ms * (1 + max(candidate.running + 1 - slots, 0) / slots)
 
 
-def keep_least_running(candidates: Sequence[Candidate]) -> list[Candidate]:
+def select_least_loaded(candidates: Sequence[Candidate]) -> list[Candidate]:
     """Return the candidates with the fewest requests in progress.
 
     Examples
     ========
 
     >>> server = BackendServer("a", "z1", "127.0.0.1:1", "s")
-    >>> [one.running for one in keep_least_running([Candidate(server, 4), Candidate(server, 1)])]
+    >>> [one.running for one in select_least_loaded([Candidate(server, 4), Candidate(server, 1)])]
     [1]
     """
     fewest = min((candidate.running for candidate in candidates), default=0)
     return [candidate for candidate in candidates if candidate.running == fewest]
 
 
-def draw_considered(
+def sample_servers(
     servers: Sequence[BackendServer],
     is_likely: Callable[[BackendServer], bool],
     chance: random.Random,
@@ -201,7 +201,7 @@
         candidate,
         expected_ms=speed.engine.predict_ms(work),
         uncached_tokens=work.uncached_tokens,
-        queue_ms=speed.engine.estimate_reading_ms(work.waiting_tokens),
+        queue_ms=speed.engine.estimate_prefill_ms(work.waiting_tokens),
     )
 
 
@@ -210,8 +210,8 @@
 ) -> tuple[float, int, str]:
     candidate = placement.candidate
     cost_ms = placement.expected_ms + candidate.failure_rate * FAILURE_PENALTY_MS
-    cost_ms += READ_COST_FACTOR * engine.estimate_reading_ms(placement.uncached_tokens)
+    cost_ms += READ_COST_FACTOR * engine.estimate_prefill_ms(placement.uncached_tokens)
     if prompt is not None and candidate.cached_tokens == 0:
         preferred_tokens = UNCACHED_PREFERRED_SHARE * _count_preferred_tokens(prompt, candidate)
-        cost_ms -= READ_COST_FACTOR * engine.estimate_reading_ms(preferred_tokens)
+        cost_ms -= READ_COST_FACTOR * engine.estimate_prefill_ms(preferred_tokens)
     return cost_ms + candidate.distance_ms, candidate.running, candidate.server.name
--- a/hemlockswitch/request/prefixes.py
+++ b/hemlockswitch/request/prefixes.py
@@ -107,6 +107,6 @@
         holders = [name for name, kept in self._blocks.items() if blocks[0] in kept]
         return {name: self.count_cached(name, blocks) for name in holders}
 
-    def forget_server(self, server_name: str) -> None:
+    def remove_server(self, server_name: str) -> None:
         """Discard the blocks of a server that has been removed."""
         self._blocks.pop(server_name, None)
--- a/hemlockswitch/request/quarantine.py
+++ b/hemlockswitch/request/quarantine.py
@@ -23,18 +23,18 @@
 
 from hemlockswitch.core.clock import Clock
 
-MOST_ENDS = 3
+MIN_CRASHES = 3
 """Number of crashes at which a content is quarantined. A single crash is weak evidence, as it counts
 against everything in progress on the server; few harmless contents are in progress on three crashed
 servers."""
-CAREFUL_CRASHES = MOST_ENDS - 1
+CAREFUL_CRASHES = MIN_CRASHES - 1
 """Number of crashes from which a content is sent to the server with the fewest requests in progress: the
 next crash may be the one that quarantines it."""
-TRIAL_PAUSES_MS = (2_000.0, 20_000.0, 200_000.0)
+TRIAL_INTERVALS_MS = (2_000.0, 20_000.0, 200_000.0)
 """Time from the last crash or trial to the next trial. The first trial comes when crashed servers have
 restarted, and lets a harmless content through while its caller still waits. A harmful content costs a
 server at every trial, so trials are few and their intervals increase."""
-LIFE_MS = 3_600_000.0
+SUSPECT_RETENTION_MS = 3_600_000.0
 """Retention time of a content after its last crash or trial: the cause of the crashes may have been
 fixed since."""
 CLEARED_RETENTION_MS = 60_000.0
@@ -97,26 +97,26 @@
     @property
     def expires_ms(self) -> float:
         """Time at which the record expires."""
-        return self.changed_ms + (LIFE_MS if self.counted else CLEARED_RETENTION_MS)
+        return self.changed_ms + (SUSPECT_RETENTION_MS if self.counted else CLEARED_RETENTION_MS)
 
 
 @dataclass(frozen=True)
-class Standing:
+class QuarantineStatus:
     """The current quarantine status of a content.
 
     Parameters
     ==========
 
     ends : number of crashes that are not excused.
-    is_held : whether the content is quarantined.
+    is_quarantined : whether the content is quarantined.
     trial_in_ms : time until the next trial; 0 if one is allowed now, None if no trials are left.
-    forgotten_in_ms : time until the record expires.
+    expires_in_ms : time until the record expires.
     """
 
     ends: int = 0
-    is_held: bool = False
+    is_quarantined: bool = False
     trial_in_ms: float | None = 0.0
-    forgotten_in_ms: float = 0.0
+    expires_in_ms: float = 0.0
 
     @property
     def is_careful(self) -> bool:
@@ -124,7 +124,7 @@
         return self.ends >= CAREFUL_CRASHES
 
 
-NOT_SUSPECTED = Standing()
+NOT_SUSPECTED = QuarantineStatus()
 
 
 class Quarantine:
@@ -141,11 +141,11 @@
     >>> from hemlockswitch.core.clock import ManualClock
     >>> quarantine = Quarantine(ManualClock())
     >>> for server in ("s1", "s2", "s3"):
-    ...     quarantine.note_end("content", server)
-    >>> quarantine.find_standing("content").is_held
+    ...     quarantine.record_crash("content", server)
+    >>> quarantine.find_status("content").is_quarantined
     True
-    >>> quarantine.note_answer("content")
-    >>> quarantine.find_standing("content").is_held
+    >>> quarantine.record_answer("content")
+    >>> quarantine.find_status("content").is_quarantined
     False
     """
 
@@ -163,11 +163,11 @@
         return not self._suspects
 
     @property
-    def has_untold(self) -> bool:
+    def has_unsent(self) -> bool:
         """Whether there are local changes that have not been sent to the peers."""
         return bool(self._unsent)
 
-    def find_standing(self, fingerprint: str) -> Standing:
+    def find_status(self, fingerprint: str) -> QuarantineStatus:
         """Return the current quarantine status of a content."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
@@ -175,12 +175,12 @@
         now_ms = self._clock.now_ms()
         ends = suspect.counted
         trial_in_ms = None
-        if suspect.trials < len(TRIAL_PAUSES_MS):
-            trial_in_ms = max(suspect.changed_ms + TRIAL_PAUSES_MS[suspect.trials] - now_ms, 0.0)
-        forgotten_in_ms = max(suspect.expires_ms - now_ms, 0.0)
-        return Standing(ends, ends >= MOST_ENDS, trial_in_ms, forgotten_in_ms)
+        if suspect.trials < len(TRIAL_INTERVALS_MS):
+            trial_in_ms = max(suspect.changed_ms + TRIAL_INTERVALS_MS[suspect.trials] - now_ms, 0.0)
+        expires_in_ms = max(suspect.expires_ms - now_ms, 0.0)
+        return QuarantineStatus(ends, ends >= MIN_CRASHES, trial_in_ms, expires_in_ms)
 
-    def note_end(self, fingerprint: str, server: str) -> None:
+    def record_crash(self, fingerprint: str, server: str) -> None:
         """Record that this daemon saw a server crash while the content was in progress there."""
         if self._add(fingerprint, (server,)):
             self._unsent.add(fingerprint)
@@ -191,7 +191,7 @@
         suspect = self._suspects.get(fingerprint)
         return suspect is not None and suspect.was_seen_here
 
-    def note_answer(self, fingerprint: str) -> None:
+    def record_answer(self, fingerprint: str) -> None:
         """Record a complete answer to the content, which excuses all its crashes."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or suspect.ends <= suspect.excused:
@@ -201,7 +201,7 @@
         self._unsent.add(fingerprint)
         self._update_quarantined(fingerprint)
 
-    def note_alive(self, server: str, sent_ms: float) -> None:
+    def record_alive(self, server: str, sent_ms: float) -> None:
         """Record an answer of a server to a request sent at `sent_ms`.
 
         If a crash of the server was reported before that time, the report was wrong and is excused.
@@ -216,7 +216,7 @@
                 self._unsent.add(fingerprint)
                 self._update_quarantined(fingerprint)
 
-    def note_trial(self, fingerprint: str, trials: int) -> None:
+    def record_trial(self, fingerprint: str, trials: int) -> None:
         """Record that a content is tried, here or at a peer, for the `trials`-th time."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or suspect.trials >= trials:
@@ -225,7 +225,7 @@
         suspect.changed_ms = self._clock.now_ms()
         self._unsent.add(fingerprint)
 
-    def take(self, record: SuspectRecord) -> None:
+    def merge(self, record: SuspectRecord) -> None:
         """Merge a record from a peer or from the object service."""
         self._add(record.fingerprint, record.ends)
         suspect = self._suspects.get(record.fingerprint)
@@ -246,7 +246,7 @@
         ends, excused = tuple(sorted(suspect.ends)), tuple(sorted(suspect.excused))
         return SuspectRecord(fingerprint, ends, excused, suspect.trials)
 
-    def pop_untold(self) -> list[SuspectRecord]:
+    def pop_unsent(self) -> list[SuspectRecord]:
         """Return the records changed since the last call, to be sent to the peers."""
         unsent, self._unsent = self._unsent, set()
         return [self.get_record(one) for one in sorted(unsent) if one in self._suspects]
@@ -255,18 +255,18 @@
         """Return the records of all contents, in descending order of crashes."""
         return [self.get_record(fingerprint) for fingerprint in self._list_ranked()]
 
-    def list_held(self) -> list[str]:
+    def list_quarantined(self) -> list[str]:
         """Return the quarantined contents."""
         return sorted(self._quarantined)
 
-    def hash_held(self) -> int:
+    def hash_quarantined(self) -> int:
         """Return a digest of the quarantined contents; 0 if there are none."""
         digest = 0
         for fingerprint in self._quarantined:
             digest ^= xxhash.xxh32_intdigest(fingerprint.encode())
         return digest
 
-    def forget_old(self) -> list[str]:
+    def remove_expired(self) -> list[str]:
         """Delete expired records, and return the contents that were quarantined until now."""
         now_ms = self._clock.now_ms()
         old = [name for name, one in self._suspects.items() if now_ms >= one.expires_ms]
@@ -281,10 +281,10 @@
 
     def _describe(self, fingerprint: str) -> dict[str, Any]:
         suspect = self._suspects[fingerprint]
-        standing = self.find_standing(fingerprint)
+        standing = self.find_status(fingerprint)
         return {
             "fingerprint": fingerprint,
-            "held": standing.is_held,
+            "held": standing.is_quarantined,
             "ends": sorted(suspect.ends - suspect.excused),
             "trials": suspect.trials,
             "trial_in_ms": standing.trial_in_ms,
@@ -314,7 +314,7 @@
 
     def _update_quarantined(self, fingerprint: str) -> None:
         """Quarantine or release a content, according to its number of crashes."""
-        if self._suspects[fingerprint].counted >= MOST_ENDS:
+        if self._suspects[fingerprint].counted >= MIN_CRASHES:
             self._quarantined.add(fingerprint)
         else:
             self._quarantined.discard(fingerprint)
