--- a/hemlockswitch/request/relay.py
+++ b/hemlockswitch/request/relay.py
@@ -18,7 +18,7 @@
     HandoverRequested,
     MoveReady,
     RelayObserver,
-    Running,
+    RunningGeneration,
     build_need,
 )
 from hemlockswitch.version.backend import BackendServer
@@ -63,7 +63,7 @@
         self._clock = clock
         self._observer = observer
         self._pace = Pace(RECLAIM_STARTS_PER_S, clock)
-        self.running: dict[str, Running] = {}
+        self.running: dict[str, RunningGeneration] = {}
 
     def run(
         self, generation: Generation, connection: CallerConnection | None = None
@@ -76,7 +76,7 @@
         RequestError : the request was given up; the error states whether it ran.
         CallerGoneError : the caller disconnected; the engine was told to cancel the stream.
         """
-        running = Running(generation, build_need(generation), self._clock.now_ms())
+        running = RunningGeneration(generation, build_need(generation), self._clock.now_ms())
         running.sent = bool(generation.stream_id)
         self.running[generation.request_id] = running
         if connection is not None:
@@ -90,7 +90,7 @@
                 connection.release()
             del self.running[generation.request_id]
 
-    def _run_attempts(self, running: Running) -> Iterator[bytes]:
+    def _run_attempts(self, running: RunningGeneration) -> Iterator[bytes]:
         generation = running.generation
         cause = generation.cause
         resume = bool(generation.stream_id)
@@ -119,7 +119,7 @@
                 if not resume:
                     cause = self._prepare_next_attempt(running, lost)
 
-    def _check_stopped(self, running: Running) -> None:
+    def _check_stopped(self, running: RunningGeneration) -> None:
         """Raise if the relay was stopped or the deadline has passed."""
         if running.stopped is not None:
             raise running.stopped
@@ -127,7 +127,7 @@
             raise running.build_overdue()
 
     @staticmethod
-    def _may_resume(running: Running, lost: AttemptLostError) -> bool:
+    def _may_resume(running: RunningGeneration, lost: AttemptLostError) -> bool:
         """Return whether to resume the stream; only if the lost connection delivered a token."""
         if (
             not lost.resumable
@@ -138,7 +138,7 @@
         running.connection_has_token = False
         return True
 
-    def _prepare_next_attempt(self, running: Running, lost: AttemptLostError) -> Cause:
+    def _prepare_next_attempt(self, running: RunningGeneration, lost: AttemptLostError) -> Cause:
         """Clean up after a lost attempt, and spend a retry on the next one if it needs one."""
         generation = running.generation
         server = generation.server
@@ -146,7 +146,7 @@
         running.excluded.add(server.name)
         self._observer.attempt_ended(generation, running.estimate_recomputed(), lost.reason)
         if lost.ran is not Ran.NO or running.attempt_has_token:
-            self._guard.note_broken(generation, server)
+            self._guard.record_broken_connection(generation, server)
         if lost.ran is not Ran.NO:
             running.fruitless_attempts += not running.attempt_has_token
             self._opener.cancel(server.address, generation.stream_id)
@@ -163,13 +163,13 @@
             raise self._give_up(running, lost.reason)
         return Cause.FAILURE if generation.tokens else Cause.RETRY
 
-    def _spend(self, running: Running) -> bool:
+    def _spend(self, running: RunningGeneration) -> bool:
         wait_ms = CONTINUE_WAIT_MS if running.generation.tokens else 0.0
         left_ms = running.generation.deadline_ms - self._clock.now_ms()
         return self._budget.wait(min(wait_ms, left_ms))
 
     @staticmethod
-    def _give_up(running: Running, reason: str) -> RequestError:
+    def _give_up(running: RunningGeneration, reason: str) -> RequestError:
         ran = running.find_ran()
         if ran is Ran.NO:
             return RequestError(ErrorKind.NO_BACKEND, reason)
@@ -177,7 +177,7 @@
             ErrorKind.OUTCOME_UNKNOWN, reason, ran=ran, retry_after_ms=OUTCOME_UNKNOWN_RETRY_MS
         )
 
-    def _begin_attempt(self, running: Running, cause: Cause) -> None:
+    def _begin_attempt(self, running: RunningGeneration, cause: Cause) -> None:
         generation = running.generation
         move = generation.move
         self._observer.choice_began(generation)
@@ -197,12 +197,12 @@
         running.base_tokens = len(generation.tokens)
         generation.attempt_parent = self._observer.attempt_began(generation)
 
-    def _run_attempt(self, running: Running, resume: bool) -> Iterator[bytes]:
+    def _run_attempt(self, running: RunningGeneration, resume: bool) -> Iterator[bytes]:
         """Run one attempt; returns after the last event or when a move is ready."""
         generation = running.generation
         server = generation.server
         assert server is not None
-        uncached_tokens = self._chooser.note_dispatch(server.name, running.need)
+        uncached_tokens = self._chooser.record_dispatch(server.name, running.need)
         ticket = self._directory.begin(server.name, uncached_tokens, running.need.max_tokens)
         failed = False
         sent_before = running.sent
@@ -230,7 +230,7 @@
             if attempt is not None:
                 attempt.close()
 
-    def _choose(self, running: Running) -> BackendServer:
+    def _choose(self, running: RunningGeneration) -> BackendServer:
         """Return the prepared target of a move, or choose a server.
 
         If the request may have run, waits up to `CONTINUE_WAIT_MS` for a server to become available.
@@ -250,7 +250,7 @@
             self._clock.sleep_ms(CHOICE_POLL_INTERVAL_MS)
             self._check_stopped(running)
 
-    def _follow(self, running: Running, attempt: Attempt, ticket: Any) -> Iterator[bytes]:
+    def _follow(self, running: RunningGeneration, attempt: Attempt, ticket: Any) -> Iterator[bytes]:
         """Yield the checked events of one attempt, joined for each read."""
         generation = running.generation
         head = f"id: {generation.request_id}:".encode()
@@ -268,7 +268,7 @@
                 raise MoveReady
 
     def _check_events(
-        self, running: Running, attempt: Attempt, head: bytes
+        self, running: RunningGeneration, attempt: Attempt, head: bytes
     ) -> tuple[list[bytes], str]:
         """Read once; return the caller's events, and the verdict that stopped the check, if any."""
         tokens = running.generation.tokens
@@ -294,14 +294,14 @@
                 return pieces, ""
         return pieces, ""
 
-    def _record_parsed(self, running: Running, checked: Checked) -> bytes:
+    def _record_parsed(self, running: RunningGeneration, checked: Checked) -> bytes:
         """Record a parsed event and return its form for the caller."""
         if checked.verdict is Verdict.FINISH:
             return self._finish(running, checked)
         running.generation.tokens.append(checked.content)
         return checked.event
 
-    def _end_stream(self, running: Running) -> None:
+    def _end_stream(self, running: RunningGeneration) -> None:
         """End the stream on the old server before another one continues from the next position."""
         generation = running.generation
         assert generation.server is not None
@@ -309,23 +309,23 @@
         self._opener.cancel(generation.server.address, generation.stream_id)
         self._observer.attempt_ended(generation, running.estimate_recomputed(), "moved")
 
-    def _record_token(self, running: Running, ticket: Any) -> None:
+    def _record_token(self, running: RunningGeneration, ticket: Any) -> None:
         """Record the first token of a connection, and that of the complete answer."""
         running.connection_has_token = running.attempt_has_token = True
-        self._directory.note_first_token(ticket)
+        self._directory.record_first_token(ticket)
         generation = running.generation
         if generation.first_token_ms is None:
             generation.first_token_ms = self._clock.now_ms()
             self._observer.first_token(generation, generation.first_token_ms - running.begun_ms)
 
-    def _finish(self, running: Running, checked: Checked) -> bytes:
+    def _finish(self, running: RunningGeneration, checked: Checked) -> bytes:
         """Record the last event and return its form for the caller."""
         generation = running.generation
         if checked.content:
             generation.tokens.append(checked.content)
         generation.finish_event = rewrite_usage(checked.event, len(generation.tokens))
         if generation.server is not None:
-            self._guard.note_answered(generation, generation.server, running.sent_ms)
+            self._guard.record_complete_answer(generation, generation.server, running.sent_ms)
         usage = checked.usage or {}
         recomputed_tokens = int(usage.get("recomputed_tokens") or 0)
         self._observer.attempt_ended(generation, recomputed_tokens, "finished")
--- a/hemlockswitch/request/rollout_credit.py
+++ b/hemlockswitch/request/rollout_credit.py
@@ -86,7 +86,7 @@
         """Return the maximum number of requests that this daemon may have sent to the new version."""
         return self._earned
 
-    def pay(self, route: str) -> None:
+    def spend(self, route: str) -> None:
         """Count one attempt sent to the new version."""
         if self.may_try(route) or not self.may_move():
             self._by_route[route] = self._by_route.get(route, 0.0) - 1
--- a/hemlockswitch/request/routing.py
+++ b/hemlockswitch/request/routing.py
@@ -7,7 +7,7 @@
 
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock, SystemClock
 from hemlockswitch.core.errors import ErrorKind, RequestError
-from hemlockswitch.request.choices import Choice, PredictedTime, Scored, pick
+from hemlockswitch.request.choices import Choice, PredictedTime, ScoredCandidate, pick
 from hemlockswitch.request.prefixes import PrefixRecord
 from hemlockswitch.request.returns import RetryTimes
 from hemlockswitch.version.backend import BackendServer
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class Need:
+class RequestNeeds:
     """Properties of a request that the choice of a backend server depends on.
 
     Parameters
@@ -96,7 +96,7 @@
     def count_waiting(self) -> int:
         """Return the number of this daemon's requests without a first token."""
 
-    def note_overflow(self) -> None:
+    def record_overflow(self) -> None:
         """Record that the servers in use are overloaded."""
 
 
@@ -110,7 +110,7 @@
     find_traits : returns the configured properties of a model or service.
     queue_length : maximum number of this daemon's requests that wait for a first token.
     choice : the rule that picks one of the scored candidates.
-    await_facts : called before each choice; if the cluster state is stale, waits for a bounded time
+    await_cluster_state : called before each choice; if the cluster state is stale, waits for a bounded time
         until it is up to date.
     chance : random number generator.
     clock : clock from which retry times are computed.
@@ -123,7 +123,7 @@
         *,
         queue_length: int = 256,
         choice: Choice | None = None,
-        await_facts: Callable[[], None] = lambda: None,
+        await_cluster_state: Callable[[], None] = lambda: None,
         chance: random.Random | None = None,
         clock: Clock | None = None,
     ) -> None:
@@ -131,12 +131,12 @@
         self._find_traits = find_traits
         self.queue_length = queue_length
         self._choice = choice or DEFAULT_CHOICE
-        self._await_facts = await_facts
+        self._await_facts = await_cluster_state
         self._chance = chance or random.Random()
         self._retry_times = RetryTimes(clock or SystemClock())
         self.memory = PrefixRecord()
 
-    def choose(self, need: Need) -> BackendServer:
+    def choose(self, need: RequestNeeds) -> BackendServer:
         """Return the server for `need`.
 
         Raises
@@ -150,22 +150,22 @@
         scored = self._score_all(need, traits)
         best_ms = min(one.first_token_ms for one in scored)
         if best_ms > traits.first_token_ms * OVERFLOW_SHARE:
-            self._source.note_overflow()
+            self._source.record_overflow()
         self._refuse_late(need, scored, traits)
         return pick(self._choice, scored, need, self._chance).server
 
-    def count_uncached(self, server_name: str, need: Need) -> int:
+    def count_uncached(self, server_name: str, need: RequestNeeds) -> int:
         """Return the estimated number of prompt tokens that the server would have to process."""
         cached = self.memory.count_cached(server_name, need.prefix_blocks)
         return max(need.prompt_tokens - cached, 0)
 
-    def note_dispatch(self, server_name: str, need: Need) -> int:
+    def record_dispatch(self, server_name: str, need: RequestNeeds) -> int:
         """Record that the request is sent to the server; return its estimated uncached tokens."""
         uncached = self.count_uncached(server_name, need)
         self.memory.record(server_name, need.prefix_blocks)
         return uncached
 
-    def _score_all(self, need: Need, traits: TargetTraits) -> list[Scored]:
+    def _score_all(self, need: RequestNeeds, traits: TargetTraits) -> list[ScoredCandidate]:
         candidates = self._source.list_candidates(need.target)
         cached = self.memory.count_all(need.prefix_blocks)
         scored = [
@@ -179,10 +179,10 @@
 
     @staticmethod
     def _score(
-        candidate: Candidate, need: Need, traits: TargetTraits, cached: dict[str, int]
-    ) -> Scored:
+        candidate: Candidate, need: RequestNeeds, traits: TargetTraits, cached: dict[str, int]
+    ) -> ScoredCandidate:
         uncached = max(need.prompt_tokens - cached.get(candidate.server.name, 0), 0)
-        return Scored(
+        return ScoredCandidate(
             server=candidate.server,
             first_token_ms=predict_first_token_ms(candidate, uncached, traits.slots),
             requests=candidate.own_requests + candidate.other_requests,
@@ -194,7 +194,9 @@
             uncached_tokens=uncached,
         )
 
-    def _refuse_late(self, need: Need, scored: Sequence[Scored], traits: TargetTraits) -> None:
+    def _refuse_late(
+        self, need: RequestNeeds, scored: Sequence[ScoredCandidate], traits: TargetTraits
+    ) -> None:
         """Refuse a request that would start too late, with the time until the queue has shrunk."""
         best_ms = min(one.first_token_ms for one in scored)
         step = min(max(need.priority, 0), len(MAX_DELAY_FACTORS) - 1)
--- a/hemlockswitch/request/running.py
+++ b/hemlockswitch/request/running.py
@@ -9,7 +9,7 @@
 from hemlockswitch.request.clearance import Clearance
 from hemlockswitch.request.generation import Cause, Generation
 from hemlockswitch.request.prefixes import count_tokens, hash_blocks
-from hemlockswitch.request.routing import Need
+from hemlockswitch.request.routing import RequestNeeds
 from hemlockswitch.version.backend import BackendServer
 
 OUTCOME_UNKNOWN_RETRY_MS = 1_000
@@ -33,10 +33,10 @@
 class Chooser(Protocol):
     """Chooses a backend server; implemented by the router."""
 
-    def choose(self, need: Need) -> BackendServer:
+    def choose(self, need: RequestNeeds) -> BackendServer:
         """Return the server for `need`, or raise a `RequestError`."""
 
-    def note_dispatch(self, server_name: str, need: Need) -> int:
+    def record_dispatch(self, server_name: str, need: RequestNeeds) -> int:
         """Record that `need` is sent to the server; return its estimated uncached tokens."""
 
 
@@ -46,7 +46,7 @@
     def begin(self, name: str, prompt_tokens: int = 0, max_tokens: int = 0) -> Any:
         """Count a request as in progress and return its ticket."""
 
-    def note_first_token(self, ticket: Any) -> None:
+    def record_first_token(self, ticket: Any) -> None:
         """Record that the request's prompt has been processed."""
 
     def end(self, ticket: Any, failed: bool = False) -> None:
@@ -79,7 +79,7 @@
 
 
 @dataclass
-class Running:
+class RunningGeneration:
     """State of a generation that this daemon relays.
 
     Parameters
@@ -87,7 +87,7 @@
 
     generation : the generation.
     need : what the generation needs of a backend server, before its first token.
-    begun_ms : clock time at which this daemon began to relay it.
+    started_ms : clock time at which this daemon began to relay it.
     exchange : the exchange that the relay reads; None between attempts.
     stopped : the error that ends the relay; raised at its next wait.
     excluded : names of the servers on which an attempt was lost.
@@ -105,7 +105,7 @@
     """
 
     generation: Generation
-    need: Need
+    need: RequestNeeds
     begun_ms: float
     exchange: BackendExchange | None = None
     stopped: BaseException | None = None
@@ -161,7 +161,7 @@
             return Ran.YES
         return Ran.UNKNOWN if self.sent else Ran.NO
 
-    def build_need(self) -> Need:
+    def build_need(self) -> RequestNeeds:
         """Return the need of the remaining generation, excluding servers that lost an attempt."""
         done = len(self.generation.tokens)
         return replace(
@@ -187,9 +187,9 @@
         return self.need.prompt_tokens + self.base_tokens
 
 
-def build_need(generation: Generation) -> Need:
+def build_need(generation: Generation) -> RequestNeeds:
     """Return the need of a generation that has not started."""
-    return Need(
+    return RequestNeeds(
         target=generation.model,
         prefix_blocks=hash_blocks(generation.prompt),
         prompt_tokens=count_tokens(generation.prompt),
--- a/hemlockswitch/request/sending.py
+++ b/hemlockswitch/request/sending.py
@@ -33,7 +33,7 @@
 class SendTicket(Protocol):
     """An attempt in progress, as counted in this daemon's estimate of the server's load."""
 
-    def note_first_event(self, *, succeeds: bool) -> None:
+    def record_first_event(self, *, succeeds: bool) -> None:
         """Record the start of the answer, when the prompt is processed; `succeeds` unless it is an error."""
 
     def end(self, failed: bool) -> None:
@@ -43,8 +43,8 @@
 class ForwardingView(Protocol):
     """The process's state of configuration and servers, as used by forwarding."""
 
-    def await_synced(self, most_ms: float) -> None:
-        """Wait, at most `most_ms`, until the state that requests need is loaded after the start."""
+    def await_synced(self, timeout_ms: float) -> None:
+        """Wait, at most `timeout_ms`, until the state that requests need is loaded after the start."""
 
     def get_table(self) -> ServingTable | None:
         """Return the active configuration."""
@@ -66,22 +66,22 @@
         begun_version : the version that has begun to answer the request; empty if none has.
         """
 
-    def begin_send(self, admitted: AdmittedRequest, placement: Placement) -> SendTicket:
+    def begin_attempt(self, admitted: AdmittedRequest, placement: Placement) -> SendTicket:
         """Count an attempt as in progress and return its ticket."""
 
     def find_connect_timeout_ms(self) -> float:
         """Return the timeout for connecting to a server."""
 
-    def note_connected(self, server: BackendServer, took_ms: float) -> None:
+    def record_connected(self, server: BackendServer, took_ms: float) -> None:
         """Record a new connection to a server."""
 
-    def note_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
+    def record_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
         """Record a failed connection; `is_silent` if it timed out rather than being refused."""
 
-    def note_answer(self, server: BackendServer) -> None:
+    def record_answer(self, server: BackendServer) -> None:
         """Record that bytes of an answer were received from a server."""
 
-    def note_misdirected(self, server_name: str) -> None:
+    def record_misdirected(self, server_name: str) -> None:
         """Record that the address of the server now belongs to another server."""
 
     def count_daemons(self) -> int | None:
@@ -177,7 +177,7 @@
         SendFailedError : no complete answer was received.
         """
         exchange = self._open(send)
-        ticket = self._view.begin_send(send.admitted, send.placement)
+        ticket = self._view.begin_attempt(send.admitted, send.placement)
         send.progress.sends.append(send.placement.candidate.server.incarnation)
         send.progress.in_flight = True
         failed = True
@@ -185,9 +185,9 @@
         try:
             exchange.send(self._encode(send))
             answer = exchange.read_head()
-            self._view.note_answer(send.placement.candidate.server)
+            self._view.record_answer(send.placement.candidate.server)
             self._check_run(answer, send.placement)
-            ticket.note_first_event(succeeds=answer.status < HTTPStatus.BAD_REQUEST)
+            ticket.record_first_event(succeeds=answer.status < HTTPStatus.BAD_REQUEST)
             self._relay(send, exchange)
             failed = answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         except ExchangeError as error:
@@ -225,10 +225,10 @@
             assert error.stage is Stage.BEFORE_SEND
             took_ms = self._clock.now_ms() - began_ms
             if timeout_ms == default_timeout_ms or took_ms < timeout_ms:
-                self._view.note_unreachable(server, is_silent=took_ms >= timeout_ms)
+                self._view.record_unreachable(server, is_silent=took_ms >= timeout_ms)
             raise SendFailedError(SendFailure.UNREACHABLE, error.detail, False) from error
         if exchange.is_new:
-            self._view.note_connected(server, self._clock.now_ms() - began_ms)
+            self._view.record_connected(server, self._clock.now_ms() - began_ms)
         return exchange
 
     def _encode(self, send: SendAttempt) -> bytes:
@@ -246,7 +246,7 @@
         """Raise unless the server ran the request and the answer is its own."""
         if self._dialect.states_not_run(answer):
             if answer.status == HTTPStatus.MISDIRECTED_REQUEST:
-                self._view.note_misdirected(placement.candidate.server.name)
+                self._view.record_misdirected(placement.candidate.server.name)
             detail = f"the server declined the request with status {answer.status}"
             raise SendFailedError(SendFailure.DECLINED, detail, True)
         if not self._dialect.is_genuine(answer):
@@ -294,7 +294,7 @@
         progress, reply = send.progress, send.reply
         splitter = EventSplitter() if send.admitted.route.is_resumable else None
         while piece := exchange.read_piece():
-            self._view.note_answer(send.placement.candidate.server)
+            self._view.record_answer(send.placement.candidate.server)
             if splitter is not None:
                 complete = splitter.feed(piece)
                 piece = complete.data
--- a/hemlockswitch/request/service_call.py
+++ b/hemlockswitch/request/service_call.py
@@ -19,7 +19,7 @@
 from hemlockswitch.request.clearance import Clearance, RequestGuard, clear_request
 from hemlockswitch.request.fingerprint import hash_call
 from hemlockswitch.request.retries import RetryBudget
-from hemlockswitch.request.routing import Need
+from hemlockswitch.request.routing import RequestNeeds
 from hemlockswitch.request.running import (
     OUTCOME_UNKNOWN_RETRY_MS,
     Chooser,
@@ -194,7 +194,7 @@
             sent_ms = self._clock.now_ms()
             try:
                 answer = self._send(request, content.service, server, content.path, deadline_ms)
-                self._guard.note_answered(content, server, sent_ms)
+                self._guard.record_complete_answer(content, server, sent_ms)
                 if not (operation.idempotent and answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR):
                     return _to_stored_answer(answer)
                 progress.last, progress.ran = answer, Ran.YES
@@ -202,7 +202,7 @@
                 was_sent = failure.stage is not Stage.BEFORE_SEND
                 if was_sent:
                     progress.ran = Ran.UNKNOWN
-                    self._guard.note_broken(content, server)
+                    self._guard.record_broken_connection(content, server)
                 self._check_repeatable(progress, failure, operation)
             progress.excluded.add(server.name)
             if not self._may_try_another(progress, was_sent=was_sent):
@@ -222,7 +222,7 @@
     def _choose(
         self, request: CallerRequest, service: Service, progress: _Progress
     ) -> BackendServer:
-        need = Need(target=service.name, exclude=frozenset(progress.excluded))
+        need = RequestNeeds(target=service.name, exclude=frozenset(progress.excluded))
         chosen = ""
         self._observer.choice_began(request)
         try:
--- a/tests/crash_gateways.py
+++ b/tests/crash_gateways.py
@@ -8,7 +8,7 @@
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.process.gateway.suspect_exchange import SuspectExchange
 from hemlockswitch.process.quarantine.guard import Guard
-from hemlockswitch.process.quarantine.held_requests import HeldRequests
+from hemlockswitch.process.quarantine.held_requests import QuarantineStore
 from hemlockswitch.request.quarantine import Quarantine
 from tests.memory_store import MemoryStore
 
@@ -74,7 +74,7 @@
         if self.world.caller.is_cut:
             raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "the gateway is disconnected")
 
-    def note_change(self):
+    def publish_changes(self):
         self.history.append((self.world.clock.now_ms(), dict(self.objects)))
 
 
@@ -95,7 +95,7 @@
         self.last_disturbed_ms = clock.now_ms()
         self.quarantine = Quarantine(clock)
         self.reports = {}
-        held = HeldRequests(
+        held = QuarantineStore(
             f"{self.name}/{clock.now_ms()}", self.quarantine, self.world.store, clock
         )
         self.exchange = SuspectExchange(self, self, self.quarantine, clock)
@@ -133,12 +133,12 @@
                 zones[one.zone].append(one.name)
         return [self.world.draws.sample(names, min(2, len(names))) for names in zones.values()]
 
-    def list_heard(self):
+    def list_connected(self):
         oldest_ms = self.world.clock.now_ms() - 3 * REPORT_MS
         return [peer for peer, heard_ms in self.reports.values() if heard_ms > oldest_ms]
 
-    def count_in_touch(self):
-        return len(self.list_heard()) + 1
+    def count_connected(self):
+        return len(self.list_connected()) + 1
 
     def count_daemons(self):
         return len(self.world.gateways)
--- a/tests/crash_replay.py
+++ b/tests/crash_replay.py
@@ -22,7 +22,7 @@
 from hemlockswitch.process.gateway.watch_guard import StoreView
 from hemlockswitch.process.quarantine.guard import QUARANTINE_POLL_INTERVAL_MS
 from hemlockswitch.request.clearance import Clearance
-from hemlockswitch.request.quarantine import MOST_ENDS
+from hemlockswitch.request.quarantine import MIN_CRASHES
 from tests.crash_gateways import PROPAGATION_MS, REPORT_MS, Gateway, Server, Setting, Store
 
 DEADLY = "deadly"
@@ -109,11 +109,11 @@
         gateway.last_disturbed_ms = self.clock.now_ms()
 
     def _stop_store(self, _gateway):
-        self.store.is_away = True
+        self.store.is_down = True
         self.at(self.draws.uniform(500, 6_000), self._restore_store)
 
     def _restore_store(self):
-        self.store.is_away = False
+        self.store.is_down = False
         for gateway in self.gateways:
             gateway.last_disturbed_ms = self.clock.now_ms()
 
@@ -137,7 +137,7 @@
             self._publish_changes(receiver)
 
     def _report(self, gateway):
-        view = StoreView(held_digest=gateway.quarantine.hash_held())
+        view = StoreView(held_digest=gateway.quarantine.hash_quarantined())
         peer = SimpleNamespace(view=view, address=gateway.name)
         for other in self.gateways:
             if other is not gateway and not other.is_cut and not gateway.is_cut:
@@ -153,8 +153,8 @@
 
     @staticmethod
     def _publish_changes(gateway):
-        if gateway.quarantine.has_untold:
-            gateway.exchange.tell()
+        if gateway.quarantine.has_unsent:
+            gateway.exchange.send_changes()
 
     # Requests
 
@@ -219,9 +219,9 @@
 
     def _note_send(self, request):
         ends = self.deadly_ends_ms[request.content]
-        if request.kind != DEADLY or len(ends) < MOST_ENDS:
+        if request.kind != DEADLY or len(ends) < MIN_CRASHES:
             return
-        is_settled = self.clock.now_ms() > ends[MOST_ENDS - 1] + PROPAGATION_MS
+        is_settled = self.clock.now_ms() > ends[MIN_CRASHES - 1] + PROPAGATION_MS
         if is_settled and request.gateway.is_in_touch():
             self.late[request.content] += 1
 
@@ -251,7 +251,7 @@
         self.caller = gateway
         if self.setting.has_memory:
             admitted = SimpleNamespace(fingerprint=request.content)
-            gateway.guard.note_broken(admitted, gone)
+            gateway.guard.record_broken_connection(admitted, gone)
             self._publish_changes(gateway)
         if request.sends < MAX_SENDS:
             self._send(request)
@@ -265,7 +265,7 @@
         self.caller = request.gateway
         if self.setting.has_memory:
             admitted = SimpleNamespace(fingerprint=request.content)
-            request.gateway.guard.note_answered(admitted, server, sent_ms)
+            request.gateway.guard.record_complete_answer(admitted, server, sent_ms)
             self._publish_changes(request.gateway)
         self._end_request(request, "answered")
 
--- a/tests/freshness_fleet.py
+++ b/tests/freshness_fleet.py
@@ -18,7 +18,7 @@
 from hemlockswitch.connection.stored_objects import ObjectPage, StoredObject
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.platform.store import TIMEOUT_MS
-from hemlockswitch.process.gateway.configuration import TableHolder
+from hemlockswitch.process.gateway.configuration import ServingTableStore
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.followed_objects import FollowedObjects
 from hemlockswitch.process.gateway.messages import GatewayReport
@@ -206,11 +206,11 @@
             last_outage=None,
         )
         adapter = SimpleNamespace(store=store, config_kind=CONFIG, server_kind=SERVERS)
-        tables = TableHolder("none", lambda item: item)
+        tables = ServingTableStore("none", lambda item: item)
         followed = FollowedObjects(
             adapter, tables, registry, None, port, fleet, lambda: 0, self.clock
         )
-        for refresher in followed.keepers.values():
+        for refresher in followed.refreshers.values():
             refresher._rng = self.rng
         for watch in followed._watches.values():
             watch._wait = lambda: self.clock.sleep_ms(POLL_INTERVAL_MS)
@@ -223,7 +223,7 @@
                 if other is not gateway:
                     self._report(other, gateway)
             runs = [one.run for one in gateway.followed.followers]
-            runs += [one.run for one in gateway.followed.keepers.values()]
+            runs += [one.run for one in gateway.followed.refreshers.values()]
             runs += [lambda one=gateway: self._send_reports(one)]
             delay_ms = self.rng.uniform(0, 300)
             for run in runs:
@@ -261,13 +261,13 @@
             for peer in others:
                 if self.gateways[peer.name].lives and self.rng.random() >= self._lost:
                     self._report(gateway, self.gateways[peer.name], view)
-            gateway.followed.guard.compare([one.view for one in gateway.fleet.list_heard()])
+            gateway.followed.guard.compare([one.view for one in gateway.fleet.list_connected()])
 
     def _report(self, sender, receiver, view=None):
         report = GatewayReport(
             sender.name, 1, 0.0, {}, {}, {}, zone=sender.zone, link_mbps=sender.fleet.link_mbps
         )
-        receiver.fleet.note_report(sender.name, report, view or sender.followed.view())
+        receiver.fleet.record_report(sender.name, report, view or sender.followed.view())
 
     def kill(self, gateway):
         """Kill a gateway."""
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -3,21 +3,21 @@
 from types import SimpleNamespace
 
 from hemlockswitch.process.quarantine.guard import Guard
-from hemlockswitch.process.quarantine.held_requests import HeldRequests
+from hemlockswitch.process.quarantine.held_requests import QuarantineStore
 from hemlockswitch.request.quarantine import Quarantine
 from tests.memory_store import MemoryStore
 
 ALONE = SimpleNamespace(
-    note_change=lambda: None,
+    publish_changes=lambda: None,
     repair=lambda: None,
-    differ=lambda: False,
-    are_missed=lambda: False,
+    has_differing_peer=lambda: False,
+    has_disconnected_peer=lambda: False,
 )
 
 
 def make_guard(clock, ended=()):
     """Return the guard of a single daemon; `ended` has the names of the crashed servers."""
     quarantine = Quarantine(clock)
-    held = HeldRequests("daemon/1", quarantine, MemoryStore(), clock)
+    held = QuarantineStore("daemon/1", quarantine, MemoryStore(), clock)
     ends = SimpleNamespace(has_crashed=lambda server: server.name in ended)
     return Guard(quarantine, ends, held, ALONE, lambda: True, clock)
--- a/tests/herd_replay.py
+++ b/tests/herd_replay.py
@@ -156,7 +156,7 @@
         number = self.rng.randrange(len(self.loads))
         loads = self.loads[number]
         chance = self.rng if self.draws else None
-        candidates = loads.build_candidates(self.servers, prompt, chance=chance)
+        candidates = loads.build_candidates(self.servers, prompt, rng=chance)
         placement = choose_server(prompt, candidates)
         now_ms = self.clock.now_ms()
         if find_retry_delay_ms(placement, QueueBound(kind.objective_ms, kind.rank)) is not None:
@@ -182,7 +182,7 @@
     def _finish(self):
         while self.reading and self.reading[0][0] <= self.clock.now_ms():
             _, _, ticket = heapq.heappop(self.reading)
-            ticket.note_first_event()
+            ticket.record_first_event()
             ticket.end(False)
 
     def _report(self):
@@ -197,7 +197,7 @@
             _, number, report, sent = self.in_transit.popleft()
             for other in self.loads:
                 if other is not self.loads[number]:
-                    other.take_report(f"g{number}", report, sent)
+                    other.apply_report(f"g{number}", report, sent)
 
     def _note_change(self, number):
         if self.gap_ms is not None:
--- a/tests/memory_store.py
+++ b/tests/memory_store.py
@@ -16,8 +16,8 @@
     def __init__(self):
         self.objects = {}
         self.version = 0
-        self.loses = 0
-        self.is_away = False
+        self.lost_answers = 0
+        self.is_down = False
 
     def read(self, kind, name):
         """Return an object, or None if it does not exist."""
@@ -46,22 +46,22 @@
         """Delete an object."""
         self.check()
         self.objects.pop(name, None)
-        self.note_change()
+        self.publish_changes()
         return Written(self.version)
 
     def check(self):
         """Raise if the service does not answer."""
-        if self.is_away:
+        if self.is_down:
             raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "away")
 
-    def note_change(self):
+    def publish_changes(self):
         """Called after each change; subclasses override it."""
 
     def _put(self, kind, name, value):
         self.version += 1
         self.objects[name] = StoredObject(kind, name, self.version, value)
-        self.note_change()
-        if self.loses:
-            self.loses -= 1
+        self.publish_changes()
+        if self.lost_answers:
+            self.lost_answers -= 1
             return Unknown("lost")
         return Written(self.version)
--- a/tests/placement_replay.py
+++ b/tests/placement_replay.py
@@ -76,7 +76,7 @@
         loads = self.random.choice(self.loads)
         prompt = make_prompt(prefix)
         chance = self.random if self.choose is choose_ours else None
-        candidates = loads.build_candidates(self.servers, prompt, chance=chance)
+        candidates = loads.build_candidates(self.servers, prompt, rng=chance)
         placement = self.choose(self.random, candidates, prompt)
         if self.bound is not None and find_retry_delay_ms(placement, self.bound) is not None:
             self.refused += 1
@@ -95,7 +95,7 @@
 
     def _finish(self):
         for entry in [one for one in self.tickets if one[0] <= self.clock.now_ms()]:
-            entry[1].note_first_event()
+            entry[1].record_first_event()
             entry[1].end(False)
             self.tickets.remove(entry)
 
@@ -104,7 +104,7 @@
         for number, loads in enumerate(self.loads):
             for other, (report, sent) in enumerate(reports):
                 if other != number:
-                    loads.take_report(f"g{other}", report, sent)
+                    loads.apply_report(f"g{other}", report, sent)
 
 
 def choose_ours(rng, candidates, prompt):
--- a/tests/rollout_plays.py
+++ b/tests/rollout_plays.py
@@ -10,8 +10,8 @@
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.platform.rollouts import ROLLOUT_KIND, decode_rollout, encode_rollout_status
 from hemlockswitch.process.gateway.rollout_duty import RolloutDuty
-from hemlockswitch.process.gateway.rollouts import Rollouts, SendWish
-from hemlockswitch.process.gateway.true_time import TrueTime
+from hemlockswitch.process.gateway.rollouts import Rollouts, SendProperties
+from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.lease import LeaseError
 from hemlockswitch.version.backend import BackendServer
 from tests.rollout_fleet import (
@@ -84,7 +84,7 @@
             encode_rollout_status,
             lambda: self.gateways[number].servers,
             lambda names: sum(self.running_old.values()),
-            TrueTime(self.clock.now_ms, lambda: self.clock.now_ms() + 1e12),
+            FleetClock(self.clock.now_ms, lambda: self.clock.now_ms() + 1e12),
             self.clock,
         )
         one = Gateway(f"g{number}/{self.starts[number]}", rollouts, duty)
@@ -192,7 +192,7 @@
         number = self.find_holder()
         if number < 0 or self.gateways[number].frozen_until > self.clock.now_ms():
             return
-        self.store.is_away = self.is_away()
+        self.store.is_down = self.is_away()
         try:
             self.gateways[number].duty.take_turn(lambda: self.get_fencing(number))
         except (PlatformError, LeaseError):
@@ -211,8 +211,8 @@
             if one.frozen_until > now_ms:
                 continue
             leads = number == self.holder
-            reports = one.rollouts.write_all(leads=leads) if complete else None
-            reports = one.rollouts.pop_changed(leads=leads) if reports is None else reports
+            reports = one.rollouts.make_reports(leads=leads) if complete else None
+            reports = one.rollouts.pop_changed_reports(leads=leads) if reports is None else reports
             if reports:
                 messages.append((number, one.name, reports))
         if messages:
@@ -225,7 +225,7 @@
                 continue
             for sender, name, reports in messages:
                 if sender != receiver and self.rng.random() >= LOST_SHARE:
-                    one.rollouts.take_told(name, reports)
+                    one.rollouts.apply_reports(name, reports)
 
     def arrive(self):
         """Send the requests that arrive in one step."""
@@ -241,7 +241,7 @@
     def ask(self, gateway):
         rng = self.rng
         (route,) = rng.choices(list(ROUTES), [one[0] for one in ROUTES.values()])
-        wish = SendWish(
+        wish = SendProperties(
             SERVICE,
             route,
             is_first=True,
@@ -255,7 +255,7 @@
         if not selected:
             return
         server = rng.choice(selected)
-        send = gateway.rollouts.begin_send(route, server, FIRST_MS)
+        send = gateway.rollouts.begin_attempt(route, server, FIRST_MS)
         is_new = server.version == "v2"
         if is_new and in_time:
             self.outcome.sent += 1
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -11,7 +11,7 @@
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 SUCCESS = 200
-MOST_ENDS, MOST_RETRIES = 3, 3
+MIN_CRASHES, MOST_RETRIES = 3, 3
 SETTLED_S = 5.0
 """How long after the third server has ended under a content every gateway knows it."""
 
@@ -91,9 +91,9 @@
     deadly = [call for call in calls if call.path == DEADLY_PATH]
     runs = [call for call in deadly for _ in range(counts[call.request_id])]
     runs.sort(key=lambda one: one.ended_s)
-    if len(runs) < MOST_ENDS:
+    if len(runs) < MIN_CRASHES:
         return
-    settled_s = runs[MOST_ENDS - 1].ended_s + SETTLED_S
+    settled_s = runs[MIN_CRASHES - 1].ended_s + SETTLED_S
     late = [call for call in runs if call.began_s > settled_s]
     if len(late) > MOST_RETRIES:
         yield f"sent {len(late)} times more after {len(runs)} ends: {late}"
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -3,20 +3,20 @@
 from hemlockswitch.connection.loads import LoadReport
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, RequestError
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
-from hemlockswitch.process.servers.backends import ZONE_SILENCE_MS, BackendDirectory
-from hemlockswitch.request.routing import Need, Router
+from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.servers.backends import ZONE_OFFER_EXPIRY_MS, BackendDirectory
+from hemlockswitch.request.routing import RequestNeeds, Router
 from hemlockswitch.version.backend import BackendServer
 
 
 def make_vm(name, version=1, state="live", **more):
     value = {"name": name, "zone": "marka-hall", "address": "127.0.0.1:1", "serves": "m"}
-    return NewsItem(f"vm/{name}", version, value | {"state": state} | more)
+    return GossipItem(f"vm/{name}", version, value | {"state": state} | more)
 
 
 @pytest.fixture
 def board():
-    return NewsBoard()
+    return GossipState()
 
 
 @pytest.fixture
@@ -36,31 +36,31 @@
 def test_leaving_server_stays_leaving_after_newer_record(board, directory):
     heard = []
     directory.add_leaving_listener(lambda name, deadline: heard.append((name, deadline)))
-    board.learn(make_vm("a"))
-    board.learn(make_vm("b"))
-    board.learn(NewsItem("notice/a", 1, {"deadline_wall_ms": 9}))
-    board.learn(make_vm("a", version=7))
+    board.record(make_vm("a"))
+    board.record(make_vm("b"))
+    board.record(GossipItem("notice/a", 1, {"deadline_wall_ms": 9}))
+    board.record(make_vm("a", version=7))
     assert list_names(directory) == ["b"]
     assert heard == [("a", 9)]
 
 
 def test_notice_before_the_vm_record_counts(board, directory):
-    board.learn(NewsItem("notice/a", 1, {"deadline_wall_ms": 9}))
-    board.learn(make_vm("a"))
+    board.record(GossipItem("notice/a", 1, {"deadline_wall_ms": 9}))
+    board.record(make_vm("a"))
     assert list_names(directory) == []
 
 
 def test_entry_vms_are_no_backend_servers_but_their_leaving_is_reported(board, directory):
     heard = []
     directory.add_leaving_listener(lambda name, deadline: heard.append(name))
-    board.learn(make_vm("e", serves="hemlock-entry"))
+    board.record(make_vm("e", serves="hemlock-entry"))
     assert directory.list_targets() == set()
-    board.learn(NewsItem("notice/e", 1, {"deadline_wall_ms": 9}))
+    board.record(GossipItem("notice/e", 1, {"deadline_wall_ms": 9}))
     assert heard == ["e"]
 
 
 def test_draining_server_gets_no_new_work(board, directory):
-    board.learn(make_vm("a"))
+    board.record(make_vm("a"))
     directory.set_draining(["a"])
     assert list_names(directory) == []
     directory.set_draining([])
@@ -68,8 +68,8 @@
 
 
 def test_failures_back_off_and_a_success_resets_them(board, clock, directory):
-    board.learn(make_vm("a"))
-    board.learn(make_vm("b"))
+    board.record(make_vm("a"))
+    board.record(make_vm("b"))
     directory.end(directory.begin("a"), failed=True)
     assert list_names(directory) == ["b"]
     clock.advance(250)
@@ -85,46 +85,46 @@
 
 
 def test_failing_server_is_used_if_no_other_remains(board, directory):
-    board.learn(make_vm("a"))
+    board.record(make_vm("a"))
     directory.end(directory.begin("a"), failed=True)
     assert list_names(directory) == ["a"]
 
 
 def test_offers_of_other_zones_expire_after_their_query(board, clock, directory):
     far = BackendServer("f", "duluth-hall", "127.0.0.1:2", "m")
-    directory.learn_offer("duluth-hall", [far], asked_ms=clock.now_ms())
-    clock.advance(ZONE_SILENCE_MS)
+    directory.record_offer("duluth-hall", [far], asked_ms=clock.now_ms())
+    clock.advance(ZONE_OFFER_EXPIRY_MS)
     assert list_names(directory) == ["f"]
     clock.advance(1)
     assert list_names(directory) == []
-    directory.learn_offer("duluth-hall", [far], asked_ms=clock.now_ms() - ZONE_SILENCE_MS - 1)
+    directory.record_offer("duluth-hall", [far], asked_ms=clock.now_ms() - ZONE_OFFER_EXPIRY_MS - 1)
     assert list_names(directory) == []
 
 
 def test_vm_records_of_other_zones_only_report_leaving(board, clock, directory):
-    board.learn(make_vm("f", zone="duluth-hall"))
+    board.record(make_vm("f", zone="duluth-hall"))
     assert list_names(directory) == []
     far = BackendServer("f", "duluth-hall", "127.0.0.1:2", "m")
-    directory.learn_offer("duluth-hall", [far], asked_ms=clock.now_ms())
+    directory.record_offer("duluth-hall", [far], asked_ms=clock.now_ms())
     assert list_names(directory) == ["f"]
-    board.learn(make_vm("f", version=2, zone="duluth-hall", state="leaving"))
+    board.record(make_vm("f", version=2, zone="duluth-hall", state="leaving"))
     assert list_names(directory) == []
 
 
 def test_malformed_records_are_ignored(board, directory):
-    board.learn(NewsItem("vm/a", 1, {"name": "a"}))
-    board.learn(make_vm("b", state="sleeping"))
+    board.record(GossipItem("vm/a", 1, {"name": "a"}))
+    board.record(make_vm("b", state="sleeping"))
     assert list_names(directory) == []
 
 
 def test_server_that_reports_draining_gets_no_new_work(board, directory):
-    board.learn(make_vm("a"))
+    board.record(make_vm("a"))
     directory.record_load("a", LoadReport(0, 0, 16, draining=True))
     assert list_names(directory) == []
 
 
 def test_own_requests_at_measurement_are_subtracted_from_reports(board, clock, directory):
-    board.learn(make_vm("a"))
+    board.record(make_vm("a"))
     early = directory.begin("a")
     clock.advance(500)
     directory.begin("a")
@@ -138,7 +138,7 @@
 
 def test_old_reports_decay_towards_the_mean(board, clock, directory):
     for name, running in (("a", 0), ("b", 10)):
-        board.learn(make_vm(name))
+        board.record(make_vm(name))
         directory.record_load(name, LoadReport(running, 0, 16))
     clock.advance(4_000)
     idle, busy = directory.list_candidates("m")
@@ -146,32 +146,32 @@
 
 
 def test_router_chooses_the_less_busy_server_and_skips_excluded(board, directory):
-    board.learn(make_vm("a"))
-    board.learn(make_vm("b"))
+    board.record(make_vm("a"))
+    board.record(make_vm("b"))
     router = Router(directory)
     directory.begin("a", 4_000)
-    assert router.choose(Need("m")).name == "b"
-    assert router.choose(Need("m", exclude=frozenset("b"))).name == "a"
+    assert router.choose(RequestNeeds("m")).name == "b"
+    assert router.choose(RequestNeeds("m", exclude=frozenset("b"))).name == "a"
     with pytest.raises(RequestError) as caught:
-        router.choose(Need("m", exclude=frozenset("ab")))
+        router.choose(RequestNeeds("m", exclude=frozenset("ab")))
     assert caught.value.kind is ErrorKind.NO_BACKEND
 
 
 def test_router_refuses_early_with_retry_after(board, directory):
-    board.learn(make_vm("a"))
+    board.record(make_vm("a"))
     for _ in range(100):
         directory.begin("a", 1_000)
     with pytest.raises(RequestError) as caught:
-        Router(directory).choose(Need("m"))
+        Router(directory).choose(RequestNeeds("m"))
     assert caught.value.kind is ErrorKind.OVERLOADED
     assert caught.value.answer.retry_after_ms > 1_000
 
 
 def test_time_in_a_slot_follows_the_sizes_of_requests_in_progress(board, clock, directory):
-    board.learn(make_vm("a"))
+    board.record(make_vm("a"))
     warm_up = directory.begin("a", max_tokens=11)
     clock.advance(40)
-    directory.note_first_token(warm_up)
+    directory.record_first_token(warm_up)
     clock.advance(300)
     directory.end(warm_up)
     for _ in range(3):
--- a/tests/test_change_relay.py
+++ b/tests/test_change_relay.py
@@ -100,7 +100,7 @@
         for other in made:
             if other is not gateway:
                 report = GatewayReport(other.name, 1, 0.0, {}, {}, {}, zone=other.zone)
-                gateway.fleet.note_report(other.address, report, StoreView())
+                gateway.fleet.record_report(other.address, report, StoreView())
     return made
 
 
@@ -128,7 +128,7 @@
         gateways[0].send_change({}, number, spent={"lab": total})
         relay_all(gateways)
     for total in (100.0, 400.0):
-        listener.limits.take_report("g00/1", {"lab": total})
+        listener.limits.apply_report("g00/1", {"lab": total})
     assert listener.limits.take(account, 600.0) is None, "300 of 1,000 are spent"
     assert listener.limits.take(account, 200.0) is not None
 
@@ -155,7 +155,7 @@
 
 def test_an_older_change_does_not_replace_a_newer_report(gateways, network):
     listener = gateways[1]
-    listener.loads.take_report("g00", {}, order=(1, 7))
+    listener.loads.apply_report("g00", {}, order=(1, 7))
     gateways[0].send_change({"e1": (3, 0.0)}, number=6)
     relay_all(gateways)
     assert listener.count_running() == 0
@@ -181,7 +181,7 @@
     listener = gateways[1]
     gateways[0].send_change({"e1": (2, 0.0)}, number=1)
     relay_all(gateways)
-    listener.loads.take_report("g00", {}, order=(1, 3))
+    listener.loads.apply_report("g00", {}, order=(1, 3))
     assert listener.count_running() == 0
 
 
@@ -197,7 +197,7 @@
 
 def test_the_numbers_of_a_restarted_gateway_start_again(gateways):
     listener = gateways[1]
-    listener.loads.take_report("g00", {}, order=(1, 900))
+    listener.loads.apply_report("g00", {}, order=(1, 900))
     report = ChangeReport("g00", 2, 1, {"e1": (4, 0.0)}, [], {}, {})
     listener.relay.apply_report(listener.address, report)
     assert listener.count_running() == 4
@@ -225,23 +225,23 @@
     """Right after a restart of the fleet no reports were received, and shares of the limits would be unused."""
     listener = gateways[1]
     listener.clock.advance(60_000)
-    assert listener.fleet.get_share() == pytest.approx(1 / len(gateways))
+    assert listener.fleet.get_connected_fraction() == pytest.approx(1 / len(gateways))
     for number, gateway in enumerate(gateways):
         if gateway is not listener:
             gateway.send_change({}, number + 1)
     relay_all(gateways)
     listener.clock.advance(200)
-    assert listener.fleet.get_share() == 1.0
+    assert listener.fleet.get_connected_fraction() == 1.0
 
 
 def test_a_change_does_not_shift_the_time_estimate_of_its_gateway(gateways):
     """An estimate is advanced from its own report; otherwise all clocks would set one another back."""
     listener = gateways[1]
-    before = listener.fleet.list_opinions()["g00"]
+    before = listener.fleet.list_time_estimates()["g00"]
     listener.clock.advance(1_200)
     gateways[0].send_change({}, number=1)
     relay_all(gateways)
-    assert listener.fleet.list_opinions()["g00"] == before + 1_200
+    assert listener.fleet.list_time_estimates()["g00"] == before + 1_200
 
 
 def test_sent_prompts_are_relayed(gateways):
@@ -283,7 +283,7 @@
     """Six gateways that report like those of a larger fleet."""
     monkeypatch.setattr(neighbours, "MESH_GATEWAYS", 2)
     one = Site(gateways=GATEWAYS)
-    one.wait(lambda: all(gateway.fleet.count_in_touch() == GATEWAYS for gateway in one.gateways))
+    one.wait(lambda: all(gateway.fleet.count_connected() == GATEWAYS for gateway in one.gateways))
     yield one
     one.close()
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -21,7 +21,7 @@
 from hemlockswitch.process.claims.objects import Bounds
 from hemlockswitch.process.claims.routes import ClaimPeer
 from hemlockswitch.process.claims.store import ClaimStore
-from hemlockswitch.request.claims import KEPT_BODY_BYTES, Claim
+from hemlockswitch.request.claims import MAX_RETAINED_BODY_BYTES, Claim
 from tests.claim_parts import Network, Objects, Service, make_store, refuse, run
 
 
@@ -251,7 +251,7 @@
 def test_a_large_answer_is_reported_as_run_but_not_replayed() -> None:
     objects, service = Objects(), Service()
     store = make_store(objects)
-    service.body = b"x" * (KEPT_BODY_BYTES + 1)
+    service.body = b"x" * (MAX_RETAINED_BODY_BYTES + 1)
     run(store, service)
     store.flush(5_000)
     error = refuse(make_store(objects, "b"), service)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,9 +13,9 @@
 from hemlockswitch.core.clock import ManualClock, SystemClock
 from hemlockswitch.core.errors import ConfigurationError, ErrorKind, PlatformError
 from hemlockswitch.process.controller import CurrentFile
-from hemlockswitch.process.news.board import NewsBoard
+from hemlockswitch.process.news.board import GossipState
 from hemlockswitch.process.revisions.configuration import Configuration
-from hemlockswitch.process.revisions.spread import RevisionSpread
+from hemlockswitch.process.revisions.spread import RevisionUpdater
 from hemlockswitch.process.servers.watchers import Pointer
 from hemlockswitch.version.checks import parse_file
 from hemlockswitch.version.revisions import Revision
@@ -54,12 +54,12 @@
 
     def __init__(self, peers=(), platform=None):
         self.configuration = Configuration(SystemClock())
-        self.board = NewsBoard()
+        self.board = GossipState()
         self.network = PeerNetwork("c", "d")
         self.network.start()
         self.platform_reads = 0
         self.platform = platform
-        self.spread = RevisionSpread(
+        self.spread = RevisionUpdater(
             self.configuration,
             self.board,
             self.network,
@@ -75,7 +75,7 @@
         return self.platform
 
     def receive_announcement(self, other):
-        self.board.learn(other.board.find("revision"))
+        self.board.record(other.board.find("revision"))
 
 
 @pytest.fixture
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -16,12 +16,12 @@
 import pytest
 
 from hemlockswitch.process.quarantine.held_requests import HELD_KIND
-from hemlockswitch.request.quarantine import TRIAL_PAUSES_MS
+from hemlockswitch.request.quarantine import TRIAL_INTERVALS_MS
 from hemlockswitch.standin.runner import RunnerFaults, make_seal
 from tests.crashing_runners import DEADLY, CrashingSite
 from tests.gateway_site import make_entry, make_manifest, tokens
 
-MOST_ENDS = 3
+MIN_CRASHES = 3
 MAX_RETRIES = 3
 """Limit on sends of a request after all gateways have received that it crashed three servers."""
 PROPAGATION_S = 1.0
@@ -50,14 +50,14 @@
 @pytest.mark.parametrize("path", ["/check/x", "/hold/x", "/reply/x", "/draft/x"])
 def test_crashing_request_is_sent_a_few_times_only(site, path):
     send_repeatedly(site, path, DEADLY, for_s=5)
-    assert len(site.ends) >= MOST_ENDS, "the content must crash servers"
-    assert site.count_late_retries(MOST_ENDS, PROPAGATION_S) <= MAX_RETRIES
+    assert len(site.ends) >= MIN_CRASHES, "the content must crash servers"
+    assert site.count_late_retries(MIN_CRASHES, PROPAGATION_S) <= MAX_RETRIES
 
 
 def quarantine_content(site, path="/check/x"):
     """Let a content crash servers until every gateway quarantines it and its first trial has ended."""
     send_repeatedly(site, path, DEADLY, for_s=0.6)
-    site.wait(lambda: all(one.quarantine.list_held() for one in site.gateways))
+    site.wait(lambda: all(one.quarantine.list_quarantined() for one in site.gateways))
     site.wait(lambda: site.store.list_kind(HELD_KIND))
     site.wait_until_served()
     site.wait(lambda: site.ask_for(path, DEADLY, 0).status == 502)
@@ -96,7 +96,7 @@
     quarantine_content(site)
     site.restart_gateways()
     send_repeatedly(site, "/check/x", DEADLY, for_s=4)
-    assert site.count_late_retries(MOST_ENDS, PROPAGATION_S) <= MAX_RETRIES
+    assert site.count_late_retries(MIN_CRASHES, PROPAGATION_S) <= MAX_RETRIES
 
 
 def test_harmless_requests_are_served_during_crashing_ones(site):
@@ -110,7 +110,7 @@
 def test_harmless_content_on_three_crashed_servers_is_tried_and_released(site):
     slow = [runner for runner in site.crashing if runner.service == "llm"]
     asked = []
-    for runner in slow[:MOST_ENDS]:
+    for runner in slow[:MIN_CRASHES]:
         asked.append(gevent.spawn(site.ask_for, "/draft/x", "harmless", 0))
         site.wait(lambda one=runner: any(other.state.seen for other in slow if other.is_running))
         (busy,) = [other for other in slow if other.is_running and other.state.seen]
@@ -119,9 +119,9 @@
         site.wait_until_served()
     gevent.joinall(asked)
     assert site.ask_for("/draft/x", "harmless", 1).status == 503
-    gevent.sleep(TRIAL_PAUSES_MS[0] / 1_000)
+    gevent.sleep(TRIAL_INTERVALS_MS[0] / 1_000)
     assert site.ask_for("/draft/x", "harmless", 1).status == 200, "the trial releases it"
-    site.wait(lambda: not any(one.quarantine.list_held() for one in site.gateways))
+    site.wait(lambda: not any(one.quarantine.list_quarantined() for one in site.gateways))
     site.wait(lambda: not site.store.list_kind(HELD_KIND))
     assert site.ask_for("/draft/x", "harmless", 0).status == 200
 
--- a/tests/test_ctl_gateways.py
+++ b/tests/test_ctl_gateways.py
@@ -28,7 +28,7 @@
 
 
 def test_every_gateway_says_what_it_believes(site):
-    site.wait(lambda: all(len(one.fleet.list_heard()) == 1 for one in site.gateways))
+    site.wait(lambda: all(len(one.fleet.list_connected()) == 1 for one in site.gateways))
     code, output, _ = run("gateways", " ".join([*list_control(site), "--json"]))
     assert code == ExitCode.DONE
     shown = json.loads(output)["gateways"]
@@ -47,7 +47,7 @@
 
 def test_what_is_held_back_is_shown_with_its_age(site):
     for server in ("s1", "s2", "s3"):
-        site.gateways[0].quarantine.note_end("content", server)
+        site.gateways[0].quarantine.record_crash("content", server)
     code, output, _ = run("gateways", list_control(site)[0])
     assert code == ExitCode.DONE
     _, held = output.splitlines()
--- a/tests/test_engine_model.py
+++ b/tests/test_engine_model.py
@@ -14,12 +14,12 @@
 
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.process.gateway.service_models import (
-    TOLD_LIFE_MS,
+    REPORTED_MODEL_LIFETIME_MS,
     ServiceModels,
 )
 from hemlockswitch.request.engine_model import (
-    FEWEST_TOLD,
     MAX_OBSERVATION_AGE_MS,
+    MIN_REPORTED_OBSERVATIONS,
     PRIOR,
     EngineModel,
     EngineWork,
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("engine", ENGINES)
 def test_thirty_attempts_improve_on_the_prior(engine):
     fitter = ModelFitter()
-    for now_ms, work, took_ms in draw_attempts(engine, random.Random(2), FEWEST_TOLD):
+    for now_ms, work, took_ms in draw_attempts(engine, random.Random(2), MIN_REPORTED_OBSERVATIONS):
         fitter.note(now_ms, work, took_ms)
     for _ in range(3):
         fitter.fit(3_000.0)
@@ -125,11 +125,11 @@
     assert EngineModel(*model.coefficients) == model
 
 
-def make_models(engine=None, count=FEWEST_TOLD):
+def make_models(engine=None, count=MIN_REPORTED_OBSERVATIONS):
     models = ServiceModels(ManualClock())
     if engine is not None:
         for _, work, took_ms in draw_attempts(engine, random.Random(5), count):
-            models.note_first_event("llm", work, took_ms)
+            models.record_first_event("llm", work, took_ms)
         models.fit()
     return models
 
@@ -138,12 +138,12 @@
     reported = make_models(ENGINES[1], 200).describe_own()
     new = make_models()
     assert new.get("llm") == PRIOR
-    new.take_report("g2", reported)
+    new.apply_report("g2", reported)
     assert measure_error(new.get("llm"), ENGINES[1]) < 0.1
 
 
 def test_model_with_few_observations_is_not_reported():
-    assert make_models(ENGINES[0], FEWEST_TOLD - 1).describe_own() == {}
+    assert make_models(ENGINES[0], MIN_REPORTED_OBSERVATIONS - 1).describe_own() == {}
 
 
 @pytest.mark.parametrize(
@@ -160,26 +160,26 @@
 )
 def test_invalid_reported_model_is_ignored(poison):
     models = make_models()
-    models.take_report("g2", {"llm": poison, "other": ENGINES[0].coefficients})
+    models.apply_report("g2", {"llm": poison, "other": ENGINES[0].coefficients})
     assert models.get("llm") == PRIOR
     assert models.get("other") == ENGINES[0]
 
 
 def test_single_deviating_gateway_has_little_influence():
     models = make_models(ENGINES[0], 200)
-    models.take_report("g2", make_models(ENGINES[0], 200).describe_own())
-    models.take_report("g3", {"llm": ENGINES[1].coefficients})
+    models.apply_report("g2", make_models(ENGINES[0], 200).describe_own())
+    models.apply_report("g3", {"llm": ENGINES[1].coefficients})
     models.fit()
     assert measure_error(models.get("llm"), ENGINES[0]) < 0.1
 
 
 def test_expired_reports_are_ignored():
     models = make_models(ENGINES[0], 200)
-    models.take_report("g2", {"llm": ENGINES[1].coefficients})
-    models.take_report("g3", {"llm": ENGINES[1].coefficients})
+    models.apply_report("g2", {"llm": ENGINES[1].coefficients})
+    models.apply_report("g3", {"llm": ENGINES[1].coefficients})
     models.fit()
     assert measure_error(models.get("llm"), ENGINES[1]) < 0.1
-    models._clock.advance(int(TOLD_LIFE_MS) + 1)
+    models._clock.advance(int(REPORTED_MODEL_LIFETIME_MS) + 1)
     models.fit()
     assert measure_error(models.get("llm"), ENGINES[0]) < 0.1
 
@@ -189,5 +189,5 @@
     assert models.get_call_ms("app") == PRIOR_CALL_MS
     rng = random.Random(6)
     for _ in range(400):
-        models.note_call("app", rng.choice((20, 20, 20, 400)))
+        models.record_call("app", rng.choice((20, 20, 20, 400)))
     assert 15 < models.get_call_ms("app") < 30
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -96,7 +96,7 @@
         self.rng.shuffle(candidates)
         server = min(candidates, key=lambda one: one.failure_rate).server
         failed = server.name in self.grey and self.rng.random() < 0.5
-        gateway.note_result(server.name, failed)
+        gateway.record_result(server.name, failed)
         if self.tells:
             results = gateway.failures.pop_unreported()
             for other in self.gateways:
--- a/tests/test_gateway_accounts.py
+++ b/tests/test_gateway_accounts.py
@@ -51,7 +51,7 @@
         for name, limits in self.limits.items():
             for other, spent in reports.items():
                 if other != name:
-                    limits.take_report(other, spent)
+                    limits.apply_report(other, spent)
 
     def pass_time(self, now_ms, report_ms):
         """Exchange the reports that are due at `now_ms`."""
@@ -221,5 +221,5 @@
     limits = SharedLimits(clock, lambda: 1.0, lambda: 1)
     clock.advance(12_000)
     limits.take(ACCOUNT, 1.0)
-    limits.take_report("g2/1", {"large": 10_000_000.0})
+    limits.apply_report("g2/1", {"large": 10_000_000.0})
     assert limits.take(ACCOUNT, REQUEST_TOKENS) is None
--- a/tests/test_gateway_duties.py
+++ b/tests/test_gateway_duties.py
@@ -5,7 +5,7 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.process.gateway.duties import DutyRunner, make_lease_times
-from hemlockswitch.process.gateway.true_time import TrueTime
+from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.lease import LeaseError
 
 AWAY = PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "away")
@@ -24,7 +24,7 @@
             raise LeaseError(ErrorKind.STALE_FENCING, "lapsed")
         return 7
 
-    def take_turn(self):
+    def run_step(self):
         self.turns += 1
         return 1_000.0
 
@@ -90,7 +90,7 @@
     lease, usage, scaling = parts
     clock = ManualClock()
     return DutyRunner(
-        lease, usage, scaling, StubUsageStore(), StubRollouts(), StubPeers(), TrueTime(), clock
+        lease, usage, scaling, StubUsageStore(), StubRollouts(), StubPeers(), FleetClock(), clock
     )
 
 
@@ -152,12 +152,12 @@
     lease = parts[0]
     runner = make_runner(parts)
 
-    def take_turn():
+    def run_step():
         runner.release()
         lease.is_held = True
         return 1_000.0
 
-    lease.take_turn = take_turn
+    lease.run_step = run_step
     runner.maintain_lease()
     assert lease.released == 2
     assert not runner.leads
--- a/tests/test_gateway_fleet.py
+++ b/tests/test_gateway_fleet.py
@@ -63,28 +63,30 @@
     for _ in range(for_ms // 1_000):
         clock.advance(1_000)
         for name in names:
-            fleet.note_report(f"10.0.0.1:{name}", make_report(name), StoreView())
+            fleet.record_report(f"10.0.0.1:{name}", make_report(name), StoreView())
 
 
 def test_the_share_of_a_replaced_vm_returns_to_the_fleet(fleet, clock):
     store = Store("g1", "g2", "g3")
     fleet.refresh(store)
     live(fleet, clock, "g2", "g3", for_ms=3_000)
-    assert fleet.get_share() == 1
+    assert fleet.get_connected_fraction() == 1
     live(fleet, clock, "g2", for_ms=5_000)
-    fleet.remove_gone(store)
-    assert fleet.get_share() == pytest.approx(2 / 3), "in a partition it keeps its share"
+    fleet.remove_expired(store)
+    assert fleet.get_connected_fraction() == pytest.approx(
+        2 / 3
+    ), "in a partition it keeps its share"
     live(fleet, clock, "g2", for_ms=int(GATEWAY_REMOVAL_DELAY_MS))
-    fleet.remove_gone(store)
+    fleet.remove_expired(store)
     assert sorted(store.versions) == ["g1", "g2"]
-    assert fleet.get_share() == 1
+    assert fleet.get_connected_fraction() == 1
 
 
 def test_a_vm_that_never_reported_is_removed_as_well(fleet, clock):
     store = Store("g1", "old")
     fleet.refresh(store)
     live(fleet, clock, for_ms=int(GATEWAY_REMOVAL_DELAY_MS) + 1_000)
-    fleet.remove_gone(store)
+    fleet.remove_expired(store)
     assert sorted(store.versions) == ["g1"]
 
 
@@ -93,7 +95,7 @@
     fleet.refresh(store)
     live(fleet, clock, for_ms=int(GATEWAY_REMOVAL_DELAY_MS) + 1_000)
     store.versions["g2"] = 5
-    fleet.remove_gone(store)
+    fleet.remove_expired(store)
     assert "g2" in store.versions
     assert fleet.count_daemons() == 2
 
@@ -116,7 +118,7 @@
     fleet.refresh(store)
     live(fleet, clock, for_ms=int(GATEWAY_REMOVAL_DELAY_MS) + 1_000)
     store.is_down = True
-    fleet.remove_gone(store)
+    fleet.remove_expired(store)
     fleet.refresh(store)
     assert fleet.count_daemons() == 2
 
@@ -133,7 +135,7 @@
     """A lease lapses after four seconds; with 195 gateways far ones get reports as rarely as that."""
     fleet = Fleet("g3", lambda: "10.0.0.1:0", clock, "z1")
     near = replace(make_zoned_report("g1", "z1"), leads=True, period_ms=1_000.0)
-    fleet.note_report("10.0.0.1:g1", near, StoreView())
+    fleet.record_report("10.0.0.1:g1", near, StoreView())
     clock.advance(3_900)
     assert fleet.has_other_leader()
     clock.advance(200)
@@ -144,6 +146,6 @@
     fleet = Fleet("g3", lambda: "10.0.0.1:0", clock, "z1", link_mbps=10.0)
     for name, link_mbps in (("g1", 10.0), ("g7", 200.0), ("g8", 200.0)):
         report = replace(make_zoned_report(name, "z1"), link_mbps=link_mbps)
-        fleet.note_report(f"10.0.0.1:{name}", report, StoreView())
+        fleet.record_report(f"10.0.0.1:{name}", report, StoreView())
     (relays,) = fleet.draw_relays()
     assert sorted(relays) == ["10.0.0.1:g7", "10.0.0.1:g8"]
--- a/tests/test_gateway_registry.py
+++ b/tests/test_gateway_registry.py
@@ -12,7 +12,7 @@
 )
 from hemlockswitch.core.events import Event
 from hemlockswitch.process.gateway import registry as registry_module
-from hemlockswitch.process.gateway.configuration import TableHolder
+from hemlockswitch.process.gateway.configuration import ServingTableStore
 from hemlockswitch.process.gateway.follower import ObjectFollower
 from hemlockswitch.process.gateway.registry import (
     MAX_FILL_MS,
@@ -188,7 +188,7 @@
 def test_a_misdirected_server_is_excluded_for_a_limited_time():
     fixture = Fixture()
     fixture.registry.replace_all(page(entry("a"), entry("b")))
-    fixture.registry.note_misdirected("a")
+    fixture.registry.record_misdirected("a")
     assert fixture.names() == ["b"]
     fixture.clock.advance(MISDIRECTED_EXCLUSION_MS + 1)
     assert fixture.names() == ["a", "b"]
@@ -211,7 +211,7 @@
 
 
 def test_a_revision_never_goes_back():
-    holder = TableHolder("main", decode_table)
+    holder = ServingTableStore("main", decode_table)
     assert holder.current is None
     for revision in (3, 7, 5):
         holder.apply_changes(page(config(revision)))
@@ -221,7 +221,7 @@
 
 
 def test_an_invalid_revision_does_not_replace_the_one_in_force():
-    holder = TableHolder("main", decode_table)
+    holder = ServingTableStore("main", decode_table)
     holder.apply_changes(page(config(3), config(-1), config(9, "other")))
     assert holder.current.revision == 3
 
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -184,7 +184,7 @@
 def test_failure_is_relayed_if_no_time_is_left_to_repeat(site, app):
     """Calls take 500 ms or longer and the caller waits 300 ms: a second attempt would end in status 504."""
     for _ in range(60):
-        site.gateways[0].models.note_call("app", 900.0)
+        site.gateways[0].models.record_call("app", 900.0)
     for runner in app:
         runner.fail(fail=True)
     reply = site.ask("/check/x", "id-1", Hemlockswitch_Deadline_Ms="300")
--- a/tests/test_gateway_site.py
+++ b/tests/test_gateway_site.py
@@ -84,8 +84,8 @@
 
 
 def test_gateways_discover_their_peers(site):
-    site.wait(lambda: [one.fleet.count_in_touch() for one in site.gateways] == [2, 2])
-    assert [one.fleet.get_share() for one in site.gateways] == [1.0, 1.0]
+    site.wait(lambda: [one.fleet.count_connected() for one in site.gateways] == [2, 2])
+    assert [one.fleet.get_connected_fraction() for one in site.gateways] == [1.0, 1.0]
 
 
 def test_only_one_gateway_orders_copies(site):
--- a/tests/test_gateway_usage.py
+++ b/tests/test_gateway_usage.py
@@ -1,8 +1,8 @@
 """Usage reports: one set of counts per window, whichever gateway reports it, and estimated fleet time."""
 
 from hemlockswitch.connection.stored_objects import Conflict, StoredObject, Unknown, Written
-from hemlockswitch.process.gateway.report_period import LEAST_SETTLE_MS, LEAST_TAKEOVER_MS
-from hemlockswitch.process.gateway.true_time import TrueTime
+from hemlockswitch.process.gateway.report_period import MIN_SETTLE_MS, MIN_TAKEOVER_MS
+from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.gateway.usage import UsageCounts, UsageDuty
 
 WINDOW_S = 5.0
@@ -46,25 +46,25 @@
 def test_window_is_due_after_its_reports_have_settled():
     counts, duty = make_duty()
     assert 1_000 not in duty.list_due(NOW_MS)
-    assert 1_000 not in duty.list_due(NOW_MS + WINDOW_MS + LEAST_SETTLE_MS - 1)
-    assert 1_000 in duty.list_due(NOW_MS + WINDOW_MS + LEAST_SETTLE_MS)
+    assert 1_000 not in duty.list_due(NOW_MS + WINDOW_MS + MIN_SETTLE_MS - 1)
+    assert 1_000 in duty.list_due(NOW_MS + WINDOW_MS + MIN_SETTLE_MS)
 
 
 def test_new_holder_waits_for_peer_counts_and_also_reports_two_earlier_windows():
     counts, duty = make_duty()
-    now_ms = NOW_MS + WINDOW_MS + LEAST_SETTLE_MS
+    now_ms = NOW_MS + WINDOW_MS + MIN_SETTLE_MS
     duty.take_over(now_ms)
     assert duty.list_due(now_ms) == []
-    counts.take_report("g2/1", {"1000": {"a": 3}})
-    assert duty.list_due(now_ms + LEAST_TAKEOVER_MS) == [998, 999, 1_000]
+    counts.apply_report("g2/1", {"1000": {"a": 3}})
+    assert duty.list_due(now_ms + MIN_TAKEOVER_MS) == [998, 999, 1_000]
 
 
 def test_counts_of_all_gateways_and_earlier_processes_are_summed():
     counts, _ = make_duty()
     counts.count(NOW_MS, "a")
-    counts.take_report("g2/1", {"1000": {"a": 2, "b": 1}})
-    counts.take_report("g2/2", {"1000": {"a": 3}})
-    counts.take_report("g2/2", {"1000": {"a": 4}})
+    counts.apply_report("g2/1", {"1000": {"a": 2, "b": 1}})
+    counts.apply_report("g2/2", {"1000": {"a": 3}})
+    counts.apply_report("g2/2", {"1000": {"a": 4}})
     assert counts.sum_window(1_000) == {"a": 7, "b": 1}
 
 
@@ -73,7 +73,7 @@
     first_counts, first = make_duty(store, api)
     second_counts, second = make_duty(store, api)
     first_counts.count(NOW_MS, "a")
-    second_counts.take_report("g1/1", {"1000": {"a": 99}})
+    second_counts.apply_report("g1/1", {"1000": {"a": 99}})
     first.report(1_000, lambda: 1)
     second.report(1_000, lambda: 2)
     assert api.reports == [(1_000, {"a": 1}), (1_000, {"a": 1})]
@@ -118,19 +118,19 @@
 
 def test_wall_clock_step_does_not_change_the_estimated_time():
     clocks = Clocks()
-    estimate = TrueTime(lambda: clocks.boot_ms, lambda: clocks.wall_ms)
+    estimate = FleetClock(lambda: clocks.boot_ms, lambda: clocks.wall_ms)
     clocks.boot_ms, clocks.wall_ms = 2_000.0, 1_000_000.0 - 2_400.0
     assert estimate.now_ms() == 1_002_000.0
 
 
 def test_process_started_during_a_clock_step_adopts_the_peers_time():
-    estimate = TrueTime(lambda: 0.0, lambda: 1_000_000.0 - 2_400.0)
-    estimate.hear({"a": 1_000_000.0, "b": 1_000_010.0, "c": 999_990.0})
+    estimate = FleetClock(lambda: 0.0, lambda: 1_000_000.0 - 2_400.0)
+    estimate.apply_estimates({"a": 1_000_000.0, "b": 1_000_010.0, "c": 999_990.0})
     assert estimate.now_ms() == 1_000_000.0
 
 
 def test_single_peer_or_small_difference_does_not_change_the_estimate():
-    estimate = TrueTime(lambda: 0.0, lambda: 1_000_000.0)
-    estimate.hear({"a": 1_009_000.0})
-    estimate.hear({"a": 1_000_100.0, "b": 1_000_200.0})
+    estimate = FleetClock(lambda: 0.0, lambda: 1_000_000.0)
+    estimate.apply_estimates({"a": 1_009_000.0})
+    estimate.apply_estimates({"a": 1_000_100.0, "b": 1_000_200.0})
     assert estimate.now_ms() == 1_000_000.0
--- a/tests/test_held_requests.py
+++ b/tests/test_held_requests.py
@@ -10,27 +10,36 @@
 )
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import PlatformError
-from hemlockswitch.process.quarantine.held_requests import HELD_KIND, MAX_LIST_LAG_MS, HeldRequests
-from hemlockswitch.request.quarantine import LIFE_MS, TRIAL_PAUSES_MS, Quarantine, SuspectRecord
+from hemlockswitch.process.quarantine.held_requests import (
+    HELD_KIND,
+    MAX_LIST_LAG_MS,
+    QuarantineStore,
+)
+from hemlockswitch.request.quarantine import (
+    SUSPECT_RETENTION_MS,
+    TRIAL_INTERVALS_MS,
+    Quarantine,
+    SuspectRecord,
+)
 from tests.memory_store import MemoryStore
 
 CONTENT = "content"
-MAX_TRIALS = len(TRIAL_PAUSES_MS)
+MAX_TRIALS = len(TRIAL_INTERVALS_MS)
 
 
 class Gateway:
     def __init__(self, name, store, clock):
         self.clock = clock
         self.quarantine = Quarantine(clock)
-        self.held = HeldRequests(f"{name}/{clock.now_ms()}", self.quarantine, store, clock)
+        self.held = QuarantineStore(f"{name}/{clock.now_ms()}", self.quarantine, store, clock)
 
     def end_servers(self, count=3):
         for number in range(count):
-            self.quarantine.note_end(CONTENT, f"s{number}")
+            self.quarantine.record_crash(CONTENT, f"s{number}")
 
     def may_try(self):
-        standing = self.quarantine.find_standing(CONTENT)
-        if not standing.is_held or standing.trial_in_ms != 0:
+        status = self.quarantine.find_status(CONTENT)
+        if not status.is_quarantined or status.trial_in_ms != 0:
             return False
         try:
             return self.held.request_trial(CONTENT).is_granted
@@ -38,7 +47,7 @@
             return False
 
     def is_held(self):
-        return self.quarantine.find_standing(CONTENT).is_held
+        return self.quarantine.find_status(CONTENT).is_quarantined
 
 
 @pytest.fixture
@@ -68,8 +77,8 @@
 
 def test_quarantine_is_stored_by_its_observer_or_by_the_keeper(gateways, store):
     gateways[0].end_servers()
-    for record in gateways[0].quarantine.pop_untold():
-        gateways[1].quarantine.take(record)
+    for record in gateways[0].quarantine.pop_unsent():
+        gateways[1].quarantine.merge(record)
     gateways[1].held.save(acts_for_peers=False)
     assert store.objects == {}, "only the gateway that saw the crashes writes"
     gateways[1].held.save(acts_for_peers=True)
@@ -80,24 +89,24 @@
     for gateway in gateways:
         gateway.end_servers()
         gateway.held.save(acts_for_peers=False)
-    clock.advance(TRIAL_PAUSES_MS[0])
+    clock.advance(TRIAL_INTERVALS_MS[0])
     assert [gateway.may_try() for gateway in gateways] == [True, False, False]
 
 
 def test_trial_write_with_lost_answer_is_granted_to_its_writer(gateways, store, clock):
     gateways[0].end_servers()
     gateways[0].held.save(acts_for_peers=False)
-    clock.advance(TRIAL_PAUSES_MS[0])
-    store.loses = 1
+    clock.advance(TRIAL_INTERVALS_MS[0])
+    store.lost_answers = 1
     assert gateways[0].may_try()
 
 
 def test_no_trial_while_object_service_is_unavailable(gateways, store, clock):
     gateways[0].end_servers()
-    clock.advance(TRIAL_PAUSES_MS[0])
-    store.is_away = True
+    clock.advance(TRIAL_INTERVALS_MS[0])
+    store.is_down = True
     assert not gateways[0].may_try()
-    store.is_away = False
+    store.is_down = False
     assert gateways[0].may_try()
 
 
@@ -107,7 +116,7 @@
     for gateway in gateways:
         gateway.end_servers()
         gateway.held.save(acts_for_peers=False)
-    gateways[0].quarantine.note_answer(CONTENT)
+    gateways[0].quarantine.record_answer(CONTENT)
     gateways[0].held.schedule_removal(CONTENT)
     gateways[0].held.save(acts_for_peers=False)
     assert store.objects == {}
@@ -121,15 +130,15 @@
 def test_content_quarantined_again_is_stored_and_tried_again(gateways, store, clock):
     gateways[0].end_servers()
     gateways[0].held.save(acts_for_peers=False)
-    gateways[0].quarantine.note_answer(CONTENT)
+    gateways[0].quarantine.record_answer(CONTENT)
     gateways[0].held.untrack_released(acts_for_peers=False)
     del store.objects[CONTENT]
     for number in range(3):
-        gateways[0].quarantine.note_end(CONTENT, f"later-{number}")
+        gateways[0].quarantine.record_crash(CONTENT, f"later-{number}")
     assert gateways[0].held.must_save(acts_for_peers=False)
     gateways[0].held.save(acts_for_peers=False)
     assert list(store.objects) == [CONTENT]
-    clock.advance(TRIAL_PAUSES_MS[0])
+    clock.advance(TRIAL_INTERVALS_MS[0])
     assert gateways[0].may_try()
     assert gateways[0].is_held(), "no other gateway released it"
 
@@ -138,7 +147,7 @@
     for gateway in gateways:
         gateway.end_servers()
         gateway.held.save(acts_for_peers=False)
-    gateways[1].quarantine.note_answer(CONTENT)
+    gateways[1].quarantine.record_answer(CONTENT)
     gateways[1].held.untrack_released(acts_for_peers=True)
     gateways[1].held.save(acts_for_peers=True)
     assert store.objects == {}
@@ -170,10 +179,10 @@
         self._gather(self.gateways[0])
         for record in self.messages:
             for gateway in self.gateways:
-                gateway.quarantine.take(record)
+                gateway.quarantine.merge(record)
 
     def _gather(self, gateway):
-        self.messages += gateway.quarantine.pop_untold()
+        self.messages += gateway.quarantine.pop_unsent()
 
     @rule(number=st.integers(0, 2))
     def ask(self, number):
@@ -181,7 +190,7 @@
         if gateway.may_try():
             self.granted += 1
             self.ends += 1
-            gateway.quarantine.note_end(CONTENT, f"tried-{self.ends}")
+            gateway.quarantine.record_crash(CONTENT, f"tried-{self.ends}")
         self._gather(gateway)
 
     @rule(number=st.integers(0, 2), which=st.integers(0, 50))
@@ -189,29 +198,29 @@
         if self.messages:
             message = self.messages[which % len(self.messages)]
             fields = SuspectRecord.from_fields(message.list_fields())
-            self.gateways[number].quarantine.take(fields)
+            self.gateways[number].quarantine.merge(fields)
 
-    @rule(wait_ms=st.sampled_from([100.0, *TRIAL_PAUSES_MS]))
+    @rule(wait_ms=st.sampled_from([100.0, *TRIAL_INTERVALS_MS]))
     def wait(self, wait_ms):
-        if self.clock.now_ms() + wait_ms < 1_000_000 + LIFE_MS:
+        if self.clock.now_ms() + wait_ms < 1_000_000 + SUSPECT_RETENTION_MS:
             self.clock.advance(wait_ms)
 
     @rule(number=st.integers(0, 2))
     def restart(self, number):
         self.gateways[number] = Gateway(f"g{number}", self.store, self.clock)
-        if not self.store.is_away:
+        if not self.store.is_down:
             self.gateways[number].held.load()
 
     @rule(is_away=st.booleans(), loses=st.integers(0, 2))
     def disturb(self, is_away, loses):
-        self.store.is_away = is_away
-        self.store.loses = loses
+        self.store.is_down = is_away
+        self.store.lost_answers = loses
 
     @rule(number=st.integers(0, 2), acts_for_peers=st.booleans())
     def look(self, number, acts_for_peers):
         gateway = self.gateways[number]
-        gateway.quarantine.forget_old()
-        if not self.store.is_away:
+        gateway.quarantine.remove_expired()
+        if not self.store.is_down:
             gateway.held.load()
             gateway.held.untrack_released(acts_for_peers=acts_for_peers)
             gateway.held.save(acts_for_peers=acts_for_peers)
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -3,7 +3,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hemlockswitch.request.homes import CACHED_RANKS, PREFERRED_COUNT, Homes, rank_homes
+from hemlockswitch.request.homes import (
+    CACHED_RANKS,
+    PREFERRED_COUNT,
+    PreferredServers,
+    rank_preferred_servers,
+)
 
 NAMES = [f"server-{number}" for number in range(40)]
 
@@ -11,24 +16,24 @@
 @given(st.lists(st.sets(st.sampled_from(NAMES), min_size=1), min_size=1, max_size=8))
 def test_cached_ranks_match_the_present_servers(server_sets):
     """Servers are added, removed and added again; some are excluded from a request."""
-    homes = Homes()
+    homes = PreferredServers()
     for present in server_sets:
         for key in ("part-1", "part-2"):
-            expected = rank_homes(key, present)
+            expected = rank_preferred_servers(key, present)
             assert homes.rank(key, sorted(present)) == {
                 name: rank for rank, name in enumerate(expected)
             }
 
 
 def test_part_is_ranked_once_while_servers_are_unchanged(monkeypatch):
-    homes = Homes()
+    homes = PreferredServers()
     homes.rank("part", NAMES)
-    monkeypatch.setattr("hemlockswitch.request.homes.rank_homes", None)
+    monkeypatch.setattr("hemlockswitch.request.homes.rank_preferred_servers", None)
     assert len(homes.rank("part", NAMES[3:])) == PREFERRED_COUNT
 
 
 def test_removed_servers_are_evicted():
-    homes = Homes()
+    homes = PreferredServers()
     for generation in range(200):
         names = [f"{generation}-{number}" for number in range(CACHED_RANKS)]
         homes.rank("part", names)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -65,7 +65,7 @@
 def wait_until_taken(lease, clock, limit_ms=60_000):
     waited_ms = 0.0
     while not lease.is_held and waited_ms < limit_ms:
-        pause_ms = lease.take_turn()
+        pause_ms = lease.run_step()
         if not lease.is_held:
             clock.advance(pause_ms)
             waited_ms += pause_ms
@@ -74,24 +74,24 @@
 
 def test_only_the_first_candidate_takes_the_lease(objects, clock):
     first, second = make_lease(objects, clock), make_lease(objects, clock, "control-2")
-    first.take_turn()
-    second.take_turn()
+    first.run_step()
+    second.run_step()
     assert first.is_held and not second.is_held
     assert first.get_fencing() == objects.stored.version
 
 
 def test_each_renewal_raises_the_fencing_number(objects, clock):
     lease = make_lease(objects, clock)
-    lease.take_turn()
+    lease.run_step()
     before = lease.get_fencing()
     clock.advance(TIMES.renew_ms)
-    lease.take_turn()
+    lease.run_step()
     assert lease.get_fencing() > before
 
 
 def test_a_holder_stops_well_before_the_end(objects, clock):
     lease = make_lease(objects, clock)
-    lease.take_turn()
+    lease.run_step()
     clock.advance(TIMES.term_ms - TIMES.stop_before_ms)
     with pytest.raises(LeaseError):
         lease.get_fencing()
@@ -99,30 +99,30 @@
 
 def test_a_successor_waits_the_term_and_the_margin(objects, clock):
     first, second = make_lease(objects, clock), make_lease(objects, clock, "control-2")
-    first.take_turn()
+    first.run_step()
     assert wait_until_taken(second, clock) >= TIMES.term_ms + TIMES.margin_ms
     with pytest.raises(LeaseError):
         first.get_fencing()
-    first.take_turn()
+    first.run_step()
     assert second.is_held and not first.is_held
 
 
 def test_a_running_holder_is_never_replaced(objects, clock):
     first, second = make_lease(objects, clock), make_lease(objects, clock, "control-2")
-    first.take_turn()
+    first.run_step()
     for _ in range(200):
         clock.advance(TIMES.renew_ms)
-        first.take_turn()
-        second.take_turn()
+        first.run_step()
+        second.run_step()
         assert first.is_held and not second.is_held
 
 
 def test_a_lost_answer_to_a_renewal_is_read_back(objects, clock):
     lease = make_lease(objects, clock)
-    lease.take_turn()
+    lease.run_step()
     clock.advance(TIMES.renew_ms)
     objects.lose = 1
-    lease.take_turn()
+    lease.run_step()
     assert lease.get_fencing() == objects.stored.version
     clock.advance(TIMES.term_ms - TIMES.stop_before_ms - 1)
     assert lease.is_held
@@ -130,32 +130,32 @@
 
 def test_a_lost_answer_whose_read_back_fails_is_found_by_the_next_renewal(objects, clock):
     lease = make_lease(objects, clock)
-    lease.take_turn()
+    lease.run_step()
     objects.lose, read = 1, objects.read
     objects.read = lambda kind, name: (_ for _ in ()).throw(
         PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "down")
     )
-    lease.take_turn()
+    lease.run_step()
     objects.read = read
-    lease.take_turn()
+    lease.run_step()
     assert lease.get_fencing() == objects.stored.version
 
 
 def test_a_lease_ends_without_the_platform(objects, clock):
     lease = make_lease(objects, clock)
-    lease.take_turn()
+    lease.run_step()
     objects.down = True
     for _ in range(20):
-        clock.advance(lease.take_turn())
+        clock.advance(lease.run_step())
     assert not lease.is_held
     objects.down = False
-    lease.take_turn()
+    lease.run_step()
     assert lease.is_held
 
 
 def test_a_higher_fencing_number_at_an_engine_ends_the_lease(objects, clock):
     lease = make_lease(objects, clock)
-    lease.take_turn()
+    lease.run_step()
     lease.step_down(lease.get_fencing())
     assert lease.is_held
     lease.step_down(lease.get_fencing() + 1)
@@ -164,9 +164,9 @@
 
 def test_a_released_lease_is_taken_at_once(objects, clock):
     first, second = make_lease(objects, clock), make_lease(objects, clock, "control-2")
-    first.take_turn()
+    first.run_step()
     first.release()
-    second.take_turn()
+    second.run_step()
     assert second.is_held and not first.is_held
 
 
@@ -174,19 +174,19 @@
     def make(address):
         return Lease(objects, clock, ZONE, "gateway-1", TIMES, get_address=lambda: address)
 
-    make("10.0.0.1:7").take_turn()
+    make("10.0.0.1:7").run_step()
     number = objects.stored.version
     restarted = make("10.0.0.1:7")
-    restarted.take_turn()
+    restarted.run_step()
     assert restarted.get_fencing() > number
 
 
 def test_another_process_of_the_same_name_waits_the_term(objects, clock):
     """A replaced VM may still run; only the same bound address shows that its process ended."""
     first = Lease(objects, clock, ZONE, "gateway-1", TIMES, get_address=lambda: "10.0.0.1:7")
-    first.take_turn()
+    first.run_step()
     replaced = Lease(objects, clock, ZONE, "gateway-1", TIMES, get_address=lambda: "10.0.0.2:7")
-    replaced.take_turn()
+    replaced.run_step()
     assert first.is_held
     assert not replaced.is_held
 
@@ -194,27 +194,27 @@
 def test_a_recent_holder_does_not_take_a_released_lease_at_once(objects, clock):
     """After a rolling restart, orders of A, B and A within a term look like two holders."""
     first, second, third = (make_lease(objects, clock, name) for name in ("a", "b", "c"))
-    first.take_turn()
+    first.run_step()
     first.release()
-    second.take_turn()
+    second.run_step()
     second.release()
     restarted = make_lease(objects, clock, "a")
-    restarted.take_turn()
+    restarted.run_step()
     assert not restarted.is_held
-    third.take_turn()
+    third.run_step()
     assert third.is_held
 
 
 def test_a_recent_holder_takes_the_lease_once_the_term_is_over(objects, clock):
     first, second = make_lease(objects, clock, "a"), make_lease(objects, clock, "b")
-    first.take_turn()
+    first.run_step()
     first.release()
-    second.take_turn()
+    second.run_step()
     second.release()
     restarted = make_lease(objects, clock, "a")
     waited_ms = 0.0
     while not restarted.is_held:
-        pause_ms = restarted.take_turn()
+        pause_ms = restarted.run_step()
         if not restarted.is_held:
             clock.advance(pause_ms)
             waited_ms += pause_ms
@@ -223,8 +223,8 @@
 
 def test_a_holder_that_released_and_was_not_succeeded_takes_the_lease_at_once(objects, clock):
     first = make_lease(objects, clock, "a")
-    first.take_turn()
+    first.run_step()
     first.release()
     restarted = make_lease(objects, clock, "a")
-    restarted.take_turn()
+    restarted.run_step()
     assert restarted.is_held
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,8 +14,8 @@
 from hemlockswitch.process.membership.members import Member, MemberState
 from hemlockswitch.process.membership.membership import Membership, ProbeTimes
 from hemlockswitch.process.membership.overlay import choose_links
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
-from hemlockswitch.process.news.spread import Spread
+from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.news.spread import Gossip
 
 TIMES = ProbeTimes(100, 80, 150, 300, 200)
 
@@ -37,8 +37,8 @@
     def __init__(self, name, zone, seeds=(), listen="127.0.0.1:0"):
         self.network = CutNetwork("test", name, listen)
         self.address = self.network.start()
-        self.board = NewsBoard()
-        self.spread = Spread(self.board, self.network, zone, zone_prefixes=("vm/",))
+        self.board = GossipState()
+        self.spread = Gossip(self.board, self.network, zone, zone_prefixes=("vm/",))
         own = Member(name, zone, "", "", "")
         self.membership = Membership(
             own, self.board, self.network, self.spread, seeds=seeds, times=TIMES
@@ -95,8 +95,8 @@
 def test_daemons_join_by_one_seed_and_exchange_gossip(start_daemons):
     daemons = start_daemons("a", "a", "a", "b", "b", "b")
     wait_for_live_count(daemons, 6)
-    daemons[0].board.learn(NewsItem("revision", 7, "content"))
-    daemons[0].board.learn(NewsItem("vm/llm-1", 1, "live"))
+    daemons[0].board.record(GossipItem("revision", 7, "content"))
+    daemons[0].board.record(GossipItem("vm/llm-1", 1, "live"))
     wait_until(lambda: all(daemon.board.find("revision") for daemon in daemons))
     wait_until(lambda: all(daemon.board.find("vm/llm-1") for daemon in daemons[:3]))
     assert not any(daemon.board.find("vm/llm-1") for daemon in daemons[3:])
@@ -126,7 +126,7 @@
     cut(daemons[:2], daemons[2:])
     wait_for_live_count(daemons[:2], 2)
     wait_for_live_count(daemons[2:], 3)
-    daemons[4].board.learn(NewsItem("revision", 8, "news of the cut"))
+    daemons[4].board.record(GossipItem("revision", 8, "news of the cut"))
     heal(daemons)
     wait_for_live_count(daemons, 5)
     wait_until(lambda: daemons[0].board.find("revision") is not None)
@@ -191,8 +191,8 @@
 def test_an_invalid_member_item_is_ignored(start_daemons):
     daemons = start_daemons("a", "a")
     wait_for_live_count(daemons, 2)
-    daemons[0].board.learn(NewsItem("member/odd", 4, "not a member"))
-    daemons[0].board.learn(NewsItem("revision", 1, "after it"))
+    daemons[0].board.record(GossipItem("member/odd", 4, "not a member"))
+    daemons[0].board.record(GossipItem("revision", 1, "after it"))
     wait_until(lambda: daemons[1].board.find("revision"))
     wait_for_live_count(daemons, 2)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,12 +8,12 @@
 
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.process.gateway.loads import ServerLoads
-from hemlockswitch.process.gateway.reported_loads import FRESH_MS, ServerLoad
-from hemlockswitch.process.gateway.view import LARGE_READING_MS
+from hemlockswitch.process.gateway.reported_loads import FRESH_REPORT_MS, ServerLoad
+from hemlockswitch.process.gateway.view import LARGE_PROMPT_READ_MS
 from hemlockswitch.request.engine_model import PRIOR
-from hemlockswitch.request.homes import rank_homes
+from hemlockswitch.request.homes import rank_preferred_servers
 from hemlockswitch.request.placement import (
-    HOMES_CONSIDERED,
+    PREFERRED_CONSIDERED,
     SAMPLED_SERVERS,
     Candidate,
     choose_server,
@@ -34,16 +34,16 @@
 def test_preferred_server_changes_only_when_it_is_removed():
     names = [server.name for server in SERVERS]
     for number in range(200):
-        before = rank_homes(f"p{number}", names)
+        before = rank_preferred_servers(f"p{number}", names)
         left = [name for name in names if name != "e3"]
-        after = rank_homes(f"p{number}", left)
+        after = rank_preferred_servers(f"p{number}", left)
         if before[0] != "e3":
             assert after[0] == before[0]
 
 
 def test_preferred_servers_are_distributed_evenly():
     names = [server.name for server in SERVERS]
-    ranks = [rank_homes(f"p{number}", names) for number in range(1_200)]
+    ranks = [rank_preferred_servers(f"p{number}", names) for number in range(1_200)]
     homes = Counter(rank[0] for rank in ranks)
     assert max(homes.values()) < 1.3 * min(homes.values())
 
@@ -53,8 +53,8 @@
     loads = ServerLoads(clock)
     prompt = make_prompt(1)
     home = choose_server(prompt, loads.build_candidates(SERVERS, prompt)).candidate.server
-    loads.note_result(home.name, failed=True)
-    loads.note_result(home.name, failed=True)
+    loads.record_result(home.name, failed=True)
+    loads.record_result(home.name, failed=True)
     other = choose_server(prompt, loads.build_candidates(SERVERS, prompt)).candidate.server
     assert other != home
     clock.advance(20_000)
@@ -65,12 +65,14 @@
 def test_busy_preferred_server_is_replaced_by_the_next():
     prompt = make_prompt(1)
     names = [server.name for server in SERVERS]
-    ranks = {name: rank for rank, name in enumerate(rank_homes("p1", names, len(names)))}
+    ranks = {
+        name: rank for rank, name in enumerate(rank_preferred_servers("p1", names, len(names)))
+    }
     candidates = [
         Candidate(
             server,
             waiting_tokens=80_000 if ranks[server.name] == 0 else 0,
-            home_rank=ranks[server.name],
+            preference_rank=ranks[server.name],
         )
         for server in SERVERS
     ]
@@ -89,7 +91,7 @@
 def test_stale_peer_reports_are_ignored():
     clock = ManualClock()
     loads = ServerLoads(clock)
-    loads.take_report("g2", {"e1": ServerLoad(5, 20_000)})
+    loads.apply_report("g2", {"e1": ServerLoad(5, 20_000)})
     (candidate,) = loads.build_candidates([SERVERS[1]], None)
     assert (candidate.running, candidate.waiting_tokens) == (5, 20_000)
     clock.advance(5_000)
@@ -107,7 +109,7 @@
 
 
 def choose_preferred(_, candidates, prompt):
-    return choose_server(prompt, [min(candidates, key=lambda one: one.home_rank)])
+    return choose_server(prompt, [min(candidates, key=lambda one: one.preference_rank)])
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -131,7 +133,7 @@
     clock.advance(20_000)
     prompt = make_prompt(1)
     other.begin(SERVERS[2], prompt, prompt.input_tokens, CAPACITY_TOKENS)
-    own.take_report("g2", other.describe_own(), other.pop_sent())
+    own.apply_report("g2", other.describe_own(), other.pop_sent())
     cached = {
         one.server.name: one.cached_tokens for one in own.build_candidates(SERVERS, make_prompt(1))
     }
@@ -148,7 +150,7 @@
 
 def test_prediction_includes_queued_and_uncached_tokens():
     prompt = make_prompt(1)
-    cold = predict_first_event_ms(prompt, Candidate(SERVERS[0], home_rank=5))
+    cold = predict_first_event_ms(prompt, Candidate(SERVERS[0], preference_rank=5))
     warm = predict_first_event_ms(prompt, Candidate(SERVERS[0], cached_tokens=SHARED_TOKENS))
     queued = predict_first_event_ms(
         prompt, Candidate(SERVERS[0], cached_tokens=SHARED_TOKENS, waiting_tokens=20_000)
@@ -178,8 +180,8 @@
 def test_reported_queue_drains_when_the_report_is_no_longer_fresh():
     clock = ManualClock()
     loads = ServerLoads(clock)
-    loads.take_report("g2", {"e1": ServerLoad(5, 20_000)})
-    clock.advance(FRESH_MS)
+    loads.apply_report("g2", {"e1": ServerLoad(5, 20_000)})
+    clock.advance(FRESH_REPORT_MS)
     (candidate,) = loads.build_candidates([SERVERS[1]], None)
     assert candidate.waiting_tokens == 20_000
     clock.advance(100)
@@ -193,15 +195,15 @@
 def test_preferred_and_caching_servers_are_always_compared():
     prompt = make_prompt(1)
     servers = [make_server(f"s{number}") for number in range(40)]
-    ranked = rank_homes("p1", [server.name for server in servers], len(servers))
+    ranked = rank_preferred_servers("p1", [server.name for server in servers], len(servers))
     holder = next(server for server in servers if server.name == ranked[-1])
     loads = ServerLoads(ManualClock())
     loads.begin(holder, prompt, SHARED_TOKENS, CAPACITY_TOKENS)
     for seed in range(20):
-        candidates = loads.build_candidates(servers, prompt, chance=random.Random(seed))
+        candidates = loads.build_candidates(servers, prompt, rng=random.Random(seed))
         compared = {one.server.name: one for one in candidates}
-        assert {*ranked[:HOMES_CONSIDERED], holder.name} <= set(compared)
-        assert len(compared) <= HOMES_CONSIDERED + 1 + SAMPLED_SERVERS
+        assert {*ranked[:PREFERRED_CONSIDERED], holder.name} <= set(compared)
+        assert len(compared) <= PREFERRED_CONSIDERED + 1 + SAMPLED_SERVERS
         assert compared[holder.name].running == 1
         assert compared[holder.name].cached_tokens == SHARED_TOKENS
 
@@ -215,11 +217,11 @@
         some = rng.sample(servers, rng.randrange(1, 12))
         report = {one.incarnation: ServerLoad(rng.randrange(4), 100.0) for one in some}
         sent = [(one.incarnation, make_prompt(number % 5).shared_chain) for one in some[:2]]
-        loads.take_report(f"g{number}", report, sent)
+        loads.apply_report(f"g{number}", report, sent)
     for number in range(5):
         prompt = make_prompt(number)
         every = {one.server.name: one for one in loads.build_candidates(servers, prompt)}
-        for one in loads.build_candidates(servers, prompt, chance=rng):
+        for one in loads.build_candidates(servers, prompt, rng=rng):
             assert one == every[one.server.name]
 
 
@@ -231,6 +233,6 @@
             HerdReplay(seed, large_ms=large_ms, **site).run(20_000).find_worth()
             for seed in (1, 2, 3)
         )
-        for large_ms in (math.inf, LARGE_READING_MS)
+        for large_ms in (math.inf, LARGE_PROMPT_READ_MS)
     )
     assert told / 3 >= late / 3 + 0.03
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -114,7 +114,7 @@
     )
     assert (facts.request_id, facts.host, facts.key) == ("id-1", "A.example", "k")
     assert (facts.time_left_ms, facts.last_event_id) == (1_500, "12")
-    assert (facts.prompt.input_tokens, facts.prompt.most_output_tokens) == (1_460, 80)
+    assert (facts.prompt.input_tokens, facts.prompt.max_output_tokens) == (1_460, 80)
     assert facts.prompt.shared_parts == (PromptPart("5c", 800), PromptPart("91", 410))
 
 
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -97,7 +97,7 @@
 def test_a_server_that_starts_again_under_its_name_is_a_new_one():
     fixture = Fixture()
     fixture.take(a={**GOOD, "born": 1_000, "sequence": 40})
-    fixture.registry.note_misdirected("a")
+    fixture.registry.record_misdirected("a")
     assert fixture.names() == []
     fixture.take(a={**GOOD, "born": 2_000, "sequence": 1})
     assert fixture.names() == ["a"], "what was known of the process before it is forgotten"
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -9,11 +9,11 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.request.quarantine import (
     CLEARED_RETENTION_MS,
-    LIFE_MS,
     MAX_SERVERS_PER_SUSPECT,
     MAX_SUSPECTS,
-    MOST_ENDS,
-    TRIAL_PAUSES_MS,
+    MIN_CRASHES,
+    SUSPECT_RETENTION_MS,
+    TRIAL_INTERVALS_MS,
     Quarantine,
     SuspectRecord,
 )
@@ -32,120 +32,122 @@
     return Quarantine(clock)
 
 
-def crash_servers(quarantine, count=MOST_ENDS, content=CONTENT):
+def crash_servers(quarantine, count=MIN_CRASHES, content=CONTENT):
     for server in SERVERS[:count]:
-        quarantine.note_end(content, server)
+        quarantine.record_crash(content, server)
 
 
 def send_unsent_to(quarantine, *others):
-    for record in quarantine.pop_untold():
+    for record in quarantine.pop_unsent():
         for other in others:
-            other.take(SuspectRecord.from_fields(record.list_fields()))
+            other.merge(SuspectRecord.from_fields(record.list_fields()))
 
 
-@pytest.mark.parametrize(("ends", "is_careful", "is_held"), [(1, 0, 0), (2, 1, 0), (3, 1, 1)])
-def test_content_is_quarantined_after_three_crashes(quarantine, ends, is_careful, is_held):
+@pytest.mark.parametrize(
+    ("ends", "is_careful", "is_quarantined"), [(1, 0, 0), (2, 1, 0), (3, 1, 1)]
+)
+def test_content_is_quarantined_after_three_crashes(quarantine, ends, is_careful, is_quarantined):
     crash_servers(quarantine, ends)
-    standing = quarantine.find_standing(CONTENT)
-    assert (standing.is_careful, standing.is_held) == (bool(is_careful), bool(is_held))
-    assert quarantine.list_held() == [CONTENT][: int(is_held)]
+    status = quarantine.find_status(CONTENT)
+    assert (status.is_careful, status.is_quarantined) == (bool(is_careful), bool(is_quarantined))
+    assert quarantine.list_quarantined() == [CONTENT][: int(is_quarantined)]
 
 
 def test_one_server_crash_counts_once_per_content(quarantine):
     for _ in range(5):
-        quarantine.note_end(CONTENT, "s1")
-    assert quarantine.find_standing(CONTENT).ends == 1
+        quarantine.record_crash(CONTENT, "s1")
+    assert quarantine.find_status(CONTENT).ends == 1
 
 
 def test_crashes_of_all_gateways_are_added_up(clock):
     gateways = [Quarantine(clock) for _ in range(3)]
     for gateway, server in zip(gateways, SERVERS, strict=False):
-        gateway.note_end(CONTENT, server)
+        gateway.record_crash(CONTENT, server)
     for gateway in gateways:
         send_unsent_to(gateway, *gateways)
-    assert [one.list_held() for one in gateways] == [[CONTENT]] * 3
-    assert len({one.hash_held() for one in gateways}) == 1
+    assert [one.list_quarantined() for one in gateways] == [[CONTENT]] * 3
+    assert len({one.hash_quarantined() for one in gateways}) == 1
 
 
 def test_complete_answer_clears_a_content_at_all_gateways(clock):
     one, other = Quarantine(clock), Quarantine(clock)
     crash_servers(one)
     send_unsent_to(one, other)
-    other.note_answer(CONTENT)
+    other.record_answer(CONTENT)
     send_unsent_to(other, one)
-    assert not one.find_standing(CONTENT).is_held
-    assert one.hash_held() == 0
+    assert not one.find_status(CONTENT).is_quarantined
+    assert one.hash_quarantined() == 0
 
 
 def test_delayed_report_of_cleared_crashes_is_not_counted(clock):
     one, other = Quarantine(clock), Quarantine(clock)
     crash_servers(one)
-    late = one.pop_untold()
-    other.take(late[0])
-    other.note_answer(CONTENT)
-    other.take(late[0])
-    assert other.find_standing(CONTENT).ends == 0
-    other.note_end(CONTENT, "s7")
-    assert other.find_standing(CONTENT).ends == 1, "a later crash counts again"
+    late = one.pop_unsent()
+    other.merge(late[0])
+    other.record_answer(CONTENT)
+    other.merge(late[0])
+    assert other.find_status(CONTENT).ends == 0
+    other.record_crash(CONTENT, "s7")
+    assert other.find_status(CONTENT).ends == 1, "a later crash counts again"
 
 
 def test_crash_of_a_server_that_answers_later_is_excused(clock, quarantine):
     crash_servers(quarantine)
-    quarantine.note_alive("s1", sent_ms=clock.now_ms())
-    assert quarantine.find_standing(CONTENT).is_held, "it may have been sent before the crash"
+    quarantine.record_alive("s1", sent_ms=clock.now_ms())
+    assert quarantine.find_status(CONTENT).is_quarantined, "it may have been sent before the crash"
     clock.advance(10)
-    quarantine.note_alive("s1", sent_ms=clock.now_ms())
-    assert not quarantine.find_standing(CONTENT).is_held
+    quarantine.record_alive("s1", sent_ms=clock.now_ms())
+    assert not quarantine.find_status(CONTENT).is_quarantined
 
 
 def test_trials_are_rare_and_bounded(clock, quarantine):
     crash_servers(quarantine)
-    for number, pause_ms in enumerate(TRIAL_PAUSES_MS, start=1):
-        assert quarantine.find_standing(CONTENT).trial_in_ms == pause_ms
+    for number, pause_ms in enumerate(TRIAL_INTERVALS_MS, start=1):
+        assert quarantine.find_status(CONTENT).trial_in_ms == pause_ms
         clock.advance(pause_ms)
-        assert quarantine.find_standing(CONTENT).trial_in_ms == 0
-        quarantine.note_trial(CONTENT, number)
-    standing = quarantine.find_standing(CONTENT)
-    assert standing.trial_in_ms is None
-    assert standing.forgotten_in_ms == LIFE_MS
+        assert quarantine.find_status(CONTENT).trial_in_ms == 0
+        quarantine.record_trial(CONTENT, number)
+    status = quarantine.find_status(CONTENT)
+    assert status.trial_in_ms is None
+    assert status.expires_in_ms == SUSPECT_RETENTION_MS
 
 
 def test_trial_at_a_peer_delays_the_next_trial(clock):
     one, other = Quarantine(clock), Quarantine(clock)
     crash_servers(one)
     send_unsent_to(one, other)
-    clock.advance(TRIAL_PAUSES_MS[0])
-    one.note_trial(CONTENT, 1)
+    clock.advance(TRIAL_INTERVALS_MS[0])
+    one.record_trial(CONTENT, 1)
     send_unsent_to(one, other)
-    assert other.find_standing(CONTENT).trial_in_ms == TRIAL_PAUSES_MS[1]
+    assert other.find_status(CONTENT).trial_in_ms == TRIAL_INTERVALS_MS[1]
 
 
 def test_expired_contents_are_removed(clock, quarantine):
     crash_servers(quarantine)
     crash_servers(quarantine, content="cleared")
-    quarantine.note_answer("cleared")
+    quarantine.record_answer("cleared")
     clock.advance(CLEARED_RETENTION_MS)
-    assert quarantine.forget_old() == []
+    assert quarantine.remove_expired() == []
     assert quarantine.get_record("cleared").ends == ()
-    clock.advance(LIFE_MS)
-    assert quarantine.forget_old() == [CONTENT]
+    clock.advance(SUSPECT_RETENTION_MS)
+    assert quarantine.remove_expired() == [CONTENT]
     assert quarantine.is_empty
 
 
 def test_contents_with_the_fewest_crashes_are_evicted(quarantine):
     crash_servers(quarantine)
     for number in range(MAX_SUSPECTS + 10):
-        quarantine.note_end(f"other-{number}", "s1")
-    assert quarantine.list_held() == [CONTENT]
+        quarantine.record_crash(f"other-{number}", "s1")
+    assert quarantine.list_quarantined() == [CONTENT]
     assert len(quarantine.describe()) == MAX_SUSPECTS
 
 
 def test_content_can_be_quarantined_after_many_excuses(quarantine):
     for number in range(MAX_SERVERS_PER_SUSPECT + 4):
-        quarantine.note_end(CONTENT, f"reclaimed-{number}")
-        quarantine.note_answer(CONTENT)
+        quarantine.record_crash(CONTENT, f"reclaimed-{number}")
+        quarantine.record_answer(CONTENT)
     crash_servers(quarantine)
-    assert quarantine.find_standing(CONTENT).is_held
+    assert quarantine.find_status(CONTENT).is_quarantined
 
 
 def test_status_page_description(clock, quarantine):
@@ -178,10 +180,10 @@
     for order in itertools.permutations(sent_records):
         quarantine = Quarantine(ManualClock(now_ms=1_000_000))
         for record in (*order, *order):
-            quarantine.take(record)
+            quarantine.merge(record)
         merged = quarantine.get_record(CONTENT)
         counted = frozenset(merged.ends) - frozenset(merged.excused)
-        results.add((counted, quarantine.hash_held()))
+        results.add((counted, quarantine.hash_quarantined()))
     assert len(results) == 1
 
 
@@ -192,11 +194,11 @@
     gateways = [Quarantine(clock) for _ in range(3)]
     for number, event in history:
         if event == "answer":
-            gateways[number].note_answer(CONTENT)
+            gateways[number].record_answer(CONTENT)
         else:
-            gateways[number].note_end(CONTENT, event)
+            gateways[number].record_crash(CONTENT, event)
     for gateway in gateways:
         send_unsent_to(gateway, *gateways)
-    gateways[0].note_answer(CONTENT)
+    gateways[0].record_answer(CONTENT)
     send_unsent_to(gateways[0], *gateways)
-    assert [one.list_held() for one in gateways] == [[], [], []]
+    assert [one.list_quarantined() for one in gateways] == [[], [], []]
--- a/tests/test_quarantine_at_entry.py
+++ b/tests/test_quarantine_at_entry.py
@@ -13,16 +13,21 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError, Ran, RequestError
 from hemlockswitch.core.events import Event
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
+from hemlockswitch.process.news.board import GossipItem, GossipState
 from hemlockswitch.process.quarantine import guard as guard_module
 from hemlockswitch.process.quarantine.guard import QUARANTINED_LOAD_INTERVAL_MS, Guard
-from hemlockswitch.process.quarantine.held_requests import HeldRequests
-from hemlockswitch.process.quarantine.suspect_news import SUSPECT_PREFIX, SuspectNews
-from hemlockswitch.request.quarantine import LIFE_MS, MOST_ENDS, TRIAL_PAUSES_MS, Quarantine
+from hemlockswitch.process.quarantine.held_requests import QuarantineStore
+from hemlockswitch.process.quarantine.suspect_news import SUSPECT_PREFIX, SuspectGossip
+from hemlockswitch.request.quarantine import (
+    MIN_CRASHES,
+    SUSPECT_RETENTION_MS,
+    TRIAL_INTERVALS_MS,
+    Quarantine,
+)
 from tests import test_relay, test_service_calls
 from tests.guards import ALONE, make_guard
 from tests.memory_store import MemoryStore
-from tests.test_relay import LOST
+from tests.test_relay import CUT
 from tests.test_service_calls import AFTER, BEFORE, OK, SERVERS
 
 CONTENT = "content"
@@ -39,31 +44,31 @@
 
 def test_generation_that_crashed_three_engines_is_not_sent_to_a_fourth(clock):
     guard = make_guard(clock, ended={"llm-1", "llm-2", "llm-3", "llm-4"})
-    bench = make_relay_bench(guard, *[{1: LOST}] * 20)
+    bench = make_relay_bench(guard, *[{1: CUT}] * 20)
     with pytest.raises(RequestError) as raised:
         bench.run()
     assert raised.value.answer.ran is Ran.YES, "it had produced a token"
-    assert len(set(bench.opener.opened)) == len(bench.opener.opened) == MOST_ENDS
+    assert len(set(bench.opener.opened)) == len(bench.opener.opened) == MIN_CRASHES
 
 
 def test_next_request_with_quarantined_content_is_refused_as_not_run(clock):
     guard = make_guard(clock, ended={"llm-1", "llm-2", "llm-3", "llm-4"})
     with pytest.raises(RequestError):
-        make_relay_bench(guard, *[{0: LOST}] * 20).run()
+        make_relay_bench(guard, *[{0: CUT}] * 20).run()
     again = make_relay_bench(guard)
     with pytest.raises(RequestError) as raised:
         again.run()
     assert raised.value.kind is ErrorKind.QUARANTINED
     assert raised.value.answer.ran is Ran.NO
-    assert 0 < raised.value.answer.retry_after_ms <= TRIAL_PAUSES_MS[0]
+    assert 0 < raised.value.answer.retry_after_ms <= TRIAL_INTERVALS_MS[0]
     assert again.opener.opened == []
 
 
 def test_answered_trial_releases_the_generation(clock):
     guard = make_guard(clock, ended={"llm-1", "llm-2", "llm-3", "llm-4"})
     with pytest.raises(RequestError):
-        make_relay_bench(guard, *[{0: LOST}] * 20).run()
-    clock.advance(TRIAL_PAUSES_MS[0])
+        make_relay_bench(guard, *[{0: CUT}] * 20).run()
+    clock.advance(TRIAL_INTERVALS_MS[0])
     make_relay_bench(guard).run()
     make_relay_bench(guard).run()
 
@@ -71,7 +76,7 @@
 def test_lost_connections_to_live_engines_quarantine_nothing(clock):
     guard = make_guard(clock)
     with pytest.raises(RequestError):
-        make_relay_bench(guard, *[{0: LOST}] * 20).run()
+        make_relay_bench(guard, *[{0: CUT}] * 20).run()
     make_relay_bench(guard).run()
 
 
@@ -85,7 +90,7 @@
     with pytest.raises(RequestError) as raised:
         again.send("/slots")
     assert (raised.value.kind, raised.value.answer.ran) == (ErrorKind.QUARANTINED, Ran.NO)
-    assert again.asked == []
+    assert again.called_addresses == []
 
 
 def test_trial_moves_on_from_an_unreachable_server(clock):
@@ -93,7 +98,7 @@
     guard = make_guard(clock, ended={server.name for server in SERVERS})
     with pytest.raises(RequestError):
         test_service_calls.Bench(AFTER, AFTER, AFTER, guard=guard).send("/slots")
-    clock.advance(TRIAL_PAUSES_MS[0])
+    clock.advance(TRIAL_INTERVALS_MS[0])
     trial = test_service_calls.Bench(BEFORE, BEFORE, OK, guard=guard)
     assert trial.send("/slots").status == 200
     assert test_service_calls.Bench(OK, guard=guard).send("/slots").status == 200
@@ -109,39 +114,39 @@
 
 
 def make_news(name, clock):
-    board, quarantine = NewsBoard(), Quarantine(clock)
-    return SuspectNews(name, board, quarantine, lambda: False, clock), board, quarantine
+    board, quarantine = GossipState(), Quarantine(clock)
+    return SuspectGossip(name, board, quarantine, lambda: False, clock), board, quarantine
 
 
 def spread(source, *targets):
     for item in source.list_items():
         for target in targets:
-            target.learn(item)
+            target.record(item)
 
 
 def test_gossip_shares_quarantine_and_release(clock):
     news, board, quarantine = make_news("e1", clock)
     _, other_board, other = make_news("e2", clock)
     for server in ("s1", "s2", "s3"):
-        quarantine.note_end(CONTENT, server)
-    news.note_change()
+        quarantine.record_crash(CONTENT, server)
+    news.publish_changes()
     spread(board, other_board)
-    assert other.list_held() == [CONTENT]
-    quarantine.note_answer(CONTENT)
-    news.note_change()
+    assert other.list_quarantined() == [CONTENT]
+    quarantine.record_answer(CONTENT)
+    news.publish_changes()
     spread(board, other_board)
-    assert other.list_held() == [], "also within the same millisecond of wall-clock time"
+    assert other.list_quarantined() == [], "also within the same millisecond of wall-clock time"
 
 
 def test_expired_gossip_is_withdrawn_also_for_stopped_daemons(clock):
     news, board, quarantine = make_news("e1", clock)
     gone, gone_board, gone_quarantine = make_news("e2", clock)
-    gone_quarantine.note_end(CONTENT, "s1")
-    gone.note_change()
+    gone_quarantine.record_crash(CONTENT, "s1")
+    gone.publish_changes()
     spread(gone_board, board)
-    clock.advance(LIFE_MS + 1)
-    quarantine.note_end("another", "s2")
-    news.note_change()
+    clock.advance(SUSPECT_RETENTION_MS + 1)
+    quarantine.record_crash("another", "s2")
+    news.publish_changes()
     left = [item.key for item in board.list_items(SUSPECT_PREFIX) if not item.tombstone]
     assert left == [f"{SUSPECT_PREFIX}another/e1"]
 
@@ -149,28 +154,28 @@
 @pytest.mark.parametrize("value", [None, 5, [], ["x", 1, 2, 3], {"a": 1}])
 def test_malformed_gossip_is_ignored(clock, value):
     _, board, quarantine = make_news("e1", clock)
-    board.learn(NewsItem(f"{SUSPECT_PREFIX}x/e9", 1, value))
+    board.record(GossipItem(f"{SUSPECT_PREFIX}x/e9", 1, value))
     assert quarantine.is_empty
 
 
 def test_object_service_outage_is_logged_once(clock, monkeypatch):
     lines = []
     monkeypatch.setattr(guard_module, "log_event", lambda event, *_, **fields: lines.append(event))
-    store = SimpleNamespace(is_away=True)
+    store = SimpleNamespace(is_down=True)
 
     def list_stale(kind):
-        if store.is_away:
+        if store.is_down:
             raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "away")
         return ObjectPage((), 0)
 
     store.list_stale = list_stale
     quarantine = Quarantine(clock)
-    held = HeldRequests("daemon/1", quarantine, store, clock)
+    held = QuarantineStore("daemon/1", quarantine, store, clock)
     guard = Guard(quarantine, None, held, ALONE, lambda: True, clock)
     for _ in range(5):
         guard.synchronize()
     assert not guard.is_ready
-    store.is_away = False
+    store.is_down = False
     for _ in range(5):
         guard.synchronize()
     assert guard.is_ready
@@ -180,18 +185,18 @@
 def test_content_removed_by_an_operator_is_released(clock):
     store = MemoryStore()
     quarantine = Quarantine(clock)
-    held = HeldRequests("daemon/1", quarantine, store, clock)
+    held = QuarantineStore("daemon/1", quarantine, store, clock)
     guard = Guard(quarantine, None, held, ALONE, lambda: True, clock)
     guard.synchronize()
     for server in ("s1", "s2", "s3"):
-        quarantine.note_end(CONTENT, server)
+        quarantine.record_crash(CONTENT, server)
     guard.synchronize()
     assert list(store.objects) == [CONTENT]
     clock.advance(QUARANTINED_LOAD_INTERVAL_MS)
     guard.synchronize()
-    assert quarantine.list_held() == [CONTENT]
+    assert quarantine.list_quarantined() == [CONTENT]
     store.objects.clear()
     clock.advance(QUARANTINED_LOAD_INTERVAL_MS)
     guard.synchronize()
-    assert quarantine.list_held() == []
+    assert quarantine.list_quarantined() == []
     assert store.objects == {}
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -182,5 +182,5 @@
 
 def test_the_state_of_a_removed_server_is_discarded(site):
     site.reach.record_unreachable(SERVERS[2], is_silent=True)
-    site.reach.forget(SERVERS[2])
+    site.reach.evict(SERVERS[2])
     assert site.reach.describe_unreachable() == []
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -11,10 +11,10 @@
 
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.process.gateway import readiness as readiness_module
-from hemlockswitch.process.gateway.readiness import LONGEST_START_MS, Readiness
+from hemlockswitch.process.gateway.readiness import MAX_START_MS, Readiness
 from hemlockswitch.request import forwarding
 from hemlockswitch.request.dialect import RequestFacts
-from hemlockswitch.request.forwarding import COME_BACK_MS, find_start_wait_ms
+from hemlockswitch.request.forwarding import RETRY_DELAY_MS, find_start_wait_ms
 from hemlockswitch.standin.gateway_store import StoreFaults
 from tests.gateway_site import Site
 
@@ -38,9 +38,9 @@
 
 def test_requests_do_not_wait_for_the_end_of_a_store_outage():
     readiness, clock = make_readiness(60_000)
-    clock.advance(LONGEST_START_MS)
+    clock.advance(MAX_START_MS)
     readiness.await_synced(500.0)
-    assert clock.now_ms() - START_MS == LONGEST_START_MS
+    assert clock.now_ms() - START_MS == MAX_START_MS
 
 
 def test_requests_do_not_wait_after_the_initial_state_was_received():
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    ("time_left_ms", "wait_ms"), [(None, COME_BACK_MS), (15_000, COME_BACK_MS), (800, 200)]
+    ("time_left_ms", "wait_ms"), [(None, RETRY_DELAY_MS), (15_000, RETRY_DELAY_MS), (800, 200)]
 )
 def test_wait_is_a_small_fraction_of_the_callers_deadline(time_left_ms, wait_ms):
     facts = RequestFacts(request_id="r", host="h", key=None, time_left_ms=time_left_ms)
@@ -60,8 +60,8 @@
 
 
 def test_caller_of_a_starting_gateway_gets_its_answer(monkeypatch):
-    monkeypatch.setattr(readiness_module, "LONGEST_START_MS", 15_000.0)
-    monkeypatch.setattr(forwarding, "COME_BACK_MS", 10_000.0)
+    monkeypatch.setattr(readiness_module, "MAX_START_MS", 15_000.0)
+    monkeypatch.setattr(forwarding, "RETRY_DELAY_MS", 10_000.0)
     monkeypatch.setattr(forwarding, "START_WAIT_SHARE", 1.0)
     site = Site()
     try:
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -52,8 +52,8 @@
     listed = {row[0] for row in read_rows("metrics.md", 1)}
     peers = CollectorRegistry()
     network = SimpleNamespace(traffic=Traffic(), list_streams=list)
-    spread = SimpleNamespace(repairs=0)
-    PeerCollector.register(SimpleNamespace(network=network, spread=spread, membership=None), peers)
+    gossip = SimpleNamespace(repairs=0)
+    PeerCollector.register(SimpleNamespace(network=network, gossip=gossip, membership=None), peers)
     clock = SystemClock()
     gateway = GatewayMetrics().build_registry()
     registries = (EntryMetrics().registry, ControllerMetrics(clock).registry, peers, gateway)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -24,7 +24,7 @@
     def begin(self, name, prompt_tokens=0, max_tokens=0):
         return name
 
-    def note_first_token(self, ticket):
+    def record_first_token(self, ticket):
         pass
 
     def end(self, ticket, failed=False):
@@ -45,7 +45,7 @@
                 return server
         raise RequestError(ErrorKind.NO_BACKEND, "none")
 
-    def note_dispatch(self, server_name, need):
+    def record_dispatch(self, server_name, need):
         return need.prompt_tokens
 
     def note_cached(self, server_name, need, cached_tokens):
@@ -174,7 +174,7 @@
         assert not self.relay.running
 
 
-LOST = AttemptLostError("cut", resumable=True)
+CUT = AttemptLostError("cut", resumable=True)
 
 
 def test_single_complete_attempt():
@@ -200,21 +200,21 @@
 
 
 def test_cut_stream_is_resumed_on_its_server():
-    bench = Bench({2: LOST}, {4: LOST})
+    bench = Bench({2: CUT}, {4: CUT})
     bench.run()
     assert bench.opener.resumed == [2, 4]
     assert len(bench.opener.opened) == 1
 
 
 def test_failed_resume_continues_on_another_server():
-    bench = Bench({2: LOST}, AttemptLostError("gone", Ran.NO))
+    bench = Bench({2: CUT}, AttemptLostError("gone", Ran.NO))
     bench.run()
     assert bench.opener.opened == [("llm-1", 0, None), ("llm-2", 2, None)]
     assert bench.observer.ended[-1][0] is Cause.FAILURE
 
 
 def test_spent_budget_after_send_reports_unknown_outcome():
-    bench = Bench({0: LOST}, burst=0.0)
+    bench = Bench({0: CUT}, burst=0.0)
     with pytest.raises(RequestError) as raised:
         bench.run()
     assert raised.value.kind is ErrorKind.OUTCOME_UNKNOWN
@@ -265,7 +265,7 @@
 
 
 def test_fruitless_attempts_are_bounded():
-    bench = Bench(*[{0: LOST}] * 20, burst=100.0)
+    bench = Bench(*[{0: CUT}] * 20, burst=100.0)
     with pytest.raises(RequestError) as raised:
         bench.run()
     assert raised.value.answer.ran is Ran.UNKNOWN
@@ -297,7 +297,7 @@
 
 
 def test_exported_state_continues_at_the_next_position():
-    bench = Bench({3: LOST}, AttemptLostError("entry left"), burst=0.0)
+    bench = Bench({3: CUT}, AttemptLostError("entry left"), burst=0.0)
     with pytest.raises(RequestError):
         bench.run()
     state = bench.generation.export_state(bench.clock)
--- a/tests/test_relayed_watch.py
+++ b/tests/test_relayed_watch.py
@@ -186,8 +186,8 @@
 def site():
     one = Site(gateways=GATEWAYS)
     one.add_runner("app")
-    one.wait(lambda: all(gateway.fleet.count_in_touch() == GATEWAYS for gateway in one.gateways))
-    one.wait(lambda: all(gateway.followed.knows_all_servers() for gateway in one.gateways))
+    one.wait(lambda: all(gateway.fleet.count_connected() == GATEWAYS for gateway in one.gateways))
+    one.wait(lambda: all(gateway.followed.has_all_servers() for gateway in one.gateways))
     yield one
     one.close()
 
--- a/tests/test_report_period.py
+++ b/tests/test_report_period.py
@@ -61,7 +61,7 @@
     fleet = Fleet("g0", lambda: "10.0.0.0:1", clock, "z0")
     for number in range(1, gateways):
         report = GatewayReport(f"g{number}", 1, 0.0, {}, {}, {}, zone=f"z{number % zones}")
-        fleet.note_report(f"10.0.0.0:{number}", report, StoreView())
+        fleet.record_report(f"10.0.0.0:{number}", report, StoreView())
     return fleet
 
 
@@ -86,25 +86,25 @@
     for number in range(1, gateways):
         if f"z{number % zones}" != silent:
             report = GatewayReport(f"g{number}", 1, 0.0, {}, {}, {}, zone=f"z{number % zones}")
-            fleet.note_report(f"10.0.0.0:{number}", report, StoreView())
+            fleet.record_report(f"10.0.0.0:{number}", report, StoreView())
 
 
 def test_the_share_of_a_zone_that_is_cut_off_is_dropped_within_seconds():
     """192 gateways in six zones; each gateway of the lost zone alone would time out after 13 s."""
     clock = ManualClock(now_ms=1_000_000)
     fleet = make_fleet(192, zones=6, clock=clock)
-    assert fleet.get_share() == 1.0
+    assert fleet.get_connected_fraction() == 1.0
     clock.advance(2_000)
     report_all(fleet, 192, 6, silent="z1")
-    assert fleet.get_share() == pytest.approx(5 / 6)
+    assert fleet.get_connected_fraction() == pytest.approx(5 / 6)
     report_all(fleet, 192, 6, silent="")
     clock.advance(200)
-    assert fleet.get_share() == 1.0
+    assert fleet.get_connected_fraction() == 1.0
 
 
 def test_a_gateway_of_unknown_zone_counts_as_far():
     fleet = make_fleet(30, zones=4)
-    fleet.note_report("10.0.0.9:1", GatewayReport("new", 1, 0.0, {}, {}, {}), StoreView())
+    fleet.record_report("10.0.0.9:1", GatewayReport("new", 1, 0.0, {}, {}, {}), StoreView())
     assert "new" in {peer.name for peer in fleet.list_far()}
 
 
--- a/tests/test_rollout_credit.py
+++ b/tests/test_rollout_credit.py
@@ -26,7 +26,7 @@
         may = self.credit.may_try(route) or (self.moves and self.credit.may_move())
         self.credit.earn(route)
         if may:
-            self.credit.pay(route)
+            self.credit.spend(route)
             self.sent[route] += 1
         return may
 
--- a/tests/test_rollout_duty.py
+++ b/tests/test_rollout_duty.py
@@ -20,7 +20,7 @@
     RolloutDuty,
 )
 from hemlockswitch.process.gateway.rollouts import Rollouts
-from hemlockswitch.process.gateway.true_time import TrueTime
+from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.lease import LeaseError
 from hemlockswitch.request.rollout_credit import ExposureBound
 from hemlockswitch.request.rollout_verdict import Tally
@@ -52,8 +52,8 @@
             kind, name, version + 1, self.order.value, status=status, created=5
         )
         self.show()
-        if self.loses:
-            self.loses -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             return Unknown("lost")
         return Written(version + 1)
 
@@ -81,7 +81,7 @@
             encode_rollout_status,
             lambda: self.servers,
             lambda names: self.running,
-            TrueTime(clock.now_ms, lambda: clock.now_ms() + 1e12),
+            FleetClock(clock.now_ms, lambda: clock.now_ms() + 1e12),
             clock,
         )
 
@@ -253,7 +253,7 @@
 
 
 def test_lost_store_answer_causes_no_second_write(holder):
-    holder.store.loses = 1
+    holder.store.lost_answers = 1
     for _ in range(3):
         holder.turn()
     assert holder.store.states == ["running"]
@@ -263,12 +263,12 @@
     holder.turn()
     holder.count(60)
     holder.play(10_400)
-    holder.store.is_away = True
+    holder.store.is_down = True
     for _ in range(4):
         with pytest.raises(PlatformError):
             holder.clock.advance(250)
             holder.turn()
-    holder.store.is_away = False
+    holder.store.is_down = False
     holder.play(LIMIT_MS)
     assert holder.store.states == ["running", "completed"]
 
@@ -278,8 +278,8 @@
     holder.count(60)
     holder.play(9_000)
     successor = Holder(holder.store, holder.clock)
-    reports = holder.rollouts.write_all(leads=True)
-    successor.rollouts.take_told("first/1", reports)
+    reports = holder.rollouts.make_reports(leads=True)
+    successor.rollouts.apply_reports("first/1", reports)
     assert successor.progress.get_age_ms(holder.clock.now_ms()) == pytest.approx(9_000, abs=1)
     successor.play(LIMIT_MS)
     assert holder.store.states == ["running", "completed"]
--- a/tests/test_rollout_protocol.py
+++ b/tests/test_rollout_protocol.py
@@ -27,8 +27,8 @@
 from hemlockswitch.core.logs import _write_by_structlog, set_log_writer
 from hemlockswitch.platform.rollouts import ROLLOUT_KIND, decode_rollout, encode_rollout_status
 from hemlockswitch.process.gateway.rollout_duty import RolloutDuty
-from hemlockswitch.process.gateway.rollouts import Rollouts, SendWish
-from hemlockswitch.process.gateway.true_time import TrueTime
+from hemlockswitch.process.gateway.rollouts import Rollouts, SendProperties
+from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.lease import LeaseError
 from hemlockswitch.request.rollout_credit import ExposureBound, ExposureCredit
 from hemlockswitch.version.backend import BackendServer
@@ -113,7 +113,7 @@
             encode_rollout_status,
             lambda: SERVERS,
             lambda names: 0,
-            TrueTime(self.clock.now_ms, lambda: self.clock.now_ms() + 1e12),
+            FleetClock(self.clock.now_ms, lambda: self.clock.now_ms() + 1e12),
             self.clock,
         )
         return Process(f"process-{self.starts}", rollouts, duty)
@@ -142,7 +142,7 @@
     def ask_once(self, process, turn, *, fails):
         self.asked += 1
         route = ("draft", "reply")[turn % 2]
-        wish = SendWish("llm", route, is_first=True, draws_canary=bool(turn % 3))
+        wish = SendProperties("llm", route, is_first=True, draws_canary=bool(turn % 3))
         selected = process.rollouts.select(wish, SERVERS)
         if selected:
             self.send(process, route, selected[0], fails=fails)
@@ -162,7 +162,7 @@
         if is_new:
             self.sent += not self.has_completed
             self.check_may_send(process.progress)
-        send = process.rollouts.begin_send(route, server, 250.0)
+        send = process.rollouts.begin_attempt(route, server, 250.0)
         if send is not None:
             is_bad = is_new and fails
             send.record_answer(succeeds=not is_bad)
@@ -178,7 +178,7 @@
     @rule(number=NUMBERS)
     def tell(self, number):
         process = self.processes[number]
-        reports = process.rollouts.write_all(leads=number == self.holder)
+        reports = process.rollouts.make_reports(leads=number == self.holder)
         self.messages.append((process.name, reports))
 
     @rule()
@@ -196,7 +196,7 @@
         """Deliver any message, possibly again; messages that are never delivered are lost."""
         name, reports = self.messages[-1 - which % len(self.messages)]
         if name != self.processes[number].name:
-            self.processes[number].rollouts.take_told(name, reports)
+            self.processes[number].rollouts.apply_reports(name, reports)
 
     @rule(turns=st.sampled_from([1, 4, 16]))
     def wait(self, turns):
@@ -236,8 +236,8 @@
 
     @rule(is_away=st.booleans(), loses=st.integers(0, 2))
     def disturb(self, is_away, loses):
-        self.store.is_away = is_away
-        self.store.loses = loses
+        self.store.is_down = is_away
+        self.store.lost_answers = loses
 
     @invariant()
     def stays_within_the_bound(self):
@@ -259,10 +259,10 @@
 
 
 def test_model_detects_a_gateway_that_leaves_a_final_state(monkeypatch):
-    def take_state(self, progress, order):
+    def apply_state(self, progress, order):
         progress.order = order
 
-    monkeypatch.setattr(Rollouts, "_take_state", take_state)
+    monkeypatch.setattr(Rollouts, "_apply_state", apply_state)
     check_model_fails("back from a final state")
 
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -8,7 +8,7 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.platform.rollouts import decode_rollout
 from hemlockswitch.process.gateway.rollout_progress import ABANDON_DELAY_MS, RolloutTimes
-from hemlockswitch.process.gateway.rollouts import Rollouts, SendWish
+from hemlockswitch.process.gateway.rollouts import Rollouts, SendProperties
 from hemlockswitch.request.rollout_credit import ExposureBound
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.rollout import RolloutState
@@ -23,7 +23,7 @@
     BackendServer(f"new-{one}", "z1", f"127.0.0.2:{one}", SERVICE, version="v2") for one in "123"
 ]
 BOUND = ExposureBound(0.1, 50)
-FIRST = SendWish(SERVICE, ROUTE, is_first=True)
+FIRST = SendProperties(SERVICE, ROUTE, is_first=True)
 
 
 def make_order(version=5, target="v2", status=None, created=5, **fields):
@@ -59,7 +59,7 @@
         if not selected:
             return None
         server = selected[0]
-        send = self.rollouts.begin_send(wish.route, server, expected_ms)
+        send = self.rollouts.begin_attempt(wish.route, server, expected_ms)
         self.clock.advance(took_ms)
         failed = server.version == failing
         if send is not None:
@@ -176,8 +176,8 @@
 def test_stream_continues_on_the_version_that_began_it(gateway):
     gateway.read(make_order())
     gateway.ask_many(30)
-    began_old = SendWish(SERVICE, ROUTE, is_first=False, begun_version="v1")
-    began_new = SendWish(SERVICE, ROUTE, is_first=False, begun_version="v2")
+    began_old = SendProperties(SERVICE, ROUTE, is_first=False, begun_version="v1")
+    began_new = SendProperties(SERVICE, ROUTE, is_first=False, begun_version="v2")
     assert {one.version for one in gateway.rollouts.select(began_old, [*OLD, *NEW])} == {"v1"}
     assert {one.version for one in gateway.rollouts.select(began_new, [*OLD, *NEW])} == {"v2"}
     gateway.progress.stop("told to stop by another gateway")
@@ -186,7 +186,7 @@
 
 def test_repeated_request_does_not_try_the_new_version(gateway):
     gateway.read(make_order())
-    repeat = SendWish(SERVICE, ROUTE, is_first=False)
+    repeat = SendProperties(SERVICE, ROUTE, is_first=False)
     assert set(gateway.ask_many(100, wish=repeat)) == {"v1"}
 
 
@@ -212,7 +212,7 @@
         gateway.read(make_order())
     for _ in range(300):
         one.ask_many(1, failing="v2")
-        other.rollouts.take_told("one/1", one.rollouts.pop_changed(leads=False))
+        other.rollouts.apply_reports("one/1", one.rollouts.pop_changed_reports(leads=False))
     assert other.progress.stopped_for
     assert other.ask_many(50).count("v2") == 0
 
@@ -222,11 +222,11 @@
     for gateway in (one, other):
         gateway.read(make_order())
     one.ask_many(20)
-    early = one.rollouts.write_all(leads=False)
+    early = one.rollouts.make_reports(leads=False)
     one.ask_many(20)
-    late = one.rollouts.write_all(leads=False)
+    late = one.rollouts.make_reports(leads=False)
     for reports in (late, early, late):
-        other.rollouts.take_told("one/1", reports)
+        other.rollouts.apply_reports("one/1", reports)
     assert other.progress.get_sums() == one.progress.get_sums()
 
 
@@ -235,9 +235,9 @@
     for gateway in (one, other):
         gateway.read(make_order())
     one.progress.begin_move(one.clock.now_ms() + 300)
-    other.rollouts.take_told("one/1", one.rollouts.write_all(leads=False))
+    other.rollouts.apply_reports("one/1", one.rollouts.make_reports(leads=False))
     assert other.progress.close_ms is None
-    other.rollouts.take_told("one/1", one.rollouts.write_all(leads=True))
+    other.rollouts.apply_reports("one/1", one.rollouts.make_reports(leads=True))
     assert other.progress.close_ms == other.clock.now_ms() + 300
 
 
@@ -245,10 +245,10 @@
     gateway.read(make_order())
     for route, took_ms in (("long", 2_000), ("short", 20)):
         for _ in range(5):
-            gateway.ask(SendWish(SERVICE, route, is_first=False), took_ms=took_ms)
+            gateway.ask(SendProperties(SERVICE, route, is_first=False), took_ms=took_ms)
     gateway.progress.begin_move(gateway.clock.now_ms() + 1_000)
     sent = {
-        route: gateway.ask(SendWish(SERVICE, route, is_first=False), took_ms=1).version
+        route: gateway.ask(SendProperties(SERVICE, route, is_first=False), took_ms=1).version
         for route in ("long", "short")
     }
     assert sent == {"long": "v2", "short": "v1"}
@@ -257,7 +257,7 @@
 def test_repeatable_requests_do_not_move_early(gateway):
     gateway.read(make_order())
     gateway.progress.begin_move(gateway.clock.now_ms())
-    wish = SendWish(SERVICE, ROUTE, is_first=False, is_repeatable=True)
+    wish = SendProperties(SERVICE, ROUTE, is_first=False, is_repeatable=True)
     assert gateway.ask(wish).version == "v1"
 
 
@@ -279,7 +279,7 @@
     gateway.read(make_order())
     gateway.ask_many(40)
     server = next(one for one in NEW)
-    send = gateway.rollouts.begin_send(ROUTE, server, 10.0)
+    send = gateway.rollouts.begin_attempt(ROUTE, server, 10.0)
     gateway.clock.advance(60)
     gateway.rollouts.check_all()
     assert gateway.progress.get_sums()[ROUTE].target.slow == 1
@@ -290,7 +290,7 @@
 
 def test_simultaneous_broken_connections_of_a_server_count_once(gateway):
     gateway.read(make_order())
-    sends = [gateway.rollouts.begin_send(ROUTE, NEW[0], 10.0) for _ in range(6)]
+    sends = [gateway.rollouts.begin_attempt(ROUTE, NEW[0], 10.0) for _ in range(6)]
     for send in sends:
         send.end(True)
     assert gateway.progress.get_sums()[ROUTE].target.failures == 1
@@ -300,7 +300,7 @@
     gateway.read(make_order())
     cold = BackendServer("new-9", "z1", "127.0.0.2:9", SERVICE, version="v2", cold_left_ms=5_000)
     gateway.rollouts.select(FIRST, [*OLD, cold])
-    send = gateway.rollouts.begin_send(ROUTE, cold, 10.0)
+    send = gateway.rollouts.begin_attempt(ROUTE, cold, 10.0)
     gateway.clock.advance(400)
     send.record_answer(succeeds=True)
     send.end(False)
@@ -318,9 +318,9 @@
 
 
 def test_nothing_is_reported_without_an_open_order(gateway):
-    assert gateway.rollouts.write_all(leads=True) == []
+    assert gateway.rollouts.make_reports(leads=True) == []
     gateway.read(make_order(status={"state": "completed", "to": "v2"}))
-    assert gateway.rollouts.write_all(leads=True) == []
+    assert gateway.rollouts.make_reports(leads=True) == []
 
 
 @pytest.mark.parametrize("limit_s", [1, 5, 12, 60, 600])
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -3,9 +3,9 @@
 import pytest
 
 from hemlockswitch.core.errors import ErrorKind, RequestError
-from hemlockswitch.request.choices import PredictedTime, Scored, find_home, pick
+from hemlockswitch.request.choices import PredictedTime, ScoredCandidate, find_preferred, pick
 from hemlockswitch.request.prefixes import hash_blocks
-from hemlockswitch.request.routing import Candidate, Need, Router, TargetTraits
+from hemlockswitch.request.routing import Candidate, RequestNeeds, Router, TargetTraits
 from hemlockswitch.standin.answers import hash_prefixes
 from hemlockswitch.version.backend import BackendServer
 
@@ -28,7 +28,7 @@
     def count_waiting(self):
         return self.waiting
 
-    def note_overflow(self):
+    def record_overflow(self):
         self.overflows += 1
 
 
@@ -45,10 +45,10 @@
 def test_cached_prefix_outweighs_moderate_load():
     source = make_source(a=0, b=0)
     router = Router(source)
-    need = Need("m", PREFIX, prompt_tokens=160)
+    need = RequestNeeds("m", PREFIX, prompt_tokens=160)
     home = router.choose(need).name
     other = "b" if home == "a" else "a"
-    router.note_dispatch(home, need)
+    router.record_dispatch(home, need)
     source.candidates = list(make_source(**{other: 0, home: 80}).candidates)
     assert router.choose(need).name == home
     source.candidates = list(make_source(**{other: 0, home: 800}).candidates)
@@ -57,17 +57,19 @@
 
 def test_prefix_returns_to_its_preferred_server():
     router = Router(make_source(a=0, b=0, c=0))
-    need = Need("m", PREFIX, prompt_tokens=160)
+    need = RequestNeeds("m", PREFIX, prompt_tokens=160)
     home = router.choose(need).name
     other = next(name for name in "abc" if name != home)
-    router.note_dispatch(other, need)
+    router.record_dispatch(other, need)
     assert router.choose(need).name in (home, other)
-    router.note_dispatch(home, need)
+    router.record_dispatch(home, need)
     assert router.choose(need).name == home
 
 
 def test_all_daemons_prefer_one_server_for_a_prefix():
-    names = {Router(make_source(a=0, b=0, c=0)).choose(Need("m", PREFIX)).name for _ in range(9)}
+    names = {
+        Router(make_source(a=0, b=0, c=0)).choose(RequestNeeds("m", PREFIX)).name for _ in range(9)
+    }
     assert len(names) == 1
 
 
@@ -75,22 +77,24 @@
     dear = Candidate(make_server("a", price=2.0))
     cheap = Candidate(make_server("b", price=1.0), prefill_tokens=15)
     late = Candidate(make_server("c", price=0.5), prefill_tokens=4_000)
-    assert Router(Source(dear, cheap, late)).choose(Need("m")).name == "b"
+    assert Router(Source(dear, cheap, late)).choose(RequestNeeds("m")).name == "b"
 
 
 def test_overloaded_preferred_server_is_not_chosen():
     names = ["a", "b", "c", "d"]
-    scored = [Scored(make_server(name), 10.0, requests=1, uncached_tokens=0) for name in names]
-    need = Need("m", PREFIX)
-    home = find_home(scored, need, 8)
-    busy = [Scored(one.server, 10.0, 40 if one is home else 1, 0) for one in scored]
+    scored = [
+        ScoredCandidate(make_server(name), 10.0, requests=1, uncached_tokens=0) for name in names
+    ]
+    need = RequestNeeds("m", PREFIX)
+    home = find_preferred(scored, need, 8)
+    busy = [ScoredCandidate(one.server, 10.0, 40 if one is home else 1, 0) for one in scored]
     assert pick(PredictedTime(), busy, need, random.Random(1)).server.name != home.server.name
 
 
 def test_deadline_before_the_first_token_is_refused():
     router = Router(make_source(a=4_000))
-    assert router.choose(Need("m", deadline_ms=1_500)).name == "a"
-    refusal = expect_refusal(router, Need("m", deadline_ms=400))
+    assert router.choose(RequestNeeds("m", deadline_ms=1_500)).name == "a"
+    refusal = expect_refusal(router, RequestNeeds("m", deadline_ms=400))
     assert refusal.kind is ErrorKind.OVERLOADED
     assert 600 <= refusal.answer.retry_after_ms <= 1_000
 
@@ -98,30 +102,30 @@
 def test_lower_priorities_are_refused_first():
     traits = TargetTraits(first_token_ms=300)
     router = Router(make_source(a=4_000), lambda target: traits)
-    assert router.choose(Need("m", priority=0)).name == "a"
-    assert expect_refusal(router, Need("m", priority=2)).kind is ErrorKind.OVERLOADED
+    assert router.choose(RequestNeeds("m", priority=0)).name == "a"
+    assert expect_refusal(router, RequestNeeds("m", priority=2)).kind is ErrorKind.OVERLOADED
 
 
 def test_queue_of_a_daemon_is_bounded():
     source = make_source(a=0)
     router = Router(source, queue_length=5)
     source.waiting = 4
-    router.choose(Need("m"))
+    router.choose(RequestNeeds("m"))
     source.waiting = 5
-    assert expect_refusal(router, Need("m")).answer.retry_after_ms > 0
+    assert expect_refusal(router, RequestNeeds("m")).answer.retry_after_ms > 0
 
 
 def test_overflow_is_recorded_before_the_target_is_missed():
     source = make_source(a=2_000)
-    Router(source).choose(Need("m"))
+    Router(source).choose(RequestNeeds("m"))
     assert source.overflows == 1
 
 
 def test_cluster_state_is_awaited_before_each_choice():
     awaited = []
-    router = Router(make_source(a=0), await_facts=lambda: awaited.append(1))
-    router.choose(Need("m"))
-    router.choose(Need("m"))
+    router = Router(make_source(a=0), await_cluster_state=lambda: awaited.append(1))
+    router.choose(RequestNeeds("m"))
+    router.choose(RequestNeeds("m"))
     assert len(awaited) == 2
 
 
--- a/tests/test_server_ends.py
+++ b/tests/test_server_ends.py
@@ -8,7 +8,7 @@
 import pytest
 
 from hemlockswitch.core.clock import ManualClock
-from hemlockswitch.process.quarantine.server_ends import MAX_FIRST_PROBE_MS, ServerEnds
+from hemlockswitch.process.quarantine.server_ends import MAX_FIRST_PROBE_MS, ConnectionCrashDetector
 from hemlockswitch.version.backend import BackendServer
 
 SERVER = BackendServer("runner", "z1", "127.0.0.1:1", "llm")
@@ -28,7 +28,7 @@
 def make_detector(*answers, took_ms=1.0, is_live=True):
     clock = ManualClock()
     probe = ScriptedProbe(clock, *answers, took_ms=took_ms)
-    return ServerEnds(lambda server: is_live, probe, clock), probe
+    return ConnectionCrashDetector(lambda server: is_live, probe, clock), probe
 
 
 @pytest.mark.parametrize(
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -37,7 +37,7 @@
     def __init__(self, *results, burst=10.0, guard=None, servers=SERVERS):
         self.results = list(results)
         self.servers = servers
-        self.asked = []
+        self.called_addresses = []
         self.failed_servers = []
         self.claimed = []
         clock = ManualClock()
@@ -52,7 +52,7 @@
                 return server
         raise RequestError(ErrorKind.NO_BACKEND, "none")
 
-    def note_dispatch(self, server_name, need):
+    def record_dispatch(self, server_name, need):
         return 0
 
     def begin(self, name, prompt_tokens=0):
@@ -74,7 +74,7 @@
         pass
 
     def call(self, address, call, timeout_ms):
-        self.asked.append(address)
+        self.called_addresses.append(address)
         result = self.results.pop(0)
         if isinstance(result, Exception):
             raise result
@@ -99,7 +99,7 @@
 def test_idempotent_call_is_repeated_on_another_server(results):
     bench = Bench(*results)
     assert bench.send("/slots/7").status == 200
-    assert len(set(bench.asked)) == len(results)
+    assert len(set(bench.called_addresses)) == len(results)
 
 
 @pytest.mark.parametrize(
@@ -112,13 +112,13 @@
     with pytest.raises(RequestError) as raised:
         bench.send(path)
     assert (raised.value.kind, raised.value.answer.ran) == (kind, Ran.UNKNOWN)
-    assert len(bench.asked) == 1
+    assert len(bench.called_addresses) == 1
 
 
 def test_unsent_call_is_tried_on_another_server():
     bench = Bench(BEFORE, OK)
     assert bench.send("/confirmations").status == 200
-    assert len(bench.asked) == 2
+    assert len(bench.called_addresses) == 2
 
 
 def test_unreachable_servers_do_not_count_as_dispatches():
@@ -130,7 +130,7 @@
     servers = [BackendServer(f"app-{n}", "z", f"127.0.0.1:{n}", "app") for n in range(1, 9)]
     bench = Bench(*[BEFORE] * 7, OK, burst=0.0, servers=servers)
     assert bench.send("/confirmations").status == 200
-    assert len(set(bench.asked)) == 8
+    assert len(set(bench.called_addresses)) == 8
 
 
 def test_search_for_a_reachable_server_is_bounded():
@@ -139,7 +139,7 @@
     with pytest.raises(RequestError) as raised:
         bench.send("/slots")
     assert raised.value.answer.ran is Ran.NO
-    assert len(bench.asked) == MAX_UNREACHED
+    assert len(bench.called_addresses) == MAX_UNREACHED
 
 
 def test_answer_of_the_service_is_relayed_for_any_status():
@@ -178,7 +178,7 @@
     with pytest.raises(RequestError) as raised:
         bench.send("/confirmations", **{"idempotency-key": "k"})
     assert raised.value.kind is ErrorKind.CLAIM_UNAVAILABLE
-    assert (bench.asked, bench.claimed) == ([], [("acct", "k")])
+    assert (bench.called_addresses, bench.claimed) == ([], [("acct", "k")])
 
 
 @pytest.mark.parametrize(
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -11,9 +11,9 @@
 
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.process.membership.members import Member
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
-from hemlockswitch.process.news.messages import Have, SpreadBounds
-from hemlockswitch.process.news.spread import Spread
+from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.news.messages import GossipLimits, Have
+from hemlockswitch.process.news.spread import Gossip
 
 LARGE = "x" * 1_000
 
@@ -22,8 +22,8 @@
     def __init__(self, name, bounds=None):
         self.network = PeerNetwork("test", name)
         self.address = self.network.start()
-        self.board = NewsBoard()
-        self.spread = Spread(self.board, self.network, "a", bounds=bounds)
+        self.board = GossipState()
+        self.spread = Gossip(self.board, self.network, "a", bounds=bounds)
 
     def link(self, *others):
         members = [Member(one.network.name, "a", "", one.address, "") for one in others]
@@ -52,7 +52,7 @@
     nodes = [make_node(f"n{number}") for number in range(4)]
     for node in nodes:
         node.link(*(other for other in nodes if other is not node))
-    nodes[0].board.learn(NewsItem("revision", 1, LARGE))
+    nodes[0].board.record(GossipItem("revision", 1, LARGE))
     wait_until(lambda: all(node.board.find("revision") for node in nodes))
     gevent.sleep(0.1)
     assert [node.spread.items_in for node in nodes[1:]] == [1, 1, 1]
@@ -60,7 +60,7 @@
 
 def test_the_next_holder_is_asked_when_the_first_has_stopped(make_node):
     gone, holder, late = (make_node(name) for name in ("gone", "holder", "late"))
-    holder.board.learn(NewsItem("revision", 1, LARGE))
+    holder.board.record(GossipItem("revision", 1, LARGE))
     announcement = Have([["revision", 1]])
     gone.network.send(late.address, announcement)
     wait_until(lambda: late.spread._retrievals._in_progress or late.network.list_streams())
@@ -70,10 +70,10 @@
 
 
 def test_a_repair_larger_than_every_limit_is_complete(make_node):
-    bounds = SpreadBounds(max_item_bytes=3_000, max_fetch_keys=7, max_difference_rows=1_000)
+    bounds = GossipLimits(max_item_bytes=3_000, max_fetch_keys=7, max_difference_rows=1_000)
     full, empty = make_node("full", bounds), make_node("empty", bounds)
     for number in range(100):
-        full.board.learn(NewsItem(f"item/{number}", 1, LARGE))
+        full.board.record(GossipItem(f"item/{number}", 1, LARGE))
     empty.spread.repair(full.address, "a")
     assert len(empty.board.list_items()) == 100
     assert full.spread.compute_digest("a") == empty.spread.compute_digest("a")
@@ -81,11 +81,11 @@
 
 def test_a_repair_brings_both_sides_what_they_lack_and_no_old_tombstones(make_node):
     left, right = make_node("left"), make_node("right")
-    left.board.learn(NewsItem("only-left", 1, "l"))
-    left.board.learn(NewsItem("gone", 5, None, tombstone=True))
-    right.board.learn(NewsItem("only-right", 1, "r"))
-    right.board.learn(NewsItem("both", 2, "new"))
-    left.board.learn(NewsItem("both", 1, "old"))
+    left.board.record(GossipItem("only-left", 1, "l"))
+    left.board.record(GossipItem("gone", 5, None, tombstone=True))
+    right.board.record(GossipItem("only-right", 1, "r"))
+    right.board.record(GossipItem("both", 2, "new"))
+    left.board.record(GossipItem("both", 1, "old"))
     left.spread.repair(right.address, "a")
     wait_until(lambda: right.board.find("only-left"))
     assert left.board.find("only-right") and left.board.find("both").value == "new"
@@ -94,9 +94,9 @@
 
 
 def test_an_item_over_the_size_limit_is_not_sent(make_node):
-    left, right = make_node("left", SpreadBounds(max_item_bytes=500)), make_node("right")
+    left, right = make_node("left", GossipLimits(max_item_bytes=500)), make_node("right")
     left.link(right)
-    left.board.learn(NewsItem("large", 1, LARGE))
-    left.board.learn(NewsItem("small", 1, "s"))
+    left.board.record(GossipItem("large", 1, LARGE))
+    left.board.record(GossipItem("small", 1, "s"))
     wait_until(lambda: right.board.find("small"))
     assert right.board.find("large") is None
--- a/tests/test_suspect_exchange.py
+++ b/tests/test_suspect_exchange.py
@@ -13,7 +13,7 @@
     SuspectReport,
 )
 from hemlockswitch.process.gateway.watch_guard import StoreView
-from hemlockswitch.request.quarantine import MOST_ENDS, Quarantine
+from hemlockswitch.request.quarantine import MIN_CRASHES, Quarantine
 from tests.test_change_relay import Network
 
 CONTENT = "content"
@@ -31,13 +31,13 @@
 
     def receive_report(self, other):
         """Apply another gateway's report."""
-        view = StoreView(held_digest=other.quarantine.hash_held())
+        view = StoreView(held_digest=other.quarantine.hash_quarantined())
         report = GatewayReport(other.name, 1, 0.0, {}, {}, {}, zone=other.zone)
-        self.fleet.note_report(other.address, report, view)
+        self.fleet.record_report(other.address, report, view)
 
     def crash_servers(self, content=CONTENT):
-        for number in range(MOST_ENDS):
-            self.quarantine.note_end(content, f"s{number}")
+        for number in range(MIN_CRASHES):
+            self.quarantine.record_crash(content, f"s{number}")
 
 
 @pytest.fixture
@@ -63,26 +63,26 @@
 
 
 def list_unaware(gateways):
-    return [one.name for one in gateways if not one.quarantine.list_held()]
+    return [one.name for one in gateways if not one.quarantine.list_quarantined()]
 
 
 def test_a_suspect_reaches_every_gateway_of_every_zone_at_once(gateways):
     gateways[0].crash_servers()
-    gateways[0].exchange.tell()
+    gateways[0].exchange.send_changes()
     assert list_unaware(gateways) == []
 
 
 def test_a_suspect_reaches_a_zone_with_a_gateway_that_is_down(network, gateways):
     network.down = {gateways[1].address}
     gateways[0].crash_servers()
-    gateways[0].exchange.tell()
+    gateways[0].exchange.send_changes()
     assert list_unaware(gateways) == [gateways[1].name]
 
 
 def test_near_gateways_repair_a_gateway_that_was_cut_off(network, gateways):
     network.down = {gateways[4].address}
     gateways[0].crash_servers()
-    gateways[0].exchange.tell()
+    gateways[0].exchange.send_changes()
     network.down = set()
     assert list_unaware(gateways) == [gateways[4].name]
     exchange_reports(gateways)
@@ -106,15 +106,15 @@
 
 def test_no_message_is_sent_without_suspects(network, gateways):
     for gateway in gateways:
-        gateway.exchange.tell()
+        gateway.exchange.send_changes()
         gateway.exchange.repair()
     assert network.sent == []
 
 
 def test_many_contents_are_sent_in_messages_of_bounded_size(network, gateways):
     for number in range(MAX_RECORDS_PER_MESSAGE + 1):
-        gateways[0].quarantine.note_end(f"content-{number}", "s1")
-    gateways[0].exchange.tell()
+        gateways[0].quarantine.record_crash(f"content-{number}", "s1")
+    gateways[0].exchange.send_changes()
     sizes = {len(message.suspects) for _, _, message in network.sent}
     assert max(sizes) == MAX_RECORDS_PER_MESSAGE
     assert len(gateways[5].quarantine.describe()) == MAX_RECORDS_PER_MESSAGE + 1
--- a/tests/test_usage_keeper.py
+++ b/tests/test_usage_keeper.py
@@ -78,7 +78,7 @@
 def test_next_holder_loads_counts_of_ended_processes(store):
     first = Holder(store, "g1/1")
     first.count(4)
-    first.counts.take_report("g2/1", {str(WINDOW): {"hall": 7}})
+    first.counts.apply_report("g2/1", {str(WINDOW): {"hall": 7}})
     first.save()
     second = Holder(store, "g3/1")
     second.count(2)
@@ -88,22 +88,22 @@
 
 def test_own_and_reported_counts_are_not_lowered_by_stored_ones(store):
     first = Holder(store, "g1/1")
-    first.counts.take_report("g2/1", {str(WINDOW): {"hall": 7}})
+    first.counts.apply_report("g2/1", {str(WINDOW): {"hall": 7}})
     first.save()
     second = Holder(store, "g2/1")
     second.count(9)
-    second.counts.take_report("g1/1", {str(WINDOW): {"hall": 1}})
+    second.counts.apply_report("g1/1", {str(WINDOW): {"hall": 1}})
     second.usage_store.load()
     assert second.counts.sum_window(WINDOW) == {"hall": 10}, "its own counts are not added twice"
 
 
 def test_later_report_replaces_stored_counts(store):
     first = Holder(store, "g1/1")
-    first.counts.take_report("g2/1", {str(WINDOW): {"hall": 7}})
+    first.counts.apply_report("g2/1", {str(WINDOW): {"hall": 7}})
     first.save()
     second = Holder(store, "g3/1")
     second.usage_store.load()
-    second.counts.take_report("g2/1", {str(WINDOW): {"hall": 9}})
+    second.counts.apply_report("g2/1", {str(WINDOW): {"hall": 9}})
     assert second.counts.sum_window(WINDOW) == {"hall": 9}
 
 
@@ -163,7 +163,7 @@
 
 def test_reported_windows_and_processes_without_counts_are_discarded():
     counts = UsageCounts(WINDOW_S, "g1/1")
-    counts.take_report("g2/1", {str(WINDOW): {"hall": 7}})
+    counts.apply_report("g2/1", {str(WINDOW): {"hall": 7}})
     counts.count(NOW_MS, "hall")
     counts.discard_before(WINDOW + 1)
     assert counts.describe_processes() == {}
--- a/tests/test_view_age.py
+++ b/tests/test_view_age.py
@@ -12,7 +12,7 @@
 def site():
     one = Site(gateways=GATEWAYS)
     one.add_runner("app")
-    one.wait(lambda: all(gateway.fleet.count_in_touch() == GATEWAYS for gateway in one.gateways))
+    one.wait(lambda: all(gateway.fleet.count_connected() == GATEWAYS for gateway in one.gateways))
     yield one
     one.close()
 
@@ -58,7 +58,7 @@
     """
     for gateway in site.gateways:
         if not gateway.followed.watchers.is_watcher():
-            for refresher in gateway.followed.keepers.values():
+            for refresher in gateway.followed.refreshers.values():
                 refresher._started_ms += LIMIT_S * 1_000
 
 
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -5,14 +5,14 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.core.identifiers import rank_rendezvous
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
+from hemlockswitch.process.news.board import GossipItem, GossipState
 from hemlockswitch.process.servers.vm_feed import VM_REMOVAL_DELAY_MS, VmFeed
 from hemlockswitch.process.servers.watchers import (
     FEED_SILENCE_MS,
     MAX_RETRY_MS,
     NoticeFeed,
-    Post,
     Watcher,
+    WatcherSelection,
     is_watcher,
 )
 
@@ -61,8 +61,12 @@
 
 def make_feed(clock, name, board=None):
     platform = FakePlatform()
-    board = board or NewsBoard()
-    return platform, board, NoticeFeed(platform, Post(name, ZONE, lambda: NAMES), board, clock)
+    board = board or GossipState()
+    return (
+        platform,
+        board,
+        NoticeFeed(platform, WatcherSelection(name, ZONE, lambda: NAMES), board, clock),
+    )
 
 
 def test_two_daemons_of_a_zone_or_its_only_one_are_watchers():
@@ -73,7 +77,7 @@
 def test_notices_and_heartbeat_are_published(clock):
     platform, board, feed = make_feed(clock, WATCHING[0])
     platform.notices = [SimpleNamespace(number=4, vm="llm-1", deadline_wall_ms=77)]
-    feed.ask()
+    feed.read_notices()
     assert board.find("notice/llm-1").value == {"deadline_wall_ms": 77}
     assert board.find(f"feed/{ZONE}").value == {"number": 4, "answered": True}
 
@@ -94,20 +98,20 @@
     platform, board, feed = make_feed(clock, WATCHING[1])
     platform.is_down = True
     with pytest.raises(PlatformError):
-        feed.ask()
+        feed.read_notices()
     assert board.find(f"feed/{ZONE}").value["answered"] is False
 
 
 def test_next_daemons_query_when_the_watchers_get_no_answer(clock):
     platform, board, feed = make_feed(clock, RESTING)
-    sign = NewsItem(f"feed/{ZONE}", 1, {"number": 0, "answered": False}, tombstone=True)
-    board.learn(sign)
+    sign = GossipItem(f"feed/{ZONE}", 1, {"number": 0, "answered": False}, tombstone=True)
+    board.record(sign)
     feed.check()
     assert platform.asked == 1
 
 
 def test_vm_counts_as_removed_only_after_the_removal_delay(clock):
-    platform, board = FakePlatform(), NewsBoard()
+    platform, board = FakePlatform(), GossipState()
     vms = VmFeed(platform, ZONE, board, clock)
     platform.vms = [make_vm("a"), make_vm("b")]
     vms.ask()
@@ -116,7 +120,7 @@
     clock.advance(VM_REMOVAL_DELAY_MS - 1)
     vms.ask()
     assert board.find("vm/a").value["state"] == "live"
-    board.learn(NewsItem("notice/a", 4, {"deadline_wall_ms": 77}))
+    board.record(GossipItem("notice/a", 4, {"deadline_wall_ms": 77}))
     clock.advance(1)
     vms.ask()
     assert board.find("vm/a").value["state"] == "gone"
@@ -128,6 +132,6 @@
     def fail():
         raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "down")
 
-    watcher = Watcher("vm list", Post("entry-1", ZONE, list), fail, 1_000, clock)
+    watcher = Watcher("vm list", WatcherSelection("entry-1", ZONE, list), fail, 1_000, clock)
     pauses = [watcher.step() for _ in range(12)]
     assert pauses[0] < 250 < MAX_RETRY_MS / 2 <= pauses[-1] <= MAX_RETRY_MS
--- a/tests/test_zone_watchers.py
+++ b/tests/test_zone_watchers.py
@@ -19,7 +19,7 @@
 
 def receive_report(fleet, name, zone, relayed_version=0):
     view = StoreView(relayed={"servers": relayed_version})
-    fleet.note_report(f"10.0.0.1:{name}", make_zoned_report(name, zone), view)
+    fleet.record_report(f"10.0.0.1:{name}", make_zoned_report(name, zone), view)
 
 
 @pytest.fixture
@@ -51,7 +51,9 @@
     fleet = Fleet("g3", lambda: "10.0.0.1:0", clock, "z1", link_mbps=10.0)
     for name, link_mbps in (("g1", 10.0), ("g7", 200.0), ("g8", 200.0)):
         report = replace(make_zoned_report(name, "z1"), link_mbps=link_mbps)
-        fleet.note_report(f"10.0.0.1:{name}", report, StoreView(relayed={"servers": ord(name[1])}))
+        fleet.record_report(
+            f"10.0.0.1:{name}", report, StoreView(relayed={"servers": ord(name[1])})
+        )
     watchers = ZoneWatchers(fleet, clock)
     assert not watchers.is_watcher()
     assert watchers.find_relayed_version("servers") == ord("8")
@@ -78,7 +80,7 @@
 
 def receive_age(fleet, name, zone, age_ms):
     view = StoreView(relayed={"servers": 7}, age_ms=age_ms)
-    fleet.note_report(f"10.0.0.1:{name}", make_zoned_report(name, zone), view)
+    fleet.record_report(f"10.0.0.1:{name}", make_zoned_report(name, zone), view)
 
 
 def test_gateways_with_a_stale_view_are_not_watchers(fleet, watchers):
--- a/tools/capacity_daemon.py
+++ b/tools/capacity_daemon.py
@@ -17,7 +17,7 @@
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.core.logs import configure_logs
 from hemlockswitch.process.membership.members import MEMBER_PREFIX, Member
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
+from hemlockswitch.process.news.board import GossipItem, GossipState
 from tools.capacity_variants import VARIANTS
 
 PAGE_BYTES = resource.getpagesize()
@@ -51,7 +51,7 @@
         self.bare_bytes = read_resident_bytes()
         self.network = PeerNetwork("capacity", settings["name"])
         self.network.start()
-        self.board = NewsBoard()
+        self.board = GossipState()
         self.spread = spread_type(self.board, self.network, settings["zone"])
         own = Member(settings["name"], settings["zone"], settings["region"], "", "127.0.0.1:0")
         self.membership = membership_type(
@@ -63,7 +63,7 @@
         self.membership.add_listener(self._note_member)
         self.membership.start()
 
-    def _note_news(self, item: NewsItem) -> None:
+    def _note_news(self, item: GossipItem) -> None:
         self.learned_ms[item.key] = time.monotonic() * 1000
 
     def _note_member(self, member: Member) -> None:
@@ -84,7 +84,7 @@
             "neighbours": len(list(self.membership._find_links().gossip_peers)),
             "streams": len(self.network.list_streams()),
             "items_in": self.spread.items_in,
-            "items_known": self.spread.items_known,
+            "items_known": self.spread.duplicate_items,
             "repairs": self.spread.repairs,
             "live": len(self.membership.list_live()),
             "processor_ms": (usage.ru_utime + usage.ru_stime) * 1000,
@@ -97,7 +97,7 @@
     def publish(self, key: str, size_bytes: int) -> dict:
         """Learn a new item of this size and return when."""
         now_ms = time.monotonic() * 1000
-        self.board.learn(NewsItem(f"measured/{key}", 1, "x" * size_bytes))
+        self.board.record(GossipItem(f"measured/{key}", 1, "x" * size_bytes))
         return {"published_ms": now_ms}
 
     def hold(self, members: int, items: int) -> dict:
@@ -107,11 +107,11 @@
         for number in range(members):
             member = Member(f"held-{number:06}", "zone", "region", "10.0.0.1:65000", "10.0.0.1:1")
             item = member.to_item()
-            self.board.learn(NewsItem(item.key, item.version, item.value, True))
+            self.board.record(GossipItem(item.key, item.version, item.value, True))
         with_members_bytes = read_resident_bytes()
         for number in range(items):
             value = {"name": f"vm-{number:06}", "address": "10.0.0.1:65000", "state": "live"}
-            self.board.learn(NewsItem(f"vm/vm-{number:06}", 1, value))
+            self.board.record(GossipItem(f"vm/vm-{number:06}", 1, value))
         with_items_bytes = read_resident_bytes()
         return {
             "member_bytes": (with_members_bytes - before_bytes) / max(members, 1),
--- a/tools/capacity_variants.py
+++ b/tools/capacity_variants.py
@@ -13,8 +13,8 @@
 from hemlockswitch.core.errors import PeerError
 from hemlockswitch.process.membership.membership import Membership
 from hemlockswitch.process.membership.overlay import Links
-from hemlockswitch.process.news.messages import Fetch, News, Row, SpreadBounds
-from hemlockswitch.process.news.spread import Spread
+from hemlockswitch.process.news.messages import Fetch, GossipItems, GossipLimits, Row
+from hemlockswitch.process.news.spread import Gossip
 
 FANOUT = 6
 GRAFT_WAIT_S = 0.1
@@ -28,11 +28,11 @@
         return Links(others, others)
 
 
-class FloodSpread(Spread):
+class FloodSpread(Gossip):
     """Every item goes whole over every link."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
-        super().__init__(*arguments, bounds=SpreadBounds(max_pushed_bytes=1_000_000), **options)
+        super().__init__(*arguments, bounds=GossipLimits(max_pushed_bytes=1_000_000), **options)
 
 
 class MeshSpread(FloodSpread):
@@ -66,7 +66,7 @@
     rows: list[list[Any]]
 
 
-class TreeSpread(Spread):
+class TreeSpread(Gossip):
     """The rings' links cut down to a broadcast tree by duplicates, as in the paper."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
@@ -78,10 +78,10 @@
     def _prune(self, sender: str, message: Prune) -> None:
         self._lazy.add(sender)
 
-    def _receive_news(self, sender: str, news: News) -> None:
-        before = self.items_known
+    def _receive_news(self, sender: str, news: GossipItems) -> None:
+        before = self.duplicate_items
         super()._receive_news(sender, news)
-        if news.items and self.items_known - before == len(news.items):
+        if news.items and self.duplicate_items - before == len(news.items):
             self._lazy.add(sender)
             self._network.send(sender, Prune())
         else:
@@ -109,8 +109,8 @@
             return
 
 
-VARIANTS: dict[str, tuple[type[Membership], type[Spread]]] = {
-    "rings": (Membership, Spread),
+VARIANTS: dict[str, tuple[type[Membership], type[Gossip]]] = {
+    "rings": (Membership, Gossip),
     "flood": (Membership, FloodSpread),
     "mesh": (MeshMembership, MeshSpread),
     "random": (RandomMembership, FloodSpread),
--- a/tools/measure_configuration.py
+++ b/tools/measure_configuration.py
@@ -20,7 +20,7 @@
 from features.support.operator_files import make_account, make_operator_file
 from features.support.processes import wait_until
 from hemlockswitch.connection.messages import encode_message
-from hemlockswitch.process.revisions.messages import RevisionAnswer, RevisionNews
+from hemlockswitch.process.revisions.messages import RevisionItem, RevisionReply
 from hemlockswitch.version.checks import parse_file
 from hemlockswitch.version.differences import compare_trees, pack_changes
 from hemlockswitch.version.documents import digest_tree
@@ -120,12 +120,12 @@
     new = parse_file(json.dumps(make_file(draining, 1)))
     changes = pack_changes(compare_trees(old, new.tree))
     head = Revision.from_checked(new, 2, "apply-" + "0" * 24, 1, 1_800_000_000_000).to_head()
-    news = RevisionNews(head, "127.0.0.1:65535", 1, digest_tree(old), changes).to_item(2)
+    news = RevisionItem(head, "127.0.0.1:65535", 1, digest_tree(old), changes).to_item(2)
     row = [news.key, news.version, news.value, news.tombstone]
     return {
         "news_bytes": len(msgpack.packb(row)),
-        "difference_bytes": len(encode_message(RevisionAnswer(head, changes))),
-        "whole_bytes": len(encode_message(RevisionAnswer(head, None, new.tree))),
+        "difference_bytes": len(encode_message(RevisionReply(head, changes))),
+        "whole_bytes": len(encode_message(RevisionReply(head, None, new.tree))),
     }
 
 
--- a/tools/measure_subsets.py
+++ b/tools/measure_subsets.py
@@ -14,11 +14,11 @@
 from statistics import median
 
 from hemlockswitch.core.clock import SystemClock
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
+from hemlockswitch.process.news.board import GossipItem, GossipState
 from hemlockswitch.process.servers.backends import BackendDirectory
 from hemlockswitch.process.servers.subsets import Subset
 from hemlockswitch.request.prefixes import hash_blocks
-from hemlockswitch.request.routing import Need, Router
+from hemlockswitch.request.routing import RequestNeeds, Router
 
 DAEMONS = [f"entry-{number}" for number in range(106)]
 SERVERS = [f"engine-{number}" for number in range(750)]
@@ -63,15 +63,15 @@
 
 def measure_choice() -> dict[str, float]:
     """Return the processor time of one choice over the subset, for a prompt of 1,000 words."""
-    board = NewsBoard()
+    board = GossipState()
     directory = BackendDirectory(board, SystemClock(), "zone-1", "entry-1", lambda: DAEMONS)
     for name in SERVERS:
         vm = {"name": name, "zone": "zone-1", "address": "127.0.0.1:1", "serves": "m"}
-        board.learn(NewsItem(f"vm/{name}", 1, vm))
+        board.record(GossipItem(f"vm/{name}", 1, vm))
     router = Router(directory)
-    need = Need("m", hash_blocks(PROMPT), prompt_tokens=1_000)
+    need = RequestNeeds("m", hash_blocks(PROMPT), prompt_tokens=1_000)
     for server in directory.list_servers("m"):
-        router.note_dispatch(server.name, need)
+        router.record_dispatch(server.name, need)
 
     def choose_often() -> None:
         for _ in range(CHOICES):
--- a/tools/routing_baselines.py
+++ b/tools/routing_baselines.py
@@ -4,7 +4,14 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from hemlockswitch.request.choices import Choice, PredictedTime, Scored, Wanted, find_home, pick
+from hemlockswitch.request.choices import (
+    Choice,
+    PredictedTime,
+    RoutedRequest,
+    ScoredCandidate,
+    find_preferred,
+    pick,
+)
 
 
 @dataclass(frozen=True)
@@ -40,28 +47,40 @@
 
 @pick.register
 def _(
-    choice: RandomChoice, scored: Sequence[Scored], wanted: Wanted, chance: random.Random
-) -> Scored:
+    choice: RandomChoice,
+    scored: Sequence[ScoredCandidate],
+    wanted: RoutedRequest,
+    chance: random.Random,
+) -> ScoredCandidate:
     return chance.choice(scored)
 
 
 @pick.register
 def _(
-    choice: LeastReported, scored: Sequence[Scored], wanted: Wanted, chance: random.Random
-) -> Scored:
+    choice: LeastReported,
+    scored: Sequence[ScoredCandidate],
+    wanted: RoutedRequest,
+    chance: random.Random,
+) -> ScoredCandidate:
     return min(scored, key=lambda one: (one.reported_requests, chance.random()))
 
 
 @pick.register
 def _(
-    choice: TwoChoices, scored: Sequence[Scored], wanted: Wanted, chance: random.Random
-) -> Scored:
+    choice: TwoChoices,
+    scored: Sequence[ScoredCandidate],
+    wanted: RoutedRequest,
+    chance: random.Random,
+) -> ScoredCandidate:
     drawn = chance.sample(list(scored), min(2, len(scored)))
     return min(drawn, key=lambda one: one.requests)
 
 
 @pick.register
 def _(
-    choice: AffinityOnly, scored: Sequence[Scored], wanted: Wanted, chance: random.Random
-) -> Scored:
-    return find_home(scored, wanted, choice.affinity_blocks)
+    choice: AffinityOnly,
+    scored: Sequence[ScoredCandidate],
+    wanted: RoutedRequest,
+    chance: random.Random,
+) -> ScoredCandidate:
+    return find_preferred(scored, wanted, choice.affinity_blocks)
