--- a/hemlockswitch/process/claims/members.py
+++ b/hemlockswitch/process/claims/members.py
@@ -58,7 +58,7 @@
 
 def build_claims(
     settings: ProgramSettings,
-    facts: ClusterState,
+    cluster_state: ClusterState,
     clock: Clock,
     find_limits: Callable[[], Limits],
     count: Callable[[str], None],
@@ -67,7 +67,7 @@
 
     Claim calls are short and frequent, and must not wait behind a watch that fails.
     """
-    members = ClaimMembers(settings.name, lambda: facts.membership)
+    members = ClaimMembers(settings.name, lambda: cluster_state.membership)
     platform = PlatformClient(
         settings.platform, ROLE, settings.name, timeout_ms=CALL_TIMEOUT_MS, clock=clock
     )
@@ -78,7 +78,7 @@
         clock,
         # A claim must outlive the longest dispatch, whatever the operator file sets.
         lambda: max(find_limits().claim_retention_ms, MIN_RETENTION_MS),
-        peers=facts.network,
+        peers=cluster_state.network,
         list_peers=members.list_peers,
         has_ended=members.has_ended,
         count=count,
--- a/hemlockswitch/process/controller.py
+++ b/hemlockswitch/process/controller.py
@@ -67,7 +67,7 @@
         self._platform = platform
         self._store = RevisionStore(platform, clock, READ_TIMEOUT_MS)
         self._configuration = Configuration(clock)
-        self._spread = RevisionUpdater(
+        self._updater = RevisionUpdater(
             self._configuration, GossipState(), network, list_daemons, lambda: None, clock
         )
 
@@ -78,7 +78,7 @@
 
     def refresh(self) -> OperatorFile | None:
         """Adopt a newer revision from the daemons or the platform; return the file in force."""
-        self._spread.check_peers()
+        self._updater.check_peers()
         stored = self._platform.read(POINTER_KIND, CURRENT_POINTER)
         if stored is not None:
             follow_pointer(self._configuration, self._store, stored)
--- a/hemlockswitch/process/departure.py
+++ b/hemlockswitch/process/departure.py
@@ -39,7 +39,7 @@
     ==========
 
     settings : settings of this daemon.
-    facts : its gossip items, members and peer network.
+    cluster_state : its gossip items, members and peer network.
     clock : the process's clock.
     relay : the generations in progress.
     opener : ends the engine streams of generations that were not fetched.
@@ -49,14 +49,14 @@
     def __init__(
         self,
         settings: EntrySettings,
-        facts: ClusterState,
+        cluster_state: ClusterState,
         clock: Clock,
         relay: Relay,
         opener: AttemptOpener,
         count: Callable[[str], None],
     ) -> None:
         self._settings = settings
-        self._facts = facts
+        self._cluster_state = cluster_state
         self._clock = clock
         self.stop_requested = Signal()
         self._count = count
@@ -65,15 +65,17 @@
             name=settings.name,
             zone=settings.zone,
             clock=clock,
-            network=facts.network,
-            list_members=lambda: list_share_members(facts.membership),
+            network=cluster_state.network,
+            list_members=lambda: list_share_members(cluster_state.membership),
             list_running=lambda: list(relay.running.values()),
             store=self.store,
             count=count,
         )
         self._serve_peers()
-        facts.gossip_state.add_listener(f"{NOTICE_PREFIX}{settings.name}", self._handle_notice)
-        facts.directory.add_leaving_listener(self._handle_leaving)
+        cluster_state.gossip_state.add_listener(
+            f"{NOTICE_PREFIX}{settings.name}", self._handle_notice
+        )
+        cluster_state.directory.add_leaving_listener(self._handle_leaving)
 
     def build_resuming(
         self, admission: Admission, records: RequestRecords, serving: Serving
@@ -82,7 +84,7 @@
         return Resuming(
             name=self._settings.name,
             clock=self._clock,
-            network=self._facts.network,
+            network=self._cluster_state.network,
             list_members=self._list_holders,
             store=self.store,
             admission=admission,
@@ -99,13 +101,13 @@
     def run(self, is_busy: Callable[[], bool]) -> None:
         """Announce the departure, finish what fits in the time and hand over the remainder."""
         self.request()
-        if self._facts.membership is not None:
-            self._facts.membership.leave()
+        if self._cluster_state.membership is not None:
+            self._cluster_state.membership.leave()
         self.handover.run(is_busy)
         log_event(Event.HANDOVER_ENDED, counts=self.handover.describe())
 
     def _serve_peers(self) -> None:
-        network = self._facts.network
+        network = self._cluster_state.network
         network.handle(HandOver, self.store.put, quick=True)
         network.handle(FindState, self.store.find, quick=True)
         network.handle(TakeState, self.store.reserve, quick=True)
@@ -130,7 +132,7 @@
 
     def _list_holders(self) -> list[HandoverMember]:
         """Return the entry daemons that may store states, both live and leaving ones."""
-        membership = self._facts.membership
+        membership = self._cluster_state.membership
         members = membership.list_members() if membership is not None else []
         return [
             HandoverMember(member.name, member.zone, member.peer_address, not member.is_live)
--- a/hemlockswitch/process/entry.py
+++ b/hemlockswitch/process/entry.py
@@ -128,7 +128,7 @@
         """Build the quarantine of requests that crash backend servers."""
         self.quarantine = Quarantine(self.clock)
         process = f"{self.settings.name}/{self.clock.wall_ms()}"
-        news = SuspectGossip(
+        suspect_gossip = SuspectGossip(
             self.settings.name, self.gossip_state, self.quarantine, self._is_isolated, self.clock
         )
         self.guard = Guard(
@@ -139,7 +139,7 @@
                 self.clock,
             ),
             QuarantineStore(process, self.quarantine, self.cluster_state.platform, self.clock),
-            news,
+            suspect_gossip,
             lambda: False,
             self.clock,
         )
--- a/hemlockswitch/process/facts.py
+++ b/hemlockswitch/process/facts.py
@@ -44,7 +44,7 @@
     ==========
 
     settings : the daemon's settings.
-    board : the daemon's gossip items.
+    gossip_state : the daemon's gossip items.
     network : the daemon's connections to peers.
     platform : the daemon's client of the platform.
     clock : the daemon's clock.
@@ -53,39 +53,39 @@
     def __init__(
         self,
         settings: ProgramSettings,
-        board: GossipState,
+        gossip_state: GossipState,
         network: PeerNetwork,
         platform: PlatformClient,
         clock: Clock,
     ) -> None:
         self._settings = settings
         self._clock = clock
-        self.gossip_state = board
+        self.gossip_state = gossip_state
         self.network = network
         self.platform = platform
         self.membership: Membership | None = None
         self.zones: tuple[str, ...] = ()
         self.gossip = Gossip(
-            board, network, settings.zone, zone_prefixes=ZONE_PREFIXES, clock=clock
+            gossip_state, network, settings.zone, zone_prefixes=ZONE_PREFIXES, clock=clock
         )
         self.directory = BackendDirectory(
-            board, clock, settings.zone, settings.name, self.list_names
+            gossip_state, clock, settings.zone, settings.name, self.list_names
         )
         self.post = WatcherSelection(settings.name, settings.zone, self.list_names)
-        self.feed = NoticeFeed(platform, self.post, board, clock)
-        self.vms = VmFeed(platform, settings.zone, board, clock)
+        self.feed = NoticeFeed(platform, self.post, gossip_state, clock)
+        self.vms = VmFeed(platform, settings.zone, gossip_state, clock)
         self.loads = LoadPolls(self.directory, clock)
         self.freshness = Freshness(clock, self._list_sources)
         self.zone_queries = ZoneQueries(
             settings.name, self.directory, network, self._list_addresses, clock
         )
         self._zone_tasks: dict[str, gevent.Greenlet] = {}
-        desk = ZoneQueryHandler(self.directory, lambda: self.freshness.is_fresh)
-        network.handle(ZoneQuestion, desk.answer)
+        query_handler = ZoneQueryHandler(self.directory, lambda: self.freshness.is_fresh)
+        network.handle(ZoneQuestion, query_handler.answer)
 
     @classmethod
     def from_settings(cls, settings: ProgramSettings, role: str, clock: Clock) -> Self:
-        """Return the view of a daemon, with a new board, peer network and platform client."""
+        """Return the view of a daemon, with a new gossip state, peer network and platform client."""
         network = PeerNetwork(
             settings.cluster,
             settings.name,
@@ -132,7 +132,7 @@
         spawn("notices", Watcher("notices", self.post, self.feed.read_notices, 0, self._clock).run)
         spawn("notice checks", self.feed.run_checks)
         spawn("loads", self.loads.run)
-        spawn("zone questions", self._run_questions)
+        spawn("zone questions", self._run_zone_queries)
         return self.network.bound_address
 
     def describe_members(self) -> list[dict[str, str]]:
@@ -166,7 +166,7 @@
         live = self.membership.list_live() if self.membership else []
         return {member.zone for member in live if member.name != self._settings.name}
 
-    def _run_questions(self) -> None:
+    def _run_zone_queries(self) -> None:
         """Run a query task for each other zone that this daemon queries."""
         while True:
             wanted = set(self.zone_queries.choose_zones())
--- a/hemlockswitch/process/gateway/duty_parts.py
+++ b/hemlockswitch/process/gateway/duty_parts.py
@@ -63,35 +63,33 @@
 def _build_scaling(
     settings: GatewaySettings,
     api: ScalingApi,
-    knowledge: GatewayState,
+    state: GatewayState,
     followed: FollowedObjects,
     clock: Clock,
 ) -> ScalingDuty:
-    planned = PlannedCopies(
-        knowledge.registry, knowledge.rollouts, knowledge.loads, knowledge.fleet
-    )
+    planned = PlannedCopies(state.registry, state.rollouts, state.loads, state.fleet)
     return ScalingDuty(
         api,
         settings.zones,
-        lambda: knowledge.tables.current,
+        lambda: state.tables.current,
         planned.list_servers,
         planned.measure_demand,
-        lambda service: knowledge.models.get(service).tokens_per_ms,
+        lambda service: state.models.get(service).tokens_per_ms,
         followed.has_all_servers,
         followed.has_most_servers,
         clock,
-        knowledge.rollouts.is_moving,
+        state.rollouts.is_moving,
     )
 
 
-def _build_rollouts(adapter: Adapter, knowledge: GatewayState, clock: Clock) -> RolloutDuty:
+def _build_rollouts(adapter: Adapter, state: GatewayState, clock: Clock) -> RolloutDuty:
     return RolloutDuty(
-        knowledge.rollouts,
+        state.rollouts,
         adapter.store,
         adapter.rollout_kind,
         adapter.encode_rollout_status,
-        knowledge.registry.list_all,
-        knowledge.loads.count_running,
-        knowledge.fleet_clock,
+        state.registry.list_all,
+        state.loads.count_running,
+        state.fleet_clock,
         clock,
     )
--- a/hemlockswitch/process/gateway/loads.py
+++ b/hemlockswitch/process/gateway/loads.py
@@ -149,7 +149,7 @@
         self._cached_prefixes: dict[str, CachedPrefixes] = {}
         self._demand: dict[str, DemandMeter] = {}
         self._reported = ReportedLoads(clock, get_period)
-        self._homes: dict[str, PreferredServers] = defaultdict(PreferredServers)
+        self._preferred_servers: dict[str, PreferredServers] = defaultdict(PreferredServers)
         self._begun_ms = clock.now_ms()
         self._unreported_prompts: deque[SentPrompt] = deque(maxlen=MAX_REPORTED_PROMPTS)
 
@@ -300,7 +300,9 @@
         if not servers or prompt is None or not prompt.shared_parts:
             return {}
         key = prompt.shared_parts[-1].identifier
-        return self._homes[servers[0].serves].rank(key, [server.name for server in servers])
+        return self._preferred_servers[servers[0].serves].rank(
+            key, [server.name for server in servers]
+        )
 
     def _list_caching_servers(self, prompt: Prompt) -> set[str]:
         """Return the incarnations of the servers to which a prompt's first shared part was sent."""
--- a/hemlockswitch/process/membership/membership.py
+++ b/hemlockswitch/process/membership/membership.py
@@ -55,9 +55,9 @@
     def __init__(
         self,
         own: Member,
-        board: GossipState,
+        gossip_state: GossipState,
         network: PeerNetwork,
-        spread: Gossip,
+        gossip: Gossip,
         *,
         seeds: Iterable[str] = (),
         discover: Callable[[], list[str]] = list,
@@ -67,9 +67,9 @@
         self.times = times or ProbeTimes()
         self.joined = False
         self._own = own
-        self._board = board
+        self._gossip_state = gossip_state
         self._network = network
-        self._spread = spread
+        self._gossip = gossip
         self._seeds = tuple(seeds)
         self._discover = discover
         self._clock = clock or SystemClock()
@@ -81,13 +81,13 @@
         self._was_isolated = False
         self._prober = self._make_prober()
         self._tasks: list[gevent.Greenlet] = []
-        board.add_listener(MEMBER_PREFIX, self._apply_item)
+        gossip_state.add_listener(MEMBER_PREFIX, self._apply_item)
 
     def _make_prober(self) -> Prober:
         return Prober(
             self._own,
             self._network,
-            self._spread,
+            self._gossip,
             self.times,
             self._clock,
             lambda: self._find_links().probed,
@@ -100,22 +100,22 @@
         address = self._network.address
         incarnation = self._clock.wall_ms()
         self._own = replace(self._own, peer_address=address, incarnation=incarnation)
-        self._board.record(self._own.to_item())
-        self._spread.start(lambda: self._find_links().gossip_peers)
+        self._gossip_state.record(self._own.to_item())
+        self._gossip.start(lambda: self._find_links().gossip_peers)
         tasks = (self._join_forever, self._prober.run, self._sweep_forever, self._retry_dead)
         self._tasks = [gevent.spawn(task) for task in tasks]
 
     def leave(self) -> None:
         """Announce that this daemon is leaving; it accepts no new work from now on."""
         self._own = replace(self._own, state=MemberState.LEAVING)
-        self._board.record(self._own.to_item())
+        self._gossip_state.record(self._own.to_item())
 
     def stop(self) -> None:
         """Announce that this daemon has stopped, and stop the tasks."""
         gevent.killall(self._tasks, block=False)
         self._own = replace(self._own, state=MemberState.DEAD)
-        self._board.record(self._own.to_item())
-        self._spread.stop()
+        self._gossip_state.record(self._own.to_item())
+        self._gossip.stop()
 
     @property
     def own(self) -> Member:
@@ -207,7 +207,7 @@
         incarnation = max(self._clock.wall_ms(), reported.incarnation + 1)
         self._own = replace(self._own, incarnation=incarnation)
         log_event(Event.MEMBERSHIP_REFUTED, "warning", heard=reported.state.name.lower())
-        self._board.record(self._own.to_item())
+        self._gossip_state.record(self._own.to_item())
 
     def _suspect(self, unresponsive: list[Member]) -> None:
         if len(unresponsive) > 1:
@@ -220,7 +220,7 @@
         for member in unresponsive:
             known = self._members.get(member.name)
             if known is not None and known.state is MemberState.ALIVE:
-                self._board.record(replace(known, state=MemberState.SUSPECT).to_item())
+                self._gossip_state.record(replace(known, state=MemberState.SUSPECT).to_item())
 
     def _sweep_forever(self) -> None:
         last_ms = self._clock.now_ms()
@@ -230,7 +230,7 @@
             # Time in which this process was paused does not count: no refutation could arrive.
             self._active_ms += min(now_ms - last_ms, 2 * SWEEP_INTERVAL_MS)
             last_ms = now_ms
-            self._spread.discard_tombstones()
+            self._gossip.discard_tombstones()
             self._log_isolation_change()
             if self._was_answered_within(self.times.suspicion_timeout_ms):
                 self._expire_suspicions()
@@ -247,7 +247,9 @@
             # and act only if all of those have failed as well.
             wait_ms = self.times.suspicion_timeout_ms * (1 if name in probed else 2)
             if self._active_ms - since_ms >= wait_ms:
-                self._board.record(replace(self._members[name], state=MemberState.DEAD).to_item())
+                self._gossip_state.record(
+                    replace(self._members[name], state=MemberState.DEAD).to_item()
+                )
 
     def _retry_dead(self) -> None:
         while True:
@@ -295,7 +297,7 @@
 
     def _try_address(self, address: str) -> None:
         try:
-            self._spread.repair(address)
+            self._gossip.repair(address)
         except PeerError:
             return
         self._prober.last_answer_ms = self._clock.now_ms()
--- a/hemlockswitch/process/membership/probes.py
+++ b/hemlockswitch/process/membership/probes.py
@@ -125,7 +125,7 @@
         self,
         own: Member,
         network: PeerNetwork,
-        spread: Gossip,
+        gossip: Gossip,
         times: ProbeTimes,
         clock: Clock,
         list_probed: Callable[[], Iterable[Member]],
@@ -135,7 +135,7 @@
         self.last_answer_ms = clock.now_ms()
         self._own = own
         self._network = network
-        self._spread = spread
+        self._gossip = gossip
         self._times = times
         self._clock = clock
         self._list_probed = list_probed
@@ -165,7 +165,7 @@
         except PeerError:
             return False
         self.last_answer_ms = self._clock.now_ms()
-        self._spread.check_digest(address, zone, ack.digest)
+        self._gossip.check_digest(address, zone, ack.digest)
         return True
 
     def _probe_member(self, member: Member) -> None:
@@ -233,7 +233,7 @@
             raise PeerError(
                 ErrorKind.BAD_REQUEST, f"probe is for another daemon; this is {self._own.name}"
             )
-        return Ack(self._spread.compute_digest(probe.zone))
+        return Ack(self._gossip.compute_digest(probe.zone))
 
     def _answer_probe_for(self, sender: str, message: ProbeFor) -> ProbedFor:
         timeout_ms = self._times.direct_timeout_ms
--- a/hemlockswitch/process/news/board.py
+++ b/hemlockswitch/process/news/board.py
@@ -42,12 +42,12 @@
     Examples
     ========
 
-    >>> board = GossipState()
-    >>> board.record(GossipItem("vm/llm-1", 2, "live"))
+    >>> gossip_state = GossipState()
+    >>> gossip_state.record(GossipItem("vm/llm-1", 2, "live"))
     True
-    >>> board.record(GossipItem("vm/llm-1", 1, "starting"))
+    >>> gossip_state.record(GossipItem("vm/llm-1", 1, "starting"))
     False
-    >>> board.find("vm/llm-1").value
+    >>> gossip_state.find("vm/llm-1").value
     'live'
     """
 
--- a/hemlockswitch/process/news/retrieval.py
+++ b/hemlockswitch/process/news/retrieval.py
@@ -39,12 +39,12 @@
     def __init__(
         self,
         network: PeerNetwork,
-        bounds: GossipLimits,
+        limits: GossipLimits,
         lacks: Callable[[str, int], bool],
         receive: Callable[[str, GossipItems], None],
     ) -> None:
         self._network = network
-        self._bounds = bounds
+        self._limits = limits
         self._lacks = lacks
         self._receive = receive
         self._in_progress: dict[str, Retrieval] = {}
@@ -62,7 +62,7 @@
             self._start(sender, wanted)
 
     def _start(self, sender: str, wanted: dict[str, int]) -> None:
-        retrieval = Retrieval(wanted, deque([sender], maxlen=self._bounds.max_fetch_keys))
+        retrieval = Retrieval(wanted, deque([sender], maxlen=self._limits.max_fetch_keys))
         for key in wanted:
             self._in_progress[key] = retrieval
         gevent.spawn(self._run, retrieval)
@@ -97,12 +97,12 @@
         pending = keys
         while pending:
             requested, remaining = (
-                pending[: self._bounds.max_fetch_keys],
-                pending[self._bounds.max_fetch_keys :],
+                pending[: self._limits.max_fetch_keys],
+                pending[self._limits.max_fetch_keys :],
             )
-            news = self._network.ask(holder, Fetch(requested), self._bounds.request_timeout_ms)
-            self._receive(holder, news)
-            received = {row[0] for row in news.items}
+            reply = self._network.ask(holder, Fetch(requested), self._limits.request_timeout_ms)
+            self._receive(holder, reply)
+            received = {row[0] for row in reply.items}
             # A reply is truncated at its limit in bytes; an empty one means that the holder has
             # none of the requested items.
             pending = (
--- a/hemlockswitch/process/news/spread.py
+++ b/hemlockswitch/process/news/spread.py
@@ -32,7 +32,7 @@
 
 
 class Gossip:
-    """Sends the items of a board to the linked peers and repairs what was missed.
+    """Sends the items of the gossip state to the linked peers and repairs what was missed.
 
     Explanation
     ===========
@@ -54,23 +54,23 @@
 
     def __init__(
         self,
-        board: GossipState,
+        gossip_state: GossipState,
         network: PeerNetwork,
         zone: str,
         *,
         zone_prefixes: tuple[str, ...] = (),
         clock: Clock | None = None,
-        bounds: GossipLimits | None = None,
+        limits: GossipLimits | None = None,
     ) -> None:
         self.repairs = 0
         self.items_in = 0
         self.duplicate_items = 0
-        self._board = board
+        self._gossip_state = gossip_state
         self._network = network
         self._zone = zone
         self._zone_prefixes = zone_prefixes
         self._clock = clock or SystemClock()
-        self._bounds = bounds or GossipLimits()
+        self._limits = limits or GossipLimits()
         self._list_peers: Callable[[], Iterable[Member]] = tuple
         self._global_digest = Digest()
         self._zone_digest = Digest()
@@ -81,11 +81,11 @@
         self._repairing = False
         self._tombstones: dict[str, float] = {}
         self._task: gevent.Greenlet | None = None
-        self._retrievals = Retrievals(network, self._bounds, self._lacks, self._receive_news)
-        for item in board.list_items():
+        self._retrievals = Retrievals(network, self._limits, self._lacks, self._receive_items)
+        for item in gossip_state.list_items():
             self._record_item(item)
-        board.add_listener("", self._record_item)
-        network.handle(GossipItems, self._receive_news, quick=True)
+        gossip_state.add_listener("", self._record_item)
+        network.handle(GossipItems, self._receive_items, quick=True)
         network.handle(Compare, self._answer_compare, quick=True)
         network.handle(Fetch, self._answer_fetch, quick=True)
 
@@ -134,7 +134,7 @@
         """
         self.repairs += 1
         compare = Compare(self._zone if zone == self._zone else "", self._pack_buckets(zone))
-        difference = self._network.ask(address, compare, self._bounds.request_timeout_ms)
+        difference = self._network.ask(address, compare, self._limits.request_timeout_ms)
         held = {key: (version, tombstone) for key, version, tombstone in difference.held}
         missing = self._list_missing(zone, held, set(difference.buckets))
         self._send_items(address, self._make_rows(missing))
@@ -147,12 +147,12 @@
 
     def discard_tombstones(self) -> None:
         """Discard the tombstones whose retention is over; they are ordered oldest first."""
-        oldest_ms = self._clock.now_ms() - self._bounds.tombstone_retention_ms
+        oldest_ms = self._clock.now_ms() - self._limits.tombstone_retention_ms
         for key, learned_ms in list(self._tombstones.items()):
             if learned_ms > oldest_ms:
                 break
             del self._tombstones[key]
-            self._board.discard(key)
+            self._gossip_state.discard(key)
 
     def _repair_quietly(self, address: str, zone: str) -> None:
         try:
@@ -166,7 +166,7 @@
         return self._global_digest.pack_buckets([self._zone_digest] if zone == self._zone else [])
 
     def _lacks(self, key: str, version: int, tombstone: bool = False) -> bool:
-        known = self._board.find(key)
+        known = self._gossip_state.find(key)
         return not tombstone if known is None else known.version < version
 
     def _list_missing(self, zone: str, held: dict[str, Any], buckets: set[int]) -> list[GossipItem]:
@@ -184,7 +184,7 @@
         return bool(self._zone_prefixes) and key.startswith(self._zone_prefixes)
 
     def _list_shared(self, zone: str) -> list[GossipItem]:
-        items = self._board.list_items()
+        items = self._gossip_state.list_items()
         if zone == self._zone or not self._zone_prefixes:
             return items
         return [item for item in items if not self._is_zone_key(item.key)]
@@ -201,13 +201,13 @@
     def _push_forever(self) -> None:
         while True:
             self._wake.wait()
-            gevent.sleep(self._bounds.batch_delay_ms / MS_PER_SECOND)
+            gevent.sleep(self._limits.batch_delay_ms / MS_PER_SECOND)
             self._wake.clear()
             self._push()
 
     def _push(self) -> None:
         pending, self._pending = self._pending, {}
-        found = [(self._board.find(key), source) for key, source in pending.items()]
+        found = [(self._gossip_state.find(key), source) for key, source in pending.items()]
         waiting = [(item, source) for item, source in found if item is not None]
         rows = self._make_rows(item for item, _ in waiting)
         sources = {item.key: source for item, source in waiting}
@@ -225,29 +225,29 @@
     def _make_rows(self, items: Iterable[GossipItem]) -> list[Row]:
         rows = [Row.from_item(item) for item in items]
         for row in rows:
-            if row.size_bytes > self._bounds.max_item_bytes:
+            if row.size_bytes > self._limits.max_item_bytes:
                 key, size_bytes = row.content[0], row.size_bytes
                 log_event(Event.NEWS_TOO_LARGE, "error", key=key, size_bytes=size_bytes)
-        return [row for row in rows if row.size_bytes <= self._bounds.max_item_bytes]
+        return [row for row in rows if row.size_bytes <= self._limits.max_item_bytes]
 
     def _push_rows(self, address: str, rows: list[Row]) -> None:
         """Send small items and announce large ones."""
-        eager_bytes = self._bounds.max_pushed_bytes
+        eager_bytes = self._limits.max_pushed_bytes
         self._send_items(address, [row for row in rows if row.size_bytes <= eager_bytes])
         large = [row.content[:2] for row in rows if row.size_bytes > eager_bytes]
         if large:
             self._network.send(address, Have(large))
 
     def _send_items(self, address: str, rows: list[Row]) -> None:
-        for batch in batch_rows(rows, self._bounds.max_batch_bytes):
+        for batch in batch_rows(rows, self._limits.max_batch_bytes):
             self._network.send(address, GossipItems(batch))
 
-    def _receive_news(self, sender: str, news: GossipItems) -> None:
+    def _receive_items(self, sender: str, message: GossipItems) -> None:
         self._source = sender
         try:
-            for key, version, value, tombstone in news.items:
+            for key, version, value, tombstone in message.items:
                 self.items_in += 1
-                if not self._board.record(GossipItem(key, version, value, tombstone)):
+                if not self._gossip_state.record(GossipItem(key, version, value, tombstone)):
                     self.duplicate_items += 1
         finally:
             self._source = ""
@@ -265,12 +265,12 @@
             bucket = choose_bucket(item.key)
             if bucket in rows:
                 rows[bucket].append([item.key, item.version, item.tombstone])
-        return _limit_rows(rows, self._bounds.max_difference_rows)
+        return _limit_rows(rows, self._limits.max_difference_rows)
 
     def _answer_fetch(self, sender: str, fetch: Fetch) -> GossipItems:
-        items = (self._board.find(key) for key in fetch.keys[: self._bounds.max_fetch_keys])
+        items = (self._gossip_state.find(key) for key in fetch.keys[: self._limits.max_fetch_keys])
         rows = self._make_rows(item for item in items if item is not None)
-        batches = batch_rows(rows, self._bounds.max_item_bytes)
+        batches = batch_rows(rows, self._limits.max_item_bytes)
         return GossipItems(batches[0] if batches else [])
 
 
--- a/hemlockswitch/process/peer_metrics.py
+++ b/hemlockswitch/process/peer_metrics.py
@@ -17,16 +17,16 @@
     Parameters
     ==========
 
-    facts : the daemon's view of the cluster.
+    cluster_state : the daemon's view of the cluster.
     """
 
-    def __init__(self, facts: ClusterState) -> None:
-        self._facts = facts
+    def __init__(self, cluster_state: ClusterState) -> None:
+        self._cluster_state = cluster_state
 
     @classmethod
-    def register(cls, facts: ClusterState, registry: CollectorRegistry) -> None:
+    def register(cls, cluster_state: ClusterState, registry: CollectorRegistry) -> None:
         """Add the metrics to `registry`."""
-        registry.register(cls(facts))
+        registry.register(cls(cluster_state))
 
     def describe(self) -> list[Metric]:
         """Return no metrics, since they exist only once the daemon is running."""
@@ -35,10 +35,10 @@
     def collect(self) -> Iterator[Metric]:
         """Return the current metrics."""
         yield self._collect_members()
-        yield from _collect_traffic(self._facts.network.traffic)
-        streams = len(self._facts.network.list_streams())
+        yield from _collect_traffic(self._cluster_state.network.traffic)
+        streams = len(self._cluster_state.network.list_streams())
         yield GaugeMetricFamily("hemlock_peer_streams", "Open peer streams.", streams)
-        repairs = self._facts.gossip.repairs
+        repairs = self._cluster_state.gossip.repairs
         yield CounterMetricFamily(
             "hemlock_news_repairs", "Repairs of gossip items with a peer.", repairs
         )
@@ -49,7 +49,7 @@
             "Daemons in this daemon's membership, by zone and state.",
             labels=("zone", "state"),
         )
-        membership = self._facts.membership
+        membership = self._cluster_state.membership
         members = membership.list_members() if membership is not None else []
         counts = Counter((member.zone, member.state.name.lower()) for member in members)
         for labels, count in sorted(counts.items()):
--- a/hemlockswitch/process/quarantine/suspect_news.py
+++ b/hemlockswitch/process/quarantine/suspect_news.py
@@ -28,7 +28,7 @@
     ==========
 
     name : name of this daemon.
-    board : the local gossip state.
+    gossip_state : the local gossip state.
     quarantine : this daemon's records.
     is_isolated : returns whether this daemon receives messages from no peer.
     clock : the time source.
@@ -37,17 +37,17 @@
     def __init__(
         self,
         name: str,
-        board: GossipState,
+        gossip_state: GossipState,
         quarantine: Quarantine,
         is_isolated: Callable[[], bool],
         clock: Clock,
     ) -> None:
         self._name = name
-        self._board = board
+        self._gossip_state = gossip_state
         self._quarantine = quarantine
         self._is_isolated = is_isolated
         self._clock = clock
-        board.add_listener(SUSPECT_PREFIX, self._apply_item)
+        gossip_state.add_listener(SUSPECT_PREFIX, self._apply_item)
 
     def publish_changes(self) -> None:
         """Publish changed records, and withdraw expired ones."""
@@ -55,15 +55,15 @@
             key = f"{SUSPECT_PREFIX}{record.fingerprint}/{self._name}"
             self._publish(key, record.list_fields())
         oldest_ms = self._clock.wall_ms() - SUSPECT_RETENTION_MS
-        for item in self._board.list_items(SUSPECT_PREFIX):
+        for item in self._gossip_state.list_items(SUSPECT_PREFIX):
             if item.version < oldest_ms and not item.tombstone:
                 self._publish(item.key, None)
 
     def _publish(self, key: str, fields: SuspectFields | None) -> None:
         """Publish an item with a version above all earlier ones of its key, even if the clock was set back."""
-        current = self._board.find(key)
+        current = self._gossip_state.find(key)
         version = max(self._clock.wall_ms(), current.version + 1 if current is not None else 0)
-        self._board.record(GossipItem(key, version, fields, tombstone=fields is None))
+        self._gossip_state.record(GossipItem(key, version, fields, tombstone=fields is None))
 
     def repair(self) -> None:
         """Do nothing: the gossip protocol itself repairs differences between daemons."""
--- a/hemlockswitch/process/revisions/spread.py
+++ b/hemlockswitch/process/revisions/spread.py
@@ -68,7 +68,7 @@
     ==========
 
     configuration : the configuration of this daemon.
-    board : the gossip items.
+    gossip_state : the gossip items.
     network : the connections to peers.
     list_peers : returns the peer addresses of running daemons, the nearest first.
     read_platform : reads the revision that the platform's pointer names; raises `HemlockError`.
@@ -78,7 +78,7 @@
     def __init__(
         self,
         configuration: Configuration,
-        board: GossipState,
+        gossip_state: GossipState,
         network: PeerNetwork,
         list_peers: Callable[[], Iterable[str]],
         read_platform: Callable[[], Revision | None],
@@ -86,7 +86,7 @@
     ) -> None:
         self.counts = ReceivedCounts()
         self._configuration = configuration
-        self._board = board
+        self._gossip_state = gossip_state
         self._network = network
         self._list_peers = list_peers
         self._read_platform = read_platform
@@ -94,13 +94,13 @@
         self._wake = Signal()
         self._next_platform_read_ms = clock.now_ms() + PLATFORM_READ_DELAY_MS
         network.handle(RevisionQuery, self._answer)
-        board.add_listener(REVISION_KEY, lambda _: self._wake.set())
+        gossip_state.add_listener(REVISION_KEY, lambda _: self._wake.set())
         configuration.add_listener(self._publish)
 
     @property
     def announced_number(self) -> int:
         """The highest revision number that this daemon has received by gossip."""
-        item = self._board.find(REVISION_KEY)
+        item = self._gossip_state.find(REVISION_KEY)
         return NO_REVISION if item is None else item.version
 
     def catch_up(self) -> bool:
@@ -144,13 +144,13 @@
         )
 
     def _adopt_from_gossip(self) -> None:
-        news = RevisionItem.from_item(self._board.find(REVISION_KEY))
-        if news is None or news.changes is None:
+        item = RevisionItem.from_item(self._gossip_state.find(REVISION_KEY))
+        if item is None or item.changes is None:
             return
         have = self._configuration
-        if (news.base_number, news.base_digest) != (have.revision, have.digest):
+        if (item.base_number, item.base_digest) != (have.revision, have.digest):
             return
-        if self._adopt(RevisionReply(news.head, news.changes), "news"):
+        if self._adopt(RevisionReply(item.head, item.changes), "news"):
             self.counts.by_news += 1
 
     def _adopt_from_peers(self) -> None:
@@ -184,10 +184,10 @@
         near = addresses[:MAX_NEAR_PEERS]
         far = addresses[MAX_NEAR_PEERS:]
         chosen = near + random.sample(far, min(len(far), MAX_FAR_PEERS))
-        news = RevisionItem.from_item(self._board.find(REVISION_KEY))
-        if news is None or news.holder in ("", own):
+        item = RevisionItem.from_item(self._gossip_state.find(REVISION_KEY))
+        if item is None or item.holder in ("", own):
             return chosen
-        return [news.holder, *(address for address in chosen if address != news.holder)]
+        return [item.holder, *(address for address in chosen if address != item.holder)]
 
     def _adopt_from_peer(self, address: str, whole: bool) -> bool:
         """Request from one peer and adopt its answer; return whether this daemon is up to date."""
@@ -259,7 +259,7 @@
         rows = None if step.changes is None else pack_changes(step.changes)
         if rows is not None and len(msgpack.packb(rows)) > MAX_GOSSIP_CHANGES_BYTES:
             rows = None
-        news = RevisionItem(
+        item = RevisionItem(
             revision.to_head(), self._network.address, step.base_number, step.base_digest, rows
         )
-        self._board.record(news.to_item(revision.number))
+        self._gossip_state.record(item.to_item(revision.number))
--- a/hemlockswitch/process/revisions/tasks.py
+++ b/hemlockswitch/process/revisions/tasks.py
@@ -44,7 +44,7 @@
     Parameters
     ==========
 
-    facts : the daemon's members, gossip items, network and platform client.
+    cluster_state : the daemon's members, gossip items, network and platform client.
     name, zone, program : of the daemon.
     clock : the daemon's clock.
     is_ready : returns whether the daemon accepts new work.
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        facts: ClusterState,
+        cluster_state: ClusterState,
         name: str,
         zone: str,
         program: str,
@@ -62,33 +62,39 @@
         describe: Callable[[], dict[str, Any]] = dict,
     ) -> None:
         self.configuration = Configuration(clock)
-        self._facts = facts
+        self._cluster_state = cluster_state
         self._name = name
         self._zone = zone
         self._program = program
         self._clock = clock
         self._is_ready = is_ready
         self._describe = describe
-        self._store = RevisionStore(facts.platform, clock, READ_TIMEOUT_MS)
-        self.spread = RevisionUpdater(
+        self._store = RevisionStore(cluster_state.platform, clock, READ_TIMEOUT_MS)
+        self.updater = RevisionUpdater(
             self.configuration,
-            facts.gossip_state,
-            facts.network,
+            cluster_state.gossip_state,
+            cluster_state.network,
             self.list_peers,
             lambda: self._store.read_current().revision,
             clock,
         )
         self.zone_status = ZoneStatus(
-            zone, name, self.make_report, self.list_zone, facts.network, facts.platform, clock
+            zone,
+            name,
+            self.make_report,
+            self.list_zone,
+            cluster_state.network,
+            cluster_state.platform,
+            clock,
         )
         self.configuration.add_listener(lambda _: self.zone_status.report_soon())
 
     def start(self, spawn: Callable[[str, Callable[[], None]], None]) -> None:
         """Start the tasks; `spawn` runs a named task until the daemon stops."""
-        pointer = Pointer(self._facts.platform, POINTER_KIND, CURRENT_POINTER, self.follow)
-        watcher = Watcher("revision pointer", self._facts.post, pointer.ask, 0, self._clock)
+        pointer = Pointer(self._cluster_state.platform, POINTER_KIND, CURRENT_POINTER, self.follow)
+        watcher = Watcher("revision pointer", self._cluster_state.post, pointer.ask, 0, self._clock)
         spawn("revision pointer", watcher.run)
-        spawn("revision spread", self.spread.run)
+        spawn("revision spread", self.updater.run)
         spawn("zone reports", self.zone_status.run_reports)
         spawn("zone status", self.zone_status.run_writes)
 
@@ -132,9 +138,9 @@
             "number": self.configuration.revision,
             "digest": self.configuration.digest,
             "in_force": steps,
-            "received": vars(self.spread.counts),
+            "received": vars(self.updater.counts),
         }
 
     def _list_live(self) -> list[Member]:
-        membership = self._facts.membership
+        membership = self._cluster_state.membership
         return [] if membership is None else membership.list_live()
--- a/hemlockswitch/process/servers/backends.py
+++ b/hemlockswitch/process/servers/backends.py
@@ -46,7 +46,7 @@
     Parameters
     ==========
 
-    board : the gossip state, which receives VM records and reclaim notices.
+    gossip_state : the gossip state, which receives VM records and reclaim notices.
     clock : the process's clock.
     zone : the daemon's availability zone.
     own_name : the daemon's name, which selects its stable subset.
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        board: GossipState,
+        gossip_state: GossipState,
         clock: Clock,
         zone: str,
         own_name: str = "",
@@ -80,8 +80,8 @@
         self._is_subset_stale = True
         self._listeners: list[LeavingListener] = []
         for prefix, learn in ((NOTICE_PREFIX, self._apply_notice), (VM_PREFIX, self._apply_vm)):
-            board.add_listener(prefix, learn)
-            for item in board.list_items(prefix):
+            gossip_state.add_listener(prefix, learn)
+            for item in gossip_state.list_items(prefix):
                 learn(item)
 
     def add_leaving_listener(self, listener: LeavingListener) -> None:
--- a/hemlockswitch/process/servers/vm_feed.py
+++ b/hemlockswitch/process/servers/vm_feed.py
@@ -28,11 +28,11 @@
     """
 
     def __init__(
-        self, platform: ListingPlatform, zone: str, board: GossipState, clock: Clock
+        self, platform: ListingPlatform, zone: str, gossip_state: GossipState, clock: Clock
     ) -> None:
         self._platform = platform
         self._zone = zone
-        self._board = board
+        self._gossip_state = gossip_state
         self._clock = clock
         self._missing_since_ms: dict[str, float] = {}
 
@@ -41,12 +41,12 @@
         listed = {vm.name: vm for vm in self._platform.list_vms(self._zone).vms}
         for name, vm in listed.items():
             self._missing_since_ms.pop(name, None)
-            self._board.record(GossipItem(VM_PREFIX + name, vm.version, describe_vm(vm)))
+            self._gossip_state.record(GossipItem(VM_PREFIX + name, vm.version, describe_vm(vm)))
         self._note_missing(set(listed))
 
     def _note_missing(self, listed: set[str]) -> None:
         now_ms = self._clock.now_ms()
-        for item in self._board.list_items(VM_PREFIX):
+        for item in self._gossip_state.list_items(VM_PREFIX):
             name = item.key.removeprefix(VM_PREFIX)
             own = item.value.get("zone") == self._zone
             if not own or name in listed or item.value.get("state") == BackendState.GONE.value:
@@ -54,16 +54,18 @@
             since_ms = self._missing_since_ms.setdefault(name, now_ms)
             if now_ms - since_ms >= VM_REMOVAL_DELAY_MS:
                 gone = {**item.value, "state": BackendState.GONE.value}
-                self._board.record(GossipItem(item.key, item.version + 1, gone, tombstone=True))
+                self._gossip_state.record(
+                    GossipItem(item.key, item.version + 1, gone, tombstone=True)
+                )
                 self._remove_notice(name)
                 del self._missing_since_ms[name]
 
     def _remove_notice(self, name: str) -> None:
         """Publish a tombstone for the notice of a removed VM, so that gossip states can evict it."""
-        notice = self._board.find(NOTICE_PREFIX + name)
+        notice = self._gossip_state.find(NOTICE_PREFIX + name)
         if notice is not None:
             last = GossipItem(notice.key, notice.version + 1, notice.value, tombstone=True)
-            self._board.record(last)
+            self._gossip_state.record(last)
 
 
 def describe_vm(vm: Any) -> dict[str, Any]:
--- a/hemlockswitch/process/servers/watchers.py
+++ b/hemlockswitch/process/servers/watchers.py
@@ -141,11 +141,11 @@
     """
 
     def __init__(
-        self, platform: Platform, post: WatcherSelection, board: GossipState, clock: Clock
+        self, platform: Platform, post: WatcherSelection, gossip_state: GossipState, clock: Clock
     ) -> None:
         self._platform = platform
         self._post = post
-        self._board = board
+        self._gossip_state = gossip_state
         self._clock = clock
         self._number = 0
         self._last_received_ms = clock.now_ms()
@@ -153,7 +153,7 @@
         self._watchers_answered = True
         self._published_answered = True
         self._key = FEED_PREFIX + post.zone
-        board.add_listener(self._key, self._receive_heartbeat)
+        gossip_state.add_listener(self._key, self._receive_heartbeat)
 
     @property
     def silent_ms(self) -> float:
@@ -171,7 +171,7 @@
         self._answered_ms = self._clock.now_ms()
         for notice in page.notices:
             value = {"deadline_wall_ms": notice.deadline_wall_ms}
-            self._board.record(GossipItem(NOTICE_PREFIX + notice.vm, notice.number, value))
+            self._gossip_state.record(GossipItem(NOTICE_PREFIX + notice.vm, notice.number, value))
         self._number = page.number
         # A heartbeat without changes is redundant if the zone's second watcher has just published one.
         if page.notices or not self._watchers_answered or self.silent_ms >= HEARTBEAT_INTERVAL_MS:
@@ -208,11 +208,11 @@
         return silent_ms <= NOTICE_WAIT_MS + ANSWER_MARGIN_MS
 
     def _publish_heartbeat(self) -> None:
-        current = self._board.find(self._key)
+        current = self._gossip_state.find(self._key)
         version = max(self._clock.wall_ms(), current.version + 1 if current else 0)
         self._published_answered = self._is_answered()
         value = {"number": self._number, "answered": self._published_answered}
-        self._board.record(GossipItem(self._key, version, value, tombstone=True))
+        self._gossip_state.record(GossipItem(self._key, version, value, tombstone=True))
 
     def _receive_heartbeat(self, item: GossipItem) -> None:
         if item.key != self._key:
--- a/hemlockswitch/process/shares/members.py
+++ b/hemlockswitch/process/shares/members.py
@@ -19,7 +19,7 @@
 
 def build_shares(
     settings: EntrySettings,
-    facts: ClusterState,
+    cluster_state: ClusterState,
     clock: Clock,
     find_file: Callable[[], OperatorFile],
 ) -> Shares:
@@ -32,10 +32,10 @@
         zone=settings.zone,
         clock=clock,
         store=store,
-        network=facts.network,
+        network=cluster_state.network,
         find_file=find_file,
-        list_members=lambda: list_share_members(facts.membership),
-        is_gone=lambda name: is_vm_removed(facts.gossip_state, name),
+        list_members=lambda: list_share_members(cluster_state.membership),
+        is_gone=lambda name: is_vm_removed(cluster_state.gossip_state, name),
     )
 
 
@@ -48,7 +48,7 @@
     ]
 
 
-def is_vm_removed(board: GossipState, name: str) -> bool:
+def is_vm_removed(gossip_state: GossipState, name: str) -> bool:
     """Return whether a VM was removed from the platform's VM list after it had been listed.
 
     Explanation
@@ -57,5 +57,5 @@
     Death according to the membership is not sufficient: the daemon may be disconnected and still admit
     requests.
     """
-    item = board.find(f"{VM_PREFIX}{name}")
+    item = gossip_state.find(f"{VM_PREFIX}{name}")
     return item is not None and item.value.get("state") == BackendState.GONE.value
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -54,14 +54,14 @@
 
     def __init__(self, peers=(), platform=None):
         self.configuration = Configuration(SystemClock())
-        self.board = GossipState()
+        self.gossip_state = GossipState()
         self.network = PeerNetwork("c", "d")
         self.network.start()
         self.platform_reads = 0
         self.platform = platform
-        self.spread = RevisionUpdater(
+        self.updater = RevisionUpdater(
             self.configuration,
-            self.board,
+            self.gossip_state,
             self.network,
             lambda: [peer.network.address for peer in peers],
             self.read_platform,
@@ -75,7 +75,7 @@
         return self.platform
 
     def receive_announcement(self, other):
-        self.board.record(other.board.find("revision"))
+        self.gossip_state.record(other.gossip_state.find("revision"))
 
 
 @pytest.fixture
@@ -97,9 +97,9 @@
         daemon.configuration.adopt(make_revision(1))
     first.configuration.adopt(make_revision(2, copies=2))
     second.receive_announcement(first)
-    assert second.spread.catch_up()
+    assert second.updater.catch_up()
     assert second.configuration.digest == first.configuration.digest
-    assert second.spread.counts.by_news == 1
+    assert second.updater.counts.by_news == 1
 
 
 def test_a_daemon_that_missed_revisions_gets_the_difference(start):
@@ -110,9 +110,9 @@
     for number in (2, 3, 4):
         first.configuration.adopt(make_revision(number, copies=number))
     second.receive_announcement(first)
-    assert second.spread.catch_up()
+    assert second.updater.catch_up()
     assert second.configuration.revision == 4
-    assert (second.spread.counts.by_difference, second.spread.counts.by_whole) == (1, 0)
+    assert (second.updater.counts.by_difference, second.updater.counts.by_whole) == (1, 0)
 
 
 def test_a_new_daemon_without_the_platform_gets_the_complete_file_from_a_peer(start):
@@ -120,9 +120,9 @@
     second = start(first)
     first.configuration.adopt(make_revision(7, models=2_000))
     assert not second.configuration.is_ready
-    assert second.spread.catch_up()
+    assert second.updater.catch_up()
     assert second.configuration.digest == first.configuration.digest
-    assert second.spread.counts.by_whole == 1
+    assert second.updater.counts.by_whole == 1
 
 
 def test_a_new_daemon_adopts_the_highest_revision_of_its_peers(start):
@@ -130,7 +130,7 @@
     behind.configuration.adopt(make_revision(3))
     ahead.configuration.adopt(make_revision(4))
     new = start(behind, ahead)
-    assert new.spread.catch_up()
+    assert new.updater.catch_up()
     assert [step.number for step in new.configuration.adoptions] == [4]
 
 
@@ -141,7 +141,7 @@
     new = start(behind)
     new.receive_announcement(ahead)
     ahead.network.stop()
-    assert not new.spread.catch_up()
+    assert not new.updater.catch_up()
     assert new.configuration.revision == 3
 
 
@@ -152,9 +152,9 @@
     second.configuration.adopt(make_revision(1, copies=9))
     first.configuration.adopt(make_revision(2, copies=2))
     second.receive_announcement(first)
-    assert second.spread.catch_up()
+    assert second.updater.catch_up()
     assert second.configuration.digest == first.configuration.digest
-    assert second.spread.counts.by_whole == 1
+    assert second.updater.counts.by_whole == 1
 
 
 class StalePlatform:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -37,11 +37,11 @@
     def __init__(self, name, zone, seeds=(), listen="127.0.0.1:0"):
         self.network = CutNetwork("test", name, listen)
         self.address = self.network.start()
-        self.board = GossipState()
-        self.spread = Gossip(self.board, self.network, zone, zone_prefixes=("vm/",))
+        self.gossip_state = GossipState()
+        self.gossip = Gossip(self.gossip_state, self.network, zone, zone_prefixes=("vm/",))
         own = Member(name, zone, "", "", "")
         self.membership = Membership(
-            own, self.board, self.network, self.spread, seeds=seeds, times=TIMES
+            own, self.gossip_state, self.network, self.gossip, seeds=seeds, times=TIMES
         )
         self.membership.start()
 
@@ -50,7 +50,7 @@
 
     def crash(self):
         gevent.killall(self.membership._tasks, block=False)
-        self.spread._task.kill(block=False)
+        self.gossip._task.kill(block=False)
         self.network.stop()
 
 
@@ -95,11 +95,11 @@
 def test_daemons_join_by_one_seed_and_exchange_gossip(start_daemons):
     daemons = start_daemons("a", "a", "a", "b", "b", "b")
     wait_for_live_count(daemons, 6)
-    daemons[0].board.record(GossipItem("revision", 7, "content"))
-    daemons[0].board.record(GossipItem("vm/llm-1", 1, "live"))
-    wait_until(lambda: all(daemon.board.find("revision") for daemon in daemons))
-    wait_until(lambda: all(daemon.board.find("vm/llm-1") for daemon in daemons[:3]))
-    assert not any(daemon.board.find("vm/llm-1") for daemon in daemons[3:])
+    daemons[0].gossip_state.record(GossipItem("revision", 7, "content"))
+    daemons[0].gossip_state.record(GossipItem("vm/llm-1", 1, "live"))
+    wait_until(lambda: all(daemon.gossip_state.find("revision") for daemon in daemons))
+    wait_until(lambda: all(daemon.gossip_state.find("vm/llm-1") for daemon in daemons[:3]))
+    assert not any(daemon.gossip_state.find("vm/llm-1") for daemon in daemons[3:])
 
 
 def test_a_crashed_daemon_is_dead_everywhere(start_daemons):
@@ -126,10 +126,10 @@
     cut(daemons[:2], daemons[2:])
     wait_for_live_count(daemons[:2], 2)
     wait_for_live_count(daemons[2:], 3)
-    daemons[4].board.record(GossipItem("revision", 8, "news of the cut"))
+    daemons[4].gossip_state.record(GossipItem("revision", 8, "news of the cut"))
     heal(daemons)
     wait_for_live_count(daemons, 5)
-    wait_until(lambda: daemons[0].board.find("revision") is not None)
+    wait_until(lambda: daemons[0].gossip_state.find("revision") is not None)
 
 
 def test_an_isolated_daemon_shows_its_peers_dead_without_reporting_them(start_daemons):
@@ -191,9 +191,9 @@
 def test_an_invalid_member_item_is_ignored(start_daemons):
     daemons = start_daemons("a", "a")
     wait_for_live_count(daemons, 2)
-    daemons[0].board.record(GossipItem("member/odd", 4, "not a member"))
-    daemons[0].board.record(GossipItem("revision", 1, "after it"))
-    wait_until(lambda: daemons[1].board.find("revision"))
+    daemons[0].gossip_state.record(GossipItem("member/odd", 4, "not a member"))
+    daemons[0].gossip_state.record(GossipItem("revision", 1, "after it"))
+    wait_until(lambda: daemons[1].gossip_state.find("revision"))
     wait_for_live_count(daemons, 2)
 
 
@@ -202,7 +202,7 @@
     wait_for_live_count(daemons, 2)
     twin = Daemon("a-1", "a", (daemons[0].address,))
     try:
-        wait_until(lambda: daemons[0].board.find("member/a-1").value[2] == twin.address)
+        wait_until(lambda: daemons[0].gossip_state.find("member/a-1").value[2] == twin.address)
         incarnation = twin.membership.own.incarnation
         gevent.sleep(0.3)
         assert twin.membership.own.incarnation == incarnation
--- a/tests/test_quarantine_at_entry.py
+++ b/tests/test_quarantine_at_entry.py
@@ -113,9 +113,13 @@
     assert guard.counts.ends == 2
 
 
-def make_news(name, clock):
-    board, quarantine = GossipState(), Quarantine(clock)
-    return SuspectGossip(name, board, quarantine, lambda: False, clock), board, quarantine
+def make_gossip(name, clock):
+    gossip_state, quarantine = GossipState(), Quarantine(clock)
+    return (
+        SuspectGossip(name, gossip_state, quarantine, lambda: False, clock),
+        gossip_state,
+        quarantine,
+    )
 
 
 def spread(source, *targets):
@@ -125,36 +129,36 @@
 
 
 def test_gossip_shares_quarantine_and_release(clock):
-    news, board, quarantine = make_news("e1", clock)
-    _, other_board, other = make_news("e2", clock)
+    gossip, gossip_state, quarantine = make_gossip("e1", clock)
+    _, other_state, other = make_gossip("e2", clock)
     for server in ("s1", "s2", "s3"):
         quarantine.record_crash(CONTENT, server)
-    news.publish_changes()
-    spread(board, other_board)
+    gossip.publish_changes()
+    spread(gossip_state, other_state)
     assert other.list_quarantined() == [CONTENT]
     quarantine.record_answer(CONTENT)
-    news.publish_changes()
-    spread(board, other_board)
+    gossip.publish_changes()
+    spread(gossip_state, other_state)
     assert other.list_quarantined() == [], "also within the same millisecond of wall-clock time"
 
 
 def test_expired_gossip_is_withdrawn_also_for_stopped_daemons(clock):
-    news, board, quarantine = make_news("e1", clock)
-    gone, gone_board, gone_quarantine = make_news("e2", clock)
+    gossip, gossip_state, quarantine = make_gossip("e1", clock)
+    gone, gone_state, gone_quarantine = make_gossip("e2", clock)
     gone_quarantine.record_crash(CONTENT, "s1")
     gone.publish_changes()
-    spread(gone_board, board)
+    spread(gone_state, gossip_state)
     clock.advance(SUSPECT_RETENTION_MS + 1)
     quarantine.record_crash("another", "s2")
-    news.publish_changes()
-    left = [item.key for item in board.list_items(SUSPECT_PREFIX) if not item.tombstone]
+    gossip.publish_changes()
+    left = [item.key for item in gossip_state.list_items(SUSPECT_PREFIX) if not item.tombstone]
     assert left == [f"{SUSPECT_PREFIX}another/e1"]
 
 
 @pytest.mark.parametrize("value", [None, 5, [], ["x", 1, 2, 3], {"a": 1}])
 def test_malformed_gossip_is_ignored(clock, value):
-    _, board, quarantine = make_news("e1", clock)
-    board.record(GossipItem(f"{SUSPECT_PREFIX}x/e9", 1, value))
+    _, gossip_state, quarantine = make_gossip("e1", clock)
+    gossip_state.record(GossipItem(f"{SUSPECT_PREFIX}x/e9", 1, value))
     assert quarantine.is_empty
 
 
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -59,13 +59,13 @@
     )
 
 
-def make_feed(clock, name, board=None):
+def make_feed(clock, name, gossip_state=None):
     platform = FakePlatform()
-    board = board or GossipState()
+    gossip_state = gossip_state or GossipState()
     return (
         platform,
-        board,
-        NoticeFeed(platform, WatcherSelection(name, ZONE, lambda: NAMES), board, clock),
+        gossip_state,
+        NoticeFeed(platform, WatcherSelection(name, ZONE, lambda: NAMES), gossip_state, clock),
     )
 
 
@@ -75,57 +75,57 @@
 
 
 def test_notices_and_heartbeat_are_published(clock):
-    platform, board, feed = make_feed(clock, WATCHING[0])
+    platform, gossip_state, feed = make_feed(clock, WATCHING[0])
     platform.notices = [SimpleNamespace(number=4, vm="llm-1", deadline_wall_ms=77)]
     feed.read_notices()
-    assert board.find("notice/llm-1").value == {"deadline_wall_ms": 77}
-    assert board.find(f"feed/{ZONE}").value == {"number": 4, "answered": True}
+    assert gossip_state.find("notice/llm-1").value == {"deadline_wall_ms": 77}
+    assert gossip_state.find(f"feed/{ZONE}").value == {"number": 4, "answered": True}
 
 
 def test_other_daemon_queries_when_heartbeats_stop(clock):
-    platform, board, feed = make_feed(clock, RESTING)
+    platform, gossip_state, feed = make_feed(clock, RESTING)
     platform.notices = [SimpleNamespace(number=4, vm="llm-1", deadline_wall_ms=77)]
     feed.check()
     assert platform.asked == 0
     clock.advance(FEED_SILENCE_MS + 1)
     feed.check()
-    assert board.find("notice/llm-1") is not None
+    assert gossip_state.find("notice/llm-1") is not None
     feed.check()
     assert platform.asked == 1
 
 
 def test_watcher_publishes_heartbeat_without_the_platform(clock):
-    platform, board, feed = make_feed(clock, WATCHING[1])
+    platform, gossip_state, feed = make_feed(clock, WATCHING[1])
     platform.is_down = True
     with pytest.raises(PlatformError):
         feed.read_notices()
-    assert board.find(f"feed/{ZONE}").value["answered"] is False
+    assert gossip_state.find(f"feed/{ZONE}").value["answered"] is False
 
 
 def test_next_daemons_query_when_the_watchers_get_no_answer(clock):
-    platform, board, feed = make_feed(clock, RESTING)
+    platform, gossip_state, feed = make_feed(clock, RESTING)
     sign = GossipItem(f"feed/{ZONE}", 1, {"number": 0, "answered": False}, tombstone=True)
-    board.record(sign)
+    gossip_state.record(sign)
     feed.check()
     assert platform.asked == 1
 
 
 def test_vm_counts_as_removed_only_after_the_removal_delay(clock):
-    platform, board = FakePlatform(), GossipState()
-    vms = VmFeed(platform, ZONE, board, clock)
+    platform, gossip_state = FakePlatform(), GossipState()
+    vms = VmFeed(platform, ZONE, gossip_state, clock)
     platform.vms = [make_vm("a"), make_vm("b")]
     vms.ask()
     platform.vms = [make_vm("b")]
     vms.ask()
     clock.advance(VM_REMOVAL_DELAY_MS - 1)
     vms.ask()
-    assert board.find("vm/a").value["state"] == "live"
-    board.record(GossipItem("notice/a", 4, {"deadline_wall_ms": 77}))
+    assert gossip_state.find("vm/a").value["state"] == "live"
+    gossip_state.record(GossipItem("notice/a", 4, {"deadline_wall_ms": 77}))
     clock.advance(1)
     vms.ask()
-    assert board.find("vm/a").value["state"] == "gone"
-    assert board.find("vm/a").tombstone and board.find("notice/a").tombstone
-    assert board.find("vm/b").value["state"] == "live"
+    assert gossip_state.find("vm/a").value["state"] == "gone"
+    assert gossip_state.find("vm/a").tombstone and gossip_state.find("notice/a").tombstone
+    assert gossip_state.find("vm/b").value["state"] == "live"
 
 
 def test_watcher_backs_off_while_the_platform_fails(clock):
--- a/tools/capacity_daemon.py
+++ b/tools/capacity_daemon.py
@@ -51,15 +51,15 @@
         self.bare_bytes = read_resident_bytes()
         self.network = PeerNetwork("capacity", settings["name"])
         self.network.start()
-        self.board = GossipState()
-        self.spread = spread_type(self.board, self.network, settings["zone"])
+        self.gossip_state = GossipState()
+        self.gossip = spread_type(self.gossip_state, self.network, settings["zone"])
         own = Member(settings["name"], settings["zone"], settings["region"], "", "127.0.0.1:0")
         self.membership = membership_type(
-            own, self.board, self.network, self.spread, seeds=settings["seeds"]
+            own, self.gossip_state, self.network, self.gossip, seeds=settings["seeds"]
         )
         self.learned_ms: dict[str, float] = {}
         self.dead_ms: dict[str, float] = {}
-        self.board.add_listener("measured/", self._note_news)
+        self.gossip_state.add_listener("measured/", self._note_news)
         self.membership.add_listener(self._note_member)
         self.membership.start()
 
@@ -83,9 +83,9 @@
             "links": len(list(self.membership._find_links().probed)),
             "neighbours": len(list(self.membership._find_links().gossip_peers)),
             "streams": len(self.network.list_streams()),
-            "items_in": self.spread.items_in,
-            "items_known": self.spread.duplicate_items,
-            "repairs": self.spread.repairs,
+            "items_in": self.gossip.items_in,
+            "items_known": self.gossip.duplicate_items,
+            "repairs": self.gossip.repairs,
             "live": len(self.membership.list_live()),
             "processor_ms": (usage.ru_utime + usage.ru_stime) * 1000,
             "resident_bytes": read_resident_bytes(),
@@ -97,21 +97,21 @@
     def publish(self, key: str, size_bytes: int) -> dict:
         """Learn a new item of this size and return when."""
         now_ms = time.monotonic() * 1000
-        self.board.record(GossipItem(f"measured/{key}", 1, "x" * size_bytes))
+        self.gossip_state.record(GossipItem(f"measured/{key}", 1, "x" * size_bytes))
         return {"published_ms": now_ms}
 
     def hold(self, members: int, items: int) -> dict:
         """Return the memory that further dead members and items take; nothing is sent."""
-        self.membership._spread._list_peers = tuple
+        self.membership._gossip._list_peers = tuple
         before_bytes = read_resident_bytes()
         for number in range(members):
             member = Member(f"held-{number:06}", "zone", "region", "10.0.0.1:65000", "10.0.0.1:1")
             item = member.to_item()
-            self.board.record(GossipItem(item.key, item.version, item.value, True))
+            self.gossip_state.record(GossipItem(item.key, item.version, item.value, True))
         with_members_bytes = read_resident_bytes()
         for number in range(items):
             value = {"name": f"vm-{number:06}", "address": "10.0.0.1:65000", "state": "live"}
-            self.board.record(GossipItem(f"vm/vm-{number:06}", 1, value))
+            self.gossip_state.record(GossipItem(f"vm/vm-{number:06}", 1, value))
         with_items_bytes = read_resident_bytes()
         return {
             "member_bytes": (with_members_bytes - before_bytes) / max(members, 1),
--- a/tools/capacity_variants.py
+++ b/tools/capacity_variants.py
@@ -32,7 +32,7 @@
     """Every item goes whole over every link."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
-        super().__init__(*arguments, bounds=GossipLimits(max_pushed_bytes=1_000_000), **options)
+        super().__init__(*arguments, limits=GossipLimits(max_pushed_bytes=1_000_000), **options)
 
 
 class MeshSpread(FloodSpread):
@@ -78,10 +78,10 @@
     def _prune(self, sender: str, message: Prune) -> None:
         self._lazy.add(sender)
 
-    def _receive_news(self, sender: str, news: GossipItems) -> None:
+    def _receive_items(self, sender: str, message: GossipItems) -> None:
         before = self.duplicate_items
-        super()._receive_news(sender, news)
-        if news.items and self.duplicate_items - before == len(news.items):
+        super()._receive_items(sender, message)
+        if message.items and self.duplicate_items - before == len(message.items):
             self._lazy.add(sender)
             self._network.send(sender, Prune())
         else:
@@ -104,7 +104,7 @@
             return
         self._lazy.discard(sender)
         try:
-            self._receive_news(sender, self._network.ask(sender, Fetch(keys), 1_000))
+            self._receive_items(sender, self._network.ask(sender, Fetch(keys), 1_000))
         except PeerError:
             return
 
--- a/tools/measure_subsets.py
+++ b/tools/measure_subsets.py
@@ -63,11 +63,11 @@
 
 def measure_choice() -> dict[str, float]:
     """Return the processor time of one choice over the subset, for a prompt of 1,000 words."""
-    board = GossipState()
-    directory = BackendDirectory(board, SystemClock(), "zone-1", "entry-1", lambda: DAEMONS)
+    gossip_state = GossipState()
+    directory = BackendDirectory(gossip_state, SystemClock(), "zone-1", "entry-1", lambda: DAEMONS)
     for name in SERVERS:
         vm = {"name": name, "zone": "zone-1", "address": "127.0.0.1:1", "serves": "m"}
-        board.record(GossipItem(f"vm/{name}", 1, vm))
+        gossip_state.record(GossipItem(f"vm/{name}", 1, vm))
     router = Router(directory)
     need = RequestNeeds("m", hash_blocks(PROMPT), prompt_tokens=1_000)
     for server in directory.list_servers("m"):
