--- a/hemlockswitch/process/__init__.py
+++ b/hemlockswitch/process/__init__.py
@@ -9,10 +9,10 @@
 builds and connects its parts.
 
 The daemons
-    ``gateway``; ``entry`` with ``serving``, ``facts``, ``freshness`` and ``departure``;
+    ``gateway``; ``entry`` with ``serving``, ``cluster_state``, ``freshness`` and ``departure``;
     ``controller``.
 Subjects
-    ``membership``, ``news``, ``servers``, ``revisions``, ``shares``, ``claims``, ``handover``,
+    ``membership``, ``gossip``, ``servers``, ``revisions``, ``shares``, ``claims``, ``handover``,
     ``copies``, ``status``; ``lease``, used by both controllers and gateways.
 Metrics and traces
     ``metrics``, ``peer_metrics``, ``traces``, ``records``, ``reports``.
--- a/hemlockswitch/process/claims/members.py
+++ b/hemlockswitch/process/claims/members.py
@@ -6,7 +6,7 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.process.claims.routes import ClaimPeer
 from hemlockswitch.process.claims.store import ClaimStore
-from hemlockswitch.process.facts import ClusterState
+from hemlockswitch.process.cluster_state import ClusterState
 from hemlockswitch.process.membership.members import Member, MemberState
 from hemlockswitch.process.membership.membership import Membership
 from hemlockswitch.version.models import Limits
--- a/hemlockswitch/process/facts.py
+++ b/hemlockswitch/process/cluster_state.py
@@ -9,10 +9,10 @@
 from hemlockswitch.connection.platform import PlatformClient
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.process.freshness import Freshness, Refresh, choose_sample
+from hemlockswitch.process.gossip.gossip import Gossip
+from hemlockswitch.process.gossip.state import GossipState
 from hemlockswitch.process.membership.discovery import Discovery
 from hemlockswitch.process.membership.membership import Member, Membership, ProbeTimes
-from hemlockswitch.process.news.board import GossipState
-from hemlockswitch.process.news.spread import Gossip
 from hemlockswitch.process.servers.backends import NOTICE_PREFIX, VM_PREFIX, BackendDirectory
 from hemlockswitch.process.servers.load_polls import LoadPolls
 from hemlockswitch.process.servers.vm_feed import VmFeed
--- a/hemlockswitch/process/controller.py
+++ b/hemlockswitch/process/controller.py
@@ -18,19 +18,19 @@
 from hemlockswitch.core.errors import HemlockError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.copies.control import Controller, ControlSettings
+from hemlockswitch.process.copies.controller import Controller, ControlSettings
 from hemlockswitch.process.copies.cost import CostMeter
 from hemlockswitch.process.copies.observed_zone import Sources
 from hemlockswitch.process.copies.reclaims import Reclaims
 from hemlockswitch.process.copies.records import CopyRecords
 from hemlockswitch.process.copies.usage import EntryDaemonClient
 from hemlockswitch.process.copies.zone_load import ZoneSummaries
+from hemlockswitch.process.gossip.state import GossipState
 from hemlockswitch.process.lease import Lease, LeaseTimes
-from hemlockswitch.process.news.board import GossipState
 from hemlockswitch.process.revisions.configuration import Configuration
-from hemlockswitch.process.revisions.spread import RevisionUpdater
 from hemlockswitch.process.revisions.store import RevisionStore
 from hemlockswitch.process.revisions.tasks import READ_TIMEOUT_MS, follow_pointer
+from hemlockswitch.process.revisions.updates import RevisionUpdater
 from hemlockswitch.version.models import OperatorFile
 from hemlockswitch.version.revisions import CURRENT_POINTER, POINTER_KIND
 from hemlockswitch.version.settings import ControllerSettings
--- a/hemlockswitch/process/copies/control.py
+++ b/hemlockswitch/process/copies/controller.py
@@ -12,9 +12,9 @@
 from hemlockswitch.core.identifiers import make_identifier
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.copies.changes import CopyStarter, CopyStopper, OrderSender, StoppingCopy
-from hemlockswitch.process.copies.copies import Copy, Plan, Planner, plan_excess_stops
 from hemlockswitch.process.copies.cost import CostMeter, LicensedCopy
 from hemlockswitch.process.copies.observed_zone import LIVE, ObservedZone, Sources
+from hemlockswitch.process.copies.planner import Copy, Plan, Planner, plan_excess_stops
 from hemlockswitch.process.copies.records import CopyRecord, CopyRecords, CopyState, CopyTable
 from hemlockswitch.process.copies.targets import WantedTarget, list_wanted
 from hemlockswitch.process.lease import Lease
--- a/hemlockswitch/process/copies/demand.py
+++ b/hemlockswitch/process/copies/demand.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.process.copies.copies import Demand
+from hemlockswitch.process.copies.planner import Demand
 
 FALL_FACTOR = 4
 DEFAULT_HOLDING_MS = 2_000
--- a/hemlockswitch/process/copies/observed_zone.py
+++ b/hemlockswitch/process/copies/observed_zone.py
@@ -10,8 +10,8 @@
 from hemlockswitch.core.errors import PeerError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.copies.copies import Place
 from hemlockswitch.process.copies.demand import DemandMeter
+from hemlockswitch.process.copies.planner import Place
 from hemlockswitch.process.copies.reclaims import Reclaims
 from hemlockswitch.process.copies.records import CopyRecord
 from hemlockswitch.process.copies.targets import WantedTarget
--- a/hemlockswitch/process/copies/targets.py
+++ b/hemlockswitch/process/copies/targets.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from functools import singledispatch
 
-from hemlockswitch.process.copies.copies import Target
+from hemlockswitch.process.copies.planner import Target
 from hemlockswitch.version.machine_class import MachineClass
 from hemlockswitch.version.models import Model, OperatorFile, Service
 
--- a/hemlockswitch/process/copies/zone_load.py
+++ b/hemlockswitch/process/copies/zone_load.py
@@ -12,7 +12,7 @@
 from hemlockswitch.connection.stored_objects import StoredObject, Written
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.errors import BackendError
-from hemlockswitch.process.copies.copies import Place
+from hemlockswitch.process.copies.planner import Place
 from hemlockswitch.version.machine_class import MachineClass
 
 STATUS_KIND = "status"
--- a/hemlockswitch/process/departure.py
+++ b/hemlockswitch/process/departure.py
@@ -7,7 +7,8 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.facts import ClusterState
+from hemlockswitch.process.cluster_state import ClusterState
+from hemlockswitch.process.gossip.state import GossipItem
 from hemlockswitch.process.handover.handover import Handover, HandoverMember
 from hemlockswitch.process.handover.messages import (
     ConfirmTake,
@@ -19,11 +20,10 @@
 from hemlockswitch.process.handover.resuming import Resuming
 from hemlockswitch.process.handover.state_store import StateStore
 from hemlockswitch.process.membership.members import MemberState
-from hemlockswitch.process.news.board import GossipItem
 from hemlockswitch.process.records import RequestRecords
 from hemlockswitch.process.servers.backends import NOTICE_PREFIX
 from hemlockswitch.process.serving import Serving
-from hemlockswitch.process.shares.members import list_share_members
+from hemlockswitch.process.shares.factory import list_share_members
 from hemlockswitch.request.admission import Admission
 from hemlockswitch.request.attempt import AttemptOpener
 from hemlockswitch.request.relay import Relay
--- a/hemlockswitch/process/entry.py
+++ b/hemlockswitch/process/entry.py
@@ -14,28 +14,28 @@
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock, SystemClock
 from hemlockswitch.core.errors import ErrorKind, RequestError
 from hemlockswitch.process.claims.members import build_claims
+from hemlockswitch.process.cluster_state import ClusterState
 from hemlockswitch.process.copies.usage import UsageReporter
 from hemlockswitch.process.departure import Departure
-from hemlockswitch.process.facts import ClusterState
 from hemlockswitch.process.metrics import EntryMetrics
 from hemlockswitch.process.peer_metrics import PeerCollector
+from hemlockswitch.process.quarantine.crash_detector import ConnectionCrashDetector
 from hemlockswitch.process.quarantine.guard import Guard
-from hemlockswitch.process.quarantine.held_requests import QuarantineStore
 from hemlockswitch.process.quarantine.metrics import GuardCollector
-from hemlockswitch.process.quarantine.server_ends import ConnectionCrashDetector
-from hemlockswitch.process.quarantine.suspect_news import SuspectGossip
+from hemlockswitch.process.quarantine.quarantine_store import QuarantineStore
+from hemlockswitch.process.quarantine.suspect_gossip import SuspectGossip
 from hemlockswitch.process.records import RequestRecords
 from hemlockswitch.process.reports import RequestReports
 from hemlockswitch.process.revisions.tasks import RevisionTasks
 from hemlockswitch.process.serving import Serving
-from hemlockswitch.process.shares.members import PLATFORM_CALL_TIMEOUT_MS as SHARE_CALL_MS
-from hemlockswitch.process.shares.members import build_shares
+from hemlockswitch.process.shares.factory import PLATFORM_CALL_TIMEOUT_MS as SHARE_CALL_MS
+from hemlockswitch.process.shares.factory import build_shares
 from hemlockswitch.process.tasks import Tasks
 from hemlockswitch.process.traces import Tracing
 from hemlockswitch.request.admission import Admission
 from hemlockswitch.request.attempt import AttemptOpener
 from hemlockswitch.request.capacity import CapacityQueue
-from hemlockswitch.request.moving import Mover
+from hemlockswitch.request.migration import Mover
 from hemlockswitch.request.overdue import OverdueSweep
 from hemlockswitch.request.quarantine import Quarantine
 from hemlockswitch.request.relay import Relay
--- a/hemlockswitch/process/gateway/daemon.py
+++ b/hemlockswitch/process/gateway/daemon.py
@@ -15,10 +15,11 @@
 from hemlockswitch.process.gateway.adapter import Adapter
 from hemlockswitch.process.gateway.change_relay import ChangeRelay, name_process
 from hemlockswitch.process.gateway.configuration import ServingTableStore
-from hemlockswitch.process.gateway.duty_parts import build_duties
+from hemlockswitch.process.gateway.duty_assembly import build_duties
 from hemlockswitch.process.gateway.fleet import Fleet
+from hemlockswitch.process.gateway.fleet_clock import FleetClock
 from hemlockswitch.process.gateway.followed_objects import FollowedObjects
-from hemlockswitch.process.gateway.knowledge import GatewayState
+from hemlockswitch.process.gateway.gateway_state import GatewayState
 from hemlockswitch.process.gateway.loads import ServerLoads
 from hemlockswitch.process.gateway.observation import GatewayObserver
 from hemlockswitch.process.gateway.pages import GatewayPages
@@ -31,12 +32,11 @@
 from hemlockswitch.process.gateway.rollouts import Rollouts
 from hemlockswitch.process.gateway.service_models import FIT_INTERVAL_MS, ServiceModels
 from hemlockswitch.process.gateway.suspect_exchange import SuspectExchange
-from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.gateway.usage import UsageCounts
 from hemlockswitch.process.gateway.view import GatewayView
+from hemlockswitch.process.quarantine.crash_detector import ConnectionCrashDetector
 from hemlockswitch.process.quarantine.guard import Guard
-from hemlockswitch.process.quarantine.held_requests import QuarantineStore
-from hemlockswitch.process.quarantine.server_ends import ConnectionCrashDetector
+from hemlockswitch.process.quarantine.quarantine_store import QuarantineStore
 from hemlockswitch.process.tasks import Tasks
 from hemlockswitch.request.forwarding import Forwarder
 from hemlockswitch.request.quarantine import Quarantine
--- a/hemlockswitch/process/gateway/duties.py
+++ b/hemlockswitch/process/gateway/duties.py
@@ -7,11 +7,11 @@
 from hemlockswitch.core.errors import PlatformError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
+from hemlockswitch.process.gateway.fleet_clock import FleetClock
 from hemlockswitch.process.gateway.rollout_duty import RolloutDuty
 from hemlockswitch.process.gateway.scaling import ScalingDuty
-from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.gateway.usage import UsageDuty
-from hemlockswitch.process.gateway.usage_keeper import SAVE_INTERVAL_MS, UsageStore, save_or_log
+from hemlockswitch.process.gateway.usage_store import SAVE_INTERVAL_MS, UsageStore, save_or_log
 from hemlockswitch.process.lease import Lease, LeaseError, LeaseTimes
 
 LEASE_NAME = "duties"
--- a/hemlockswitch/process/gateway/duty_parts.py
+++ b/hemlockswitch/process/gateway/duty_assembly.py
@@ -4,14 +4,14 @@
 
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.process.gateway.adapter import Adapter
+from hemlockswitch.process.gateway.copy_demand import PlannedCopies
 from hemlockswitch.process.gateway.duties import LEASE_NAME, DutyRunner, make_lease_times
 from hemlockswitch.process.gateway.followed_objects import FollowedObjects
-from hemlockswitch.process.gateway.knowledge import GatewayState
-from hemlockswitch.process.gateway.planned_copies import PlannedCopies
+from hemlockswitch.process.gateway.gateway_state import GatewayState
 from hemlockswitch.process.gateway.rollout_duty import RolloutDuty
 from hemlockswitch.process.gateway.scaling import ScalingApi, ScalingDuty
 from hemlockswitch.process.gateway.usage import UsageDuty
-from hemlockswitch.process.gateway.usage_keeper import UsageStore
+from hemlockswitch.process.gateway.usage_store import UsageStore
 from hemlockswitch.process.lease import Lease
 from hemlockswitch.version.gateway_settings import GatewaySettings
 
--- a/hemlockswitch/process/gateway/fleet.py
+++ b/hemlockswitch/process/gateway/fleet.py
@@ -20,7 +20,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.gateway.messages import GatewayReport
-from hemlockswitch.process.gateway.neighbours import Peer, PeerGroups, draw_relays
+from hemlockswitch.process.gateway.peer_groups import Peer, PeerGroups, draw_relays
 from hemlockswitch.process.gateway.registrations import GATEWAY_KIND, Registration
 from hemlockswitch.process.gateway.report_period import ReportPeriod, UsagePeriod
 from hemlockswitch.process.gateway.watch_guard import StoreView
--- a/hemlockswitch/process/gateway/knowledge.py
+++ b/hemlockswitch/process/gateway/gateway_state.py
@@ -4,12 +4,12 @@
 
 from hemlockswitch.process.gateway.configuration import ServingTableStore
 from hemlockswitch.process.gateway.fleet import Fleet
+from hemlockswitch.process.gateway.fleet_clock import FleetClock
 from hemlockswitch.process.gateway.loads import ServerLoads
 from hemlockswitch.process.gateway.reachability import Reachability
 from hemlockswitch.process.gateway.registry import ServerRegistry
 from hemlockswitch.process.gateway.rollouts import Rollouts
 from hemlockswitch.process.gateway.service_models import ServiceModels
-from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.gateway.usage import UsageCounts
 
 
--- a/hemlockswitch/process/gateway/loads.py
+++ b/hemlockswitch/process/gateway/loads.py
@@ -17,8 +17,8 @@
 )
 from hemlockswitch.request.dialect import Chain, Prompt
 from hemlockswitch.request.engine_model import PRIOR
-from hemlockswitch.request.homes import NOT_PREFERRED, PreferredServers
 from hemlockswitch.request.placement import PREFERRED_CONSIDERED, Candidate, sample_servers
+from hemlockswitch.request.preferred_servers import NOT_PREFERRED, PreferredServers
 from hemlockswitch.version.backend import BackendServer
 
 MAX_RECORDED_PREFIXES = 4_096
--- a/hemlockswitch/process/gateway/observation.py
+++ b/hemlockswitch/process/gateway/observation.py
@@ -3,8 +3,8 @@
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
+from hemlockswitch.process.gateway.fleet_clock import FleetClock
 from hemlockswitch.process.gateway.metrics import GatewayMetrics
-from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.gateway.usage import UsageCounts
 from hemlockswitch.request.progress import Progress
 from hemlockswitch.request.send_states import SendFailure
--- a/hemlockswitch/process/gateway/reports.py
+++ b/hemlockswitch/process/gateway/reports.py
@@ -22,7 +22,7 @@
     send_to_first,
     write_loads,
 )
-from hemlockswitch.process.gateway.knowledge import GatewayState
+from hemlockswitch.process.gateway.gateway_state import GatewayState
 from hemlockswitch.process.gateway.messages import (
     ChangeReport,
     GatewayReport,
@@ -30,7 +30,7 @@
     SpendingReport,
     UsageReport,
 )
-from hemlockswitch.process.gateway.neighbours import Peer
+from hemlockswitch.process.gateway.peer_groups import Peer
 from hemlockswitch.process.gateway.report_period import ReportPeriod
 from hemlockswitch.process.gateway.watch_guard import StoreView
 
--- a/hemlockswitch/process/gateway/rollout_duty.py
+++ b/hemlockswitch/process/gateway/rollout_duty.py
@@ -7,11 +7,11 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
+from hemlockswitch.process.gateway.fleet_clock import FleetClock
 from hemlockswitch.process.gateway.rollout_progress import (
     MIN_MOVE_MS,
     RolloutProgress,
 )
-from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.request.rollout_verdict import Verdict
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.rollout import OrderIdentity, RolloutOrder, RolloutState
--- a/hemlockswitch/process/gateway/rollouts.py
+++ b/hemlockswitch/process/gateway/rollouts.py
@@ -17,10 +17,10 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.identifiers import hash_stable, rank_rendezvous
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.gateway.known_versions import AdmittedVersions
+from hemlockswitch.process.gateway.admitted_versions import AdmittedVersions
 from hemlockswitch.process.gateway.messages import RolloutFields
+from hemlockswitch.process.gateway.rollout_attempts import RolloutAttempt, SendLimits
 from hemlockswitch.process.gateway.rollout_progress import RolloutProgress
-from hemlockswitch.process.gateway.rollout_sends import RolloutAttempt, SendLimits
 from hemlockswitch.request.rollout_credit import ExposureBound
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.rollout import RolloutOrder, RolloutState
--- a/hemlockswitch/process/gateway/suspect_exchange.py
+++ b/hemlockswitch/process/gateway/suspect_exchange.py
@@ -14,7 +14,7 @@
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.process.gateway.fleet import Fleet
-from hemlockswitch.process.gateway.neighbours import Peer
+from hemlockswitch.process.gateway.peer_groups import Peer
 from hemlockswitch.request.quarantine import Quarantine, SuspectFields, SuspectRecord
 
 SEND_INTERVAL_MS = 20.0
--- a/hemlockswitch/process/gateway/view.py
+++ b/hemlockswitch/process/gateway/view.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.process.gateway.knowledge import GatewayState
+from hemlockswitch.process.gateway.gateway_state import GatewayState
 from hemlockswitch.process.gateway.readiness import Readiness
-from hemlockswitch.process.gateway.rollout_sends import RolloutTicket
+from hemlockswitch.process.gateway.rollout_attempts import RolloutTicket
 from hemlockswitch.process.gateway.rollouts import SendProperties, draw_canary
 from hemlockswitch.request.forward_admission import AdmittedRequest
 from hemlockswitch.request.placement import (
--- a/hemlockswitch/process/gateway/zone_watchers.py
+++ b/hemlockswitch/process/gateway/zone_watchers.py
@@ -5,7 +5,7 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.freshness import STALE_VIEW_MS, QueryScope
-from hemlockswitch.process.gateway.neighbours import Peer, rank_gateway
+from hemlockswitch.process.gateway.peer_groups import Peer, rank_gateway
 
 WATCHERS_PER_ZONE = 2
 """Number of gateways of each zone that watch the object service for the others. With two of them, no change
--- a/hemlockswitch/process/news/digests.py
+++ b/hemlockswitch/process/gossip/digests.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from hemlockswitch.core.identifiers import hash_stable
-from hemlockswitch.process.news.board import GossipItem
+from hemlockswitch.process.gossip.state import GossipItem
 
 BUCKETS = 64
 _PACKED = struct.Struct(f">{BUCKETS}Q")
--- a/hemlockswitch/process/news/spread.py
+++ b/hemlockswitch/process/gossip/gossip.py
@@ -13,10 +13,8 @@
 from hemlockswitch.core.errors import ErrorKind, PeerError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.membership.members import Member
-from hemlockswitch.process.news.board import GossipItem, GossipState
-from hemlockswitch.process.news.digests import Digest, choose_bucket, list_different
-from hemlockswitch.process.news.messages import (
+from hemlockswitch.process.gossip.digests import Digest, choose_bucket, list_different
+from hemlockswitch.process.gossip.messages import (
     Compare,
     Difference,
     Fetch,
@@ -26,7 +24,9 @@
     Row,
     batch_rows,
 )
-from hemlockswitch.process.news.retrieval import Retrievals
+from hemlockswitch.process.gossip.retrieval import Retrievals
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
+from hemlockswitch.process.membership.members import Member
 
 __all__ = ["Gossip", "GossipLimits"]
 
--- a/hemlockswitch/process/news/messages.py
+++ b/hemlockswitch/process/gossip/messages.py
@@ -6,7 +6,7 @@
 import msgpack
 
 from hemlockswitch.connection.messages import register_message
-from hemlockswitch.process.news.board import GossipItem
+from hemlockswitch.process.gossip.state import GossipItem
 
 
 @register_message("news")
--- a/hemlockswitch/process/news/retrieval.py
+++ b/hemlockswitch/process/gossip/retrieval.py
@@ -8,7 +8,7 @@
 
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.core.errors import PeerError
-from hemlockswitch.process.news.messages import Fetch, GossipItems, GossipLimits, Have
+from hemlockswitch.process.gossip.messages import Fetch, GossipItems, GossipLimits, Have
 
 
 @dataclass
--- a/hemlockswitch/process/membership/members.py
+++ b/hemlockswitch/process/membership/members.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from hemlockswitch.process.news.board import GossipItem
+from hemlockswitch.process.gossip.state import GossipItem
 
 MEMBER_PREFIX = "member/"
 STATES_PER_INCARNATION = 4
--- a/hemlockswitch/process/membership/membership.py
+++ b/hemlockswitch/process/membership/membership.py
@@ -13,11 +13,11 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.identifiers import rank_rendezvous
 from hemlockswitch.core.logs import log_event
+from hemlockswitch.process.gossip.gossip import Gossip
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.membership.members import MEMBER_PREFIX, Member, MemberState
 from hemlockswitch.process.membership.overlay import Links, choose_links
 from hemlockswitch.process.membership.probes import SWEEP_INTERVAL_MS, Prober, ProbeTimes
-from hemlockswitch.process.news.board import GossipItem, GossipState
-from hemlockswitch.process.news.spread import Gossip
 
 __all__ = ["Member", "MemberState", "Membership", "ProbeTimes"]
 
--- a/hemlockswitch/process/membership/probes.py
+++ b/hemlockswitch/process/membership/probes.py
@@ -10,8 +10,8 @@
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock
 from hemlockswitch.core.errors import ErrorKind, PeerError
+from hemlockswitch.process.gossip.gossip import Gossip
 from hemlockswitch.process.membership.members import Member
-from hemlockswitch.process.news.spread import Gossip
 
 SWEEP_INTERVAL_MS = 500
 MAX_HELPERS = 3
--- a/hemlockswitch/process/peer_metrics.py
+++ b/hemlockswitch/process/peer_metrics.py
@@ -8,7 +8,7 @@
 from prometheus_client.registry import Collector
 
 from hemlockswitch.connection.links import Traffic
-from hemlockswitch.process.facts import ClusterState
+from hemlockswitch.process.cluster_state import ClusterState
 
 
 class PeerCollector(Collector):
--- a/hemlockswitch/process/quarantine/guard.py
+++ b/hemlockswitch/process/quarantine/guard.py
@@ -15,7 +15,7 @@
 from hemlockswitch.core.errors import ErrorKind, PlatformError, RequestError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.quarantine.held_requests import (
+from hemlockswitch.process.quarantine.quarantine_store import (
     HELD_KIND,
     MAX_LIST_LAG_MS,
     QuarantineStore,
--- a/hemlockswitch/process/quarantine/suspect_news.py
+++ b/hemlockswitch/process/quarantine/suspect_gossip.py
@@ -10,7 +10,7 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.request.quarantine import (
     SUSPECT_RETENTION_MS,
     Quarantine,
--- a/hemlockswitch/process/revisions/messages.py
+++ b/hemlockswitch/process/revisions/messages.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from hemlockswitch.connection.messages import register_message
-from hemlockswitch.process.news.board import GossipItem
+from hemlockswitch.process.gossip.state import GossipItem
 
 REVISION_KEY = "revision"
 
--- a/hemlockswitch/process/revisions/tasks.py
+++ b/hemlockswitch/process/revisions/tasks.py
@@ -7,11 +7,11 @@
 from hemlockswitch.connection.stored_objects import StoredObject
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
-from hemlockswitch.process.facts import ClusterState
+from hemlockswitch.process.cluster_state import ClusterState
 from hemlockswitch.process.membership.members import Member
 from hemlockswitch.process.revisions.configuration import Configuration
-from hemlockswitch.process.revisions.spread import RevisionUpdater
 from hemlockswitch.process.revisions.store import RevisionStore, read_pointer
+from hemlockswitch.process.revisions.updates import RevisionUpdater
 from hemlockswitch.process.servers.watchers import Pointer, Watcher
 from hemlockswitch.process.status.zone_status import DaemonReport, ZoneMember, ZoneStatus
 from hemlockswitch.version.revisions import CURRENT_POINTER, POINTER_KIND
--- a/hemlockswitch/process/revisions/spread.py
+++ b/hemlockswitch/process/revisions/updates.py
@@ -24,7 +24,7 @@
 from hemlockswitch.core.errors import HemlockError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.news.board import GossipState
+from hemlockswitch.process.gossip.state import GossipState
 from hemlockswitch.process.revisions.configuration import Configuration
 from hemlockswitch.process.revisions.messages import (
     REVISION_KEY,
--- a/hemlockswitch/process/servers/backends.py
+++ b/hemlockswitch/process/servers/backends.py
@@ -8,8 +8,8 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.membership.discovery import ENTRY_SERVES
-from hemlockswitch.process.news.board import GossipItem, GossipState
 from hemlockswitch.process.servers.dispatches import Dispatches
 from hemlockswitch.process.servers.loads import Ticket
 from hemlockswitch.process.servers.subsets import SUBSET_SIZE, Subset
--- a/hemlockswitch/process/servers/vm_feed.py
+++ b/hemlockswitch/process/servers/vm_feed.py
@@ -3,7 +3,7 @@
 from typing import Any, Protocol
 
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.servers.backends import NOTICE_PREFIX, VM_PREFIX
 from hemlockswitch.version.backend import BackendState
 
--- a/hemlockswitch/process/servers/watchers.py
+++ b/hemlockswitch/process/servers/watchers.py
@@ -20,7 +20,7 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.identifiers import rank_rendezvous
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.servers.backends import NOTICE_PREFIX
 
 FEED_PREFIX = "feed/"
--- a/hemlockswitch/process/shares/__init__.py
+++ b/hemlockswitch/process/shares/__init__.py
@@ -1,4 +1,4 @@
 """Limits of client accounts, divided into shares that daemons hold, lend, and return.
 
-`shares` is the interface for requests; `members` connects the components of a daemon.
+`shares` is the interface for requests; `factory` connects the components of a daemon.
 """
--- a/hemlockswitch/process/shares/borrower.py
+++ b/hemlockswitch/process/shares/borrower.py
@@ -8,7 +8,7 @@
 
 from hemlockswitch.core.clock import MS_PER_SECOND
 from hemlockswitch.core.errors import PeerError
-from hemlockswitch.process.shares.end import LoanParts, LoanParty
+from hemlockswitch.process.shares.loan_party import LoanParts, LoanParty
 from hemlockswitch.process.shares.messages import (
     BorrowShare,
     ExtendLoans,
--- a/hemlockswitch/process/shares/members.py
+++ b/hemlockswitch/process/shares/factory.py
@@ -4,9 +4,9 @@
 
 from hemlockswitch.connection.platform import PlatformClient
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.process.facts import ClusterState
+from hemlockswitch.process.cluster_state import ClusterState
+from hemlockswitch.process.gossip.state import GossipState
 from hemlockswitch.process.membership.membership import Membership
-from hemlockswitch.process.news.board import GossipState
 from hemlockswitch.process.servers.backends import VM_PREFIX
 from hemlockswitch.process.shares.parts import ShareMember
 from hemlockswitch.process.shares.shares import Shares
--- a/hemlockswitch/process/shares/lender.py
+++ b/hemlockswitch/process/shares/lender.py
@@ -3,7 +3,7 @@
 import gevent
 
 from hemlockswitch.core.errors import PeerError
-from hemlockswitch.process.shares.end import LoanParts, LoanParty
+from hemlockswitch.process.shares.loan_party import LoanParts, LoanParty
 from hemlockswitch.process.shares.messages import (
     BorrowShare,
     ExtendLoans,
--- a/hemlockswitch/process/shares/shares.py
+++ b/hemlockswitch/process/shares/shares.py
@@ -12,8 +12,8 @@
 from hemlockswitch.process.shares.anchor import BATCH_MS, ShareAnchor
 from hemlockswitch.process.shares.book import ShareBook
 from hemlockswitch.process.shares.borrower import ShareBorrower
-from hemlockswitch.process.shares.end import LoanParts
 from hemlockswitch.process.shares.lender import Lender
+from hemlockswitch.process.shares.loan_party import LoanParts
 from hemlockswitch.process.shares.messages import LoanNetwork
 from hemlockswitch.process.shares.parts import ShareMember, ShareParts
 from hemlockswitch.process.shares.record import EntryWatch, RenewShares
--- a/hemlockswitch/request/forwarding.py
+++ b/hemlockswitch/request/forwarding.py
@@ -37,7 +37,7 @@
     Sender,
     SendFailedError,
 )
-from hemlockswitch.request.unreached import UnreachedServers
+from hemlockswitch.request.unreached_servers import UnreachedServers
 from hemlockswitch.version.backend import BackendServer
 
 RETRY_DELAY_MS = 500
--- a/hemlockswitch/request/placement.py
+++ b/hemlockswitch/request/placement.py
@@ -3,7 +3,7 @@
 A model request waits until the engine has processed the prompts queued before it, and then the
 uncached part of its own prompt. Both are estimated in tokens, summed over all daemons, and converted
 to time by the latency model of the service's engines (`request.engine_model`).
-Each shared prompt part has preferred servers in its service (`request.homes`); when the first one is
+Each shared prompt part has preferred servers in its service (`request.preferred_servers`); when the first one is
 busy, the next one is used.
 """
 
@@ -13,7 +13,7 @@
 
 from hemlockswitch.request.dialect import Prompt
 from hemlockswitch.request.engine_model import PRIOR, EngineModel, EngineWork
-from hemlockswitch.request.homes import PREFERRED_COUNT
+from hemlockswitch.request.preferred_servers import PREFERRED_COUNT
 from hemlockswitch.version.backend import BackendServer
 
 PREFERRED_HIT_SHARES = (0.95, 0.5, 0.1)
--- a/hemlockswitch/request/progress.py
+++ b/hemlockswitch/request/progress.py
@@ -8,7 +8,7 @@
 from hemlockswitch.request.dialect import RequestFacts
 from hemlockswitch.request.forward_admission import AdmittedRequest
 from hemlockswitch.request.send_states import SendFailure, SendState
-from hemlockswitch.request.unreached import UnreachedServers
+from hemlockswitch.request.unreached_servers import UnreachedServers
 
 
 @dataclass
--- a/hemlockswitch/request/routing.py
+++ b/hemlockswitch/request/routing.py
@@ -9,7 +9,7 @@
 from hemlockswitch.core.errors import ErrorKind, RequestError
 from hemlockswitch.request.choices import Choice, PredictedTime, ScoredCandidate, pick
 from hemlockswitch.request.prefixes import PrefixRecord
-from hemlockswitch.request.returns import RetryTimes
+from hemlockswitch.request.retry_times import RetryTimes
 from hemlockswitch.version.backend import BackendServer
 
 DEFAULT_CHOICE: Choice = PredictedTime()
--- a/hemlockswitch/request/service_call.py
+++ b/hemlockswitch/request/service_call.py
@@ -26,7 +26,7 @@
     Directory,
     build_deadline_error,
 )
-from hemlockswitch.request.unreached import UnreachedServers
+from hemlockswitch.request.unreached_servers import UnreachedServers
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.models import Operation, Service
 
--- a/tests/crash_gateways.py
+++ b/tests/crash_gateways.py
@@ -8,7 +8,7 @@
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.process.gateway.suspect_exchange import SuspectExchange
 from hemlockswitch.process.quarantine.guard import Guard
-from hemlockswitch.process.quarantine.held_requests import QuarantineStore
+from hemlockswitch.process.quarantine.quarantine_store import QuarantineStore
 from hemlockswitch.request.quarantine import Quarantine
 from tests.memory_store import MemoryStore
 
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 from hemlockswitch.process.quarantine.guard import Guard
-from hemlockswitch.process.quarantine.held_requests import QuarantineStore
+from hemlockswitch.process.quarantine.quarantine_store import QuarantineStore
 from hemlockswitch.request.quarantine import Quarantine
 from tests.memory_store import MemoryStore
 
--- a/tests/rollout_plays.py
+++ b/tests/rollout_plays.py
@@ -9,9 +9,9 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.platform.rollouts import ROLLOUT_KIND, decode_rollout, encode_rollout_status
+from hemlockswitch.process.gateway.fleet_clock import FleetClock
 from hemlockswitch.process.gateway.rollout_duty import RolloutDuty
 from hemlockswitch.process.gateway.rollouts import Rollouts, SendProperties
-from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.lease import LeaseError
 from hemlockswitch.version.backend import BackendServer
 from tests.rollout_fleet import (
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -3,7 +3,7 @@
 from hemlockswitch.connection.loads import LoadReport
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, RequestError
-from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.servers.backends import ZONE_OFFER_EXPIRY_MS, BackendDirectory
 from hemlockswitch.request.routing import RequestNeeds, Router
 from hemlockswitch.version.backend import BackendServer
--- a/tests/test_change_relay.py
+++ b/tests/test_change_relay.py
@@ -13,13 +13,13 @@
 
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.platform.rollouts import decode_rollout
-from hemlockswitch.process.gateway import neighbours
+from hemlockswitch.process.gateway import peer_groups
 from hemlockswitch.process.gateway.accounts import SharedLimits
 from hemlockswitch.process.gateway.change_relay import MAX_GATHERED_CHANGES, ChangeRelay
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.loads import ServerLoads
 from hemlockswitch.process.gateway.messages import ChangeReport, GatewayReport, RelayedChanges
-from hemlockswitch.process.gateway.neighbours import RELAYS_PER_ZONE
+from hemlockswitch.process.gateway.peer_groups import RELAYS_PER_ZONE
 from hemlockswitch.process.gateway.report_period import ReportPeriod
 from hemlockswitch.process.gateway.reported_loads import ServerLoad
 from hemlockswitch.process.gateway.rollouts import Rollouts
@@ -281,7 +281,7 @@
 @pytest.fixture
 def site(monkeypatch):
     """Six gateways that report like those of a larger fleet."""
-    monkeypatch.setattr(neighbours, "MESH_GATEWAYS", 2)
+    monkeypatch.setattr(peer_groups, "MESH_GATEWAYS", 2)
     one = Site(gateways=GATEWAYS)
     one.wait(lambda: all(gateway.fleet.count_connected() == GATEWAYS for gateway in one.gateways))
     yield one
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,9 +13,9 @@
 from hemlockswitch.core.clock import ManualClock, SystemClock
 from hemlockswitch.core.errors import ConfigurationError, ErrorKind, PlatformError
 from hemlockswitch.process.controller import CurrentFile
-from hemlockswitch.process.news.board import GossipState
+from hemlockswitch.process.gossip.state import GossipState
 from hemlockswitch.process.revisions.configuration import Configuration
-from hemlockswitch.process.revisions.spread import RevisionUpdater
+from hemlockswitch.process.revisions.updates import RevisionUpdater
 from hemlockswitch.process.servers.watchers import Pointer
 from hemlockswitch.version.checks import parse_file
 from hemlockswitch.version.revisions import Revision
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hemlockswitch.process.copies.copies import (
+from hemlockswitch.process.copies.planner import (
     Copy,
     Demand,
     Place,
--- a/tests/test_server_ends.py
+++ b/tests/test_crash_detector.py
@@ -8,7 +8,10 @@
 import pytest
 
 from hemlockswitch.core.clock import ManualClock
-from hemlockswitch.process.quarantine.server_ends import MAX_FIRST_PROBE_MS, ConnectionCrashDetector
+from hemlockswitch.process.quarantine.crash_detector import (
+    MAX_FIRST_PROBE_MS,
+    ConnectionCrashDetector,
+)
 from hemlockswitch.version.backend import BackendServer
 
 SERVER = BackendServer("runner", "z1", "127.0.0.1:1", "llm")
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -15,7 +15,7 @@
 import gevent.socket
 import pytest
 
-from hemlockswitch.process.quarantine.held_requests import HELD_KIND
+from hemlockswitch.process.quarantine.quarantine_store import HELD_KIND
 from hemlockswitch.request.quarantine import TRIAL_INTERVALS_MS
 from hemlockswitch.standin.runner import RunnerFaults, make_seal
 from tests.crashing_runners import DEADLY, CrashingSite
--- a/tests/test_gateway_duties.py
+++ b/tests/test_gateway_duties.py
@@ -5,7 +5,7 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.process.gateway.duties import DutyRunner, make_lease_times
-from hemlockswitch.process.gateway.true_time import FleetClock
+from hemlockswitch.process.gateway.fleet_clock import FleetClock
 from hemlockswitch.process.lease import LeaseError
 
 AWAY = PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "away")
--- a/tests/test_gateway_usage.py
+++ b/tests/test_gateway_usage.py
@@ -1,8 +1,8 @@
 """Usage reports: one set of counts per window, whichever gateway reports it, and estimated fleet time."""
 
 from hemlockswitch.connection.stored_objects import Conflict, StoredObject, Unknown, Written
+from hemlockswitch.process.gateway.fleet_clock import FleetClock
 from hemlockswitch.process.gateway.report_period import MIN_SETTLE_MS, MIN_TAKEOVER_MS
-from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.gateway.usage import UsageCounts, UsageDuty
 
 WINDOW_S = 5.0
--- a/tests/test_spread.py
+++ b/tests/test_gossip.py
@@ -10,10 +10,10 @@
 import pytest
 
 from hemlockswitch.connection.peers import PeerNetwork
+from hemlockswitch.process.gossip.gossip import Gossip
+from hemlockswitch.process.gossip.messages import GossipLimits, Have
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.membership.members import Member
-from hemlockswitch.process.news.board import GossipItem, GossipState
-from hemlockswitch.process.news.messages import GossipLimits, Have
-from hemlockswitch.process.news.spread import Gossip
 
 LARGE = "x" * 1_000
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -11,11 +11,11 @@
 
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.core.errors import ErrorKind, PeerError
+from hemlockswitch.process.gossip.gossip import Gossip
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.membership.members import Member, MemberState
 from hemlockswitch.process.membership.membership import Membership, ProbeTimes
 from hemlockswitch.process.membership.overlay import choose_links
-from hemlockswitch.process.news.board import GossipItem, GossipState
-from hemlockswitch.process.news.spread import Gossip
 
 TIMES = ProbeTimes(100, 80, 150, 300, 200)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -11,7 +11,6 @@
 from hemlockswitch.process.gateway.reported_loads import FRESH_REPORT_MS, ServerLoad
 from hemlockswitch.process.gateway.view import LARGE_PROMPT_READ_MS
 from hemlockswitch.request.engine_model import PRIOR
-from hemlockswitch.request.homes import rank_preferred_servers
 from hemlockswitch.request.placement import (
     PREFERRED_CONSIDERED,
     SAMPLED_SERVERS,
@@ -19,6 +18,7 @@
     choose_server,
     predict_first_event_ms,
 )
+from hemlockswitch.request.preferred_servers import rank_preferred_servers
 from tests.herd_replay import HerdReplay
 from tests.placement_replay import (
     CAPACITY_TOKENS,
--- a/tests/test_homes.py
+++ b/tests/test_preferred_servers.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hemlockswitch.request.homes import (
+from hemlockswitch.request.preferred_servers import (
     CACHED_RANKS,
     PREFERRED_COUNT,
     PreferredServers,
@@ -28,7 +28,7 @@
 def test_part_is_ranked_once_while_servers_are_unchanged(monkeypatch):
     homes = PreferredServers()
     homes.rank("part", NAMES)
-    monkeypatch.setattr("hemlockswitch.request.homes.rank_preferred_servers", None)
+    monkeypatch.setattr("hemlockswitch.request.preferred_servers.rank_preferred_servers", None)
     assert len(homes.rank("part", NAMES[3:])) == PREFERRED_COUNT
 
 
--- a/tests/test_quarantine_at_entry.py
+++ b/tests/test_quarantine_at_entry.py
@@ -13,11 +13,11 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError, Ran, RequestError
 from hemlockswitch.core.events import Event
-from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.quarantine import guard as guard_module
 from hemlockswitch.process.quarantine.guard import QUARANTINED_LOAD_INTERVAL_MS, Guard
-from hemlockswitch.process.quarantine.held_requests import QuarantineStore
-from hemlockswitch.process.quarantine.suspect_news import SUSPECT_PREFIX, SuspectGossip
+from hemlockswitch.process.quarantine.quarantine_store import QuarantineStore
+from hemlockswitch.process.quarantine.suspect_gossip import SUSPECT_PREFIX, SuspectGossip
 from hemlockswitch.request.quarantine import (
     MIN_CRASHES,
     SUSPECT_RETENTION_MS,
--- a/tests/test_held_requests.py
+++ b/tests/test_quarantine_store.py
@@ -10,7 +10,7 @@
 )
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import PlatformError
-from hemlockswitch.process.quarantine.held_requests import (
+from hemlockswitch.process.quarantine.quarantine_store import (
     HELD_KIND,
     MAX_LIST_LAG_MS,
     QuarantineStore,
--- a/tests/test_rollout_duty.py
+++ b/tests/test_rollout_duty.py
@@ -14,13 +14,13 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.platform.rollouts import ROLLOUT_KIND, decode_rollout, encode_rollout_status
+from hemlockswitch.process.gateway.fleet_clock import FleetClock
 from hemlockswitch.process.gateway.rollout_duty import (
     DRAIN_GRACE_MS,
     RECORD_KIND,
     RolloutDuty,
 )
 from hemlockswitch.process.gateway.rollouts import Rollouts
-from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.lease import LeaseError
 from hemlockswitch.request.rollout_credit import ExposureBound
 from hemlockswitch.request.rollout_verdict import Tally
--- a/tests/test_rollout_protocol.py
+++ b/tests/test_rollout_protocol.py
@@ -26,9 +26,9 @@
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.core.logs import _write_by_structlog, set_log_writer
 from hemlockswitch.platform.rollouts import ROLLOUT_KIND, decode_rollout, encode_rollout_status
+from hemlockswitch.process.gateway.fleet_clock import FleetClock
 from hemlockswitch.process.gateway.rollout_duty import RolloutDuty
 from hemlockswitch.process.gateway.rollouts import Rollouts, SendProperties
-from hemlockswitch.process.gateway.true_time import FleetClock
 from hemlockswitch.process.lease import LeaseError
 from hemlockswitch.request.rollout_credit import ExposureBound, ExposureCredit
 from hemlockswitch.version.backend import BackendServer
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -9,7 +9,7 @@
 from hemlockswitch.core.errors import ErrorKind, Ran, RequestError
 from hemlockswitch.request.retries import RetryBudget
 from hemlockswitch.request.service_call import ServiceCaller, find_operation
-from hemlockswitch.request.unreached import MAX_UNREACHED
+from hemlockswitch.request.unreached_servers import MAX_UNREACHED
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.models import Operation, Service
 from tests.guards import make_guard
--- a/tests/test_suspect_exchange.py
+++ b/tests/test_suspect_exchange.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hemlockswitch.core.clock import ManualClock
-from hemlockswitch.process.gateway import neighbours
+from hemlockswitch.process.gateway import peer_groups
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.messages import GatewayReport
 from hemlockswitch.process.gateway.suspect_exchange import (
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def gateways(network, monkeypatch):
-    monkeypatch.setattr(neighbours, "MESH_GATEWAYS", 10)
+    monkeypatch.setattr(peer_groups, "MESH_GATEWAYS", 10)
     clock = ManualClock(now_ms=1_000_000)
     names = [(str(100 + number), f"z{number % ZONES}") for number in range(ZONES * IN_ZONE)]
     made = [Gateway(network, clock, name, zone) for name, zone in names]
--- a/tests/test_usage_keeper.py
+++ b/tests/test_usage_store.py
@@ -12,7 +12,7 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.process.gateway.usage import UsageCounts
-from hemlockswitch.process.gateway.usage_keeper import (
+from hemlockswitch.process.gateway.usage_store import (
     COUNTS_KIND,
     COUNTS_NAME,
     SAVE_INTERVAL_MS,
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -5,7 +5,7 @@
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 from hemlockswitch.core.identifiers import rank_rendezvous
-from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.servers.vm_feed import VM_REMOVAL_DELAY_MS, VmFeed
 from hemlockswitch.process.servers.watchers import (
     FEED_SILENCE_MS,
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -2,7 +2,7 @@
 
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.core.errors import ErrorKind, PeerError
-from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.servers.backends import ZONE_OFFER_EXPIRY_MS, BackendDirectory
 from hemlockswitch.process.servers.zones import ZoneQueries, ZoneQueryHandler
 
--- a/tools/capacity_daemon.py
+++ b/tools/capacity_daemon.py
@@ -16,8 +16,8 @@
 
 from hemlockswitch.connection.peers import PeerNetwork
 from hemlockswitch.core.logs import configure_logs
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.membership.members import MEMBER_PREFIX, Member
-from hemlockswitch.process.news.board import GossipItem, GossipState
 from tools.capacity_variants import VARIANTS
 
 PAGE_BYTES = resource.getpagesize()
@@ -47,12 +47,12 @@
     """One daemon and the times at which it learned things."""
 
     def __init__(self, settings: dict) -> None:
-        membership_type, spread_type = VARIANTS[settings["variant"]]
+        membership_type, gossip_type = VARIANTS[settings["variant"]]
         self.bare_bytes = read_resident_bytes()
         self.network = PeerNetwork("capacity", settings["name"])
         self.network.start()
         self.gossip_state = GossipState()
-        self.gossip = spread_type(self.gossip_state, self.network, settings["zone"])
+        self.gossip = gossip_type(self.gossip_state, self.network, settings["zone"])
         own = Member(settings["name"], settings["zone"], settings["region"], "", "127.0.0.1:0")
         self.membership = membership_type(
             own, self.gossip_state, self.network, self.gossip, seeds=settings["seeds"]
--- a/tools/capacity_variants.py
+++ b/tools/capacity_variants.py
@@ -11,10 +11,10 @@
 
 from hemlockswitch.connection.messages import register_message
 from hemlockswitch.core.errors import PeerError
+from hemlockswitch.process.gossip.gossip import Gossip
+from hemlockswitch.process.gossip.messages import Fetch, GossipItems, GossipLimits, Row
 from hemlockswitch.process.membership.membership import Membership
 from hemlockswitch.process.membership.overlay import Links
-from hemlockswitch.process.news.messages import Fetch, GossipItems, GossipLimits, Row
-from hemlockswitch.process.news.spread import Gossip
 
 FANOUT = 6
 GRAFT_WAIT_S = 0.1
@@ -28,14 +28,14 @@
         return Links(others, others)
 
 
-class FloodSpread(Gossip):
+class FloodGossip(Gossip):
     """Every item goes whole over every link."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, limits=GossipLimits(max_pushed_bytes=1_000_000), **options)
 
 
-class MeshSpread(FloodSpread):
+class MeshGossip(FloodGossip):
     """The daemon that learns an item first sends it to all; nobody passes it on."""
 
     def _push(self) -> None:
@@ -66,7 +66,7 @@
     rows: list[list[Any]]
 
 
-class TreeSpread(Gossip):
+class TreeGossip(Gossip):
     """The rings' links cut down to a broadcast tree by duplicates, as in the paper."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
@@ -111,8 +111,8 @@
 
 VARIANTS: dict[str, tuple[type[Membership], type[Gossip]]] = {
     "rings": (Membership, Gossip),
-    "flood": (Membership, FloodSpread),
-    "mesh": (MeshMembership, MeshSpread),
-    "random": (RandomMembership, FloodSpread),
-    "tree": (Membership, TreeSpread),
+    "flood": (Membership, FloodGossip),
+    "mesh": (MeshMembership, MeshGossip),
+    "random": (RandomMembership, FloodGossip),
+    "tree": (Membership, TreeGossip),
 }
--- a/tools/copies_baselines.py
+++ b/tools/copies_baselines.py
@@ -3,7 +3,7 @@
 import math
 from collections.abc import Callable, Sequence
 
-from hemlockswitch.process.copies.copies import Copy, Demand, Place, Plan, Planner, Target
+from hemlockswitch.process.copies.planner import Copy, Demand, Place, Plan, Planner, Target
 
 BUSY_SHARE = 0.7
 
--- a/tools/copies_controller.py
+++ b/tools/copies_controller.py
@@ -6,7 +6,7 @@
 
 import sys
 
-from hemlockswitch.process.copies import control
+from hemlockswitch.process.copies import controller
 from hemlockswitch.programs.controller import main
 from tools.copies_baselines import find_rule
 
@@ -20,5 +20,5 @@
 
 
 if __name__ == "__main__":
-    control.Planner = find_rule(take_rule(sys.argv))  # type: ignore[misc]
+    controller.Planner = find_rule(take_rule(sys.argv))  # type: ignore[misc]
     sys.exit(main())
--- a/tools/measure_subsets.py
+++ b/tools/measure_subsets.py
@@ -14,7 +14,7 @@
 from statistics import median
 
 from hemlockswitch.core.clock import SystemClock
-from hemlockswitch.process.news.board import GossipItem, GossipState
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.servers.backends import BackendDirectory
 from hemlockswitch.process.servers.subsets import Subset
 from hemlockswitch.request.prefixes import hash_blocks
