--- a/hemlockswitch/process/gateway/loads.py
+++ b/hemlockswitch/process/gateway/loads.py
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True)
-class _Look:
+class _Comparison:
     """The inputs shared by all servers that are compared for a request."""
 
     prompt: Prompt | None
@@ -278,7 +278,7 @@
         servers : the servers of one service.
         tokens_per_ms : how fast the service's engines read prompts.
         find_distance_ms : returns the additional latency to a zone.
-        chance : draws the servers that are compared for a prompt; None to compare all.
+        rng : draws the servers that are compared for a prompt; None to compare all.
         """
         ranks = self._rank_preferred_servers(servers, prompt)
         if prompt is not None and rng is not None:
@@ -290,7 +290,7 @@
                 rng,
             )
         reported = self._reported.sum_loads({server.incarnation for server in servers})
-        comparison = _Look(prompt, ranks, reported, tokens_per_ms, find_distance_ms)
+        comparison = _Comparison(prompt, ranks, reported, tokens_per_ms, find_distance_ms)
         return [self._build_candidate(server, comparison) for server in servers]
 
     def _rank_preferred_servers(
@@ -313,7 +313,7 @@
             name for name, memory in self._cached_prefixes.items() if memory.count_cached(first)
         }
 
-    def _build_candidate(self, server: BackendServer, comparison: "_Look") -> Candidate:
+    def _build_candidate(self, server: BackendServer, comparison: "_Comparison") -> Candidate:
         name = server.incarnation
         waiting_tokens = comparison.others.estimate_waiting_tokens(name, comparison.tokens_per_ms)
         return Candidate(
--- a/hemlockswitch/process/gateway/rollout_progress.py
+++ b/hemlockswitch/process/gateway/rollout_progress.py
@@ -94,7 +94,7 @@
     bound : how many requests the new version may get before the order is closed.
     daemons : how many gateways share that bound; None while the number is unknown.
     now_ms : the current time.
-    chance : source of random numbers.
+    rng : source of random numbers.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         bound: ExposureBound,
         daemons: int | None,
         now_ms: float,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.order = order
         self.began_ms = now_ms
@@ -117,7 +117,7 @@
         self.has_seen_others = False
         # How much of the slack an earlier process has spent is unknown.
         sharing = daemons if order.state is None else None
-        self._credit = ExposureCredit(bound, sharing, chance)
+        self._credit = ExposureCredit(bound, sharing, rng)
         self._own: dict[str, RouteTallies] = {}
         self._received: dict[str, dict[str, list[int]]] = {}
         self._sums: dict[str, RouteTallies] = {}
--- a/hemlockswitch/process/gateway/rollouts.py
+++ b/hemlockswitch/process/gateway/rollouts.py
@@ -79,7 +79,7 @@
     bound : how many requests a version may get before it is judged; None where no orders are accepted.
     count_daemons : returns how many gateways share that bound; None while the number is unknown.
     clock : source of the current time.
-    chance : source of random numbers.
+    rng : source of random numbers.
     """
 
     def __init__(
@@ -88,14 +88,14 @@
         bound: ExposureBound | None,
         count_daemons: Callable[[], int | None],
         clock: Clock,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self.versions = AdmittedVersions(clock)
         self._decode = decode
         self._bound = bound
         self._count_daemons = count_daemons
         self._clock = clock
-        self._chance = chance or random.Random()
+        self._rng = rng or random.Random()
         self._progress: dict[str, RolloutProgress] = {}
         self._attempts: list[RolloutAttempt] = []
 
@@ -130,7 +130,7 @@
         self.versions.release(order.service, order.target)
         assert self._bound is not None
         now_ms = self._clock.now_ms()
-        progress = RolloutProgress(order, self._bound, self._count_daemons(), now_ms, self._chance)
+        progress = RolloutProgress(order, self._bound, self._count_daemons(), now_ms, self._rng)
         self._progress[order.service] = progress
         log_event(
             Event.ROLLOUT_KNOWN,
--- a/hemlockswitch/process/gateway/view.py
+++ b/hemlockswitch/process/gateway/view.py
@@ -89,7 +89,7 @@
         servers = [server for server in ready if server.incarnation not in excluded]
         servers = self._reachability.select_reachable(servers)
         is_first = not (excluded or is_careful or admitted.facts.last_event_id)
-        wish = SendProperties(
+        properties = SendProperties(
             service=admitted.service,
             route=admitted.route.name,
             is_first=is_first,
@@ -97,7 +97,7 @@
             begun_version=begun_version,
             draws_canary=draw_canary(admitted.facts.request_id),
         )
-        servers = self._rollouts.select(wish, servers)
+        servers = self._rollouts.select(properties, servers)
         prompt = admitted.facts.prompt
         service = admitted.service
         speed = ServiceSpeed(self._models.get(service), self._models.get_call_ms(service))
--- a/hemlockswitch/process/quarantine/guard.py
+++ b/hemlockswitch/process/quarantine/guard.py
@@ -121,15 +121,15 @@
         """Return how a request may be sent now, or raise if its content is quarantined."""
         if self._quarantine.is_empty:
             return Clearance.FREE
-        standing = self._quarantine.find_status(content.fingerprint)
-        if standing.is_quarantined:
-            return self._clear_quarantined(content.fingerprint, standing, may_try)
-        return Clearance.CAREFUL if standing.is_careful else Clearance.FREE
+        status = self._quarantine.find_status(content.fingerprint)
+        if status.is_quarantined:
+            return self._clear_quarantined(content.fingerprint, status, may_try)
+        return Clearance.CAREFUL if status.is_careful else Clearance.FREE
 
     def _clear_quarantined(
-        self, fingerprint: str, standing: QuarantineStatus, may_try: bool
+        self, fingerprint: str, status: QuarantineStatus, may_try: bool
     ) -> Clearance:
-        if may_try and standing.trial_in_ms == 0:
+        if may_try and status.trial_in_ms == 0:
             outcome = self._request_trial(fingerprint)
             trials = self._quarantine.get_record(fingerprint).trials
             log_event(
@@ -143,10 +143,10 @@
                 self.counts.trials += 1
                 self._peers.publish_changes()
                 return Clearance.TRIAL
-            standing = self._quarantine.find_status(fingerprint)
-        detail = f"{standing.ends} servers have crashed while running the content {fingerprint}"
+            status = self._quarantine.find_status(fingerprint)
+        detail = f"{status.ends} servers have crashed while running the content {fingerprint}"
         raise RequestError(
-            ErrorKind.QUARANTINED, detail, retry_after_ms=_compute_retry_after_ms(standing)
+            ErrorKind.QUARANTINED, detail, retry_after_ms=_compute_retry_after_ms(status)
         )
 
     def _request_trial(self, fingerprint: str) -> TrialOutcome:
@@ -252,9 +252,9 @@
         self.counts.held = len(held)
 
 
-def _compute_retry_after_ms(standing: QuarantineStatus) -> int:
+def _compute_retry_after_ms(status: QuarantineStatus) -> int:
     """Return the time after which a quarantined request may be tried or its record expires."""
-    wait_ms = standing.trial_in_ms
+    wait_ms = status.trial_in_ms
     return round(
-        standing.expires_in_ms if wait_ms is None else max(wait_ms, QUARANTINE_POLL_INTERVAL_MS)
+        status.expires_in_ms if wait_ms is None else max(wait_ms, QUARANTINE_POLL_INTERVAL_MS)
     )
--- a/hemlockswitch/process/shares/factory.py
+++ b/hemlockswitch/process/shares/factory.py
@@ -35,7 +35,7 @@
         network=cluster_state.network,
         find_file=find_file,
         list_members=lambda: list_share_members(cluster_state.membership),
-        is_gone=lambda name: is_vm_removed(cluster_state.gossip_state, name),
+        is_vm_removed=lambda name: is_vm_removed(cluster_state.gossip_state, name),
     )
 
 
--- a/hemlockswitch/process/shares/record.py
+++ b/hemlockswitch/process/shares/record.py
@@ -93,11 +93,11 @@
     ==========
 
     clock : time source; only differences of its readings are used.
-    is_gone : returns whether the platform has removed the VM of a name.
+    is_vm_removed : returns whether the platform has removed the VM of a name.
     """
 
     clock: Clock
-    is_gone: Callable[[str], bool]
+    is_vm_removed: Callable[[str], bool]
     _seen: dict[str, _Sighting] = field(default_factory=dict)
 
     def observe(self, entries: Iterable[Entry]) -> None:
@@ -149,7 +149,7 @@
     def _record_ends(self, entries: dict[str, Entry], now_ms: float) -> None:
         for key, entry in entries.items():
             sighting = self._seen[key]
-            ended = entry.replaced or (self.is_expired(entry) and self.is_gone(entry.name))
+            ended = entry.replaced or (self.is_expired(entry) and self.is_vm_removed(entry.name))
             if sighting.ended_ms is None and ended:
                 sighting.ended_ms = now_ms
 
--- a/hemlockswitch/process/shares/shares.py
+++ b/hemlockswitch/process/shares/shares.py
@@ -45,7 +45,7 @@
     network : the peer network.
     find_file : returns the active operator file.
     list_members : returns the live daemons that are not leaving.
-    is_gone : returns whether the platform has removed the VM of a name.
+    is_vm_removed : returns whether the platform has removed the VM of a name.
     batch_ms : renewals that arrive at the anchor within this time are written together.
     """
 
@@ -59,14 +59,14 @@
         network: LoanNetwork,
         find_file: Callable[[], OperatorFile],
         list_members: Callable[[], Iterable[ShareMember]],
-        is_gone: Callable[[str], bool] = lambda name: False,
+        is_vm_removed: Callable[[str], bool] = lambda name: False,
         batch_ms: float = BATCH_MS,
     ) -> None:
         self._use: AccountUse | None = None
         self._tasks: list[gevent.Greenlet] = []
         self.parts = ShareParts(name, zone, find_file, list_members)
         self.book = ShareBook(clock, self._refresh, lambda: self.renewal.renew_soon())
-        watch = EntryWatch(clock, is_gone)
+        watch = EntryWatch(clock, is_vm_removed)
         self.anchor = ShareAnchor(store, zone, self.parts.find_totals, watch, batch_ms)
         self.renewal = ShareRenewal(
             self.parts,
--- a/hemlockswitch/request/choices.py
+++ b/hemlockswitch/request/choices.py
@@ -83,7 +83,7 @@
 
 @singledispatch
 def pick(
-    choice: Choice, scored: Sequence[ScoredCandidate], wanted: RoutedRequest, chance: random.Random
+    choice: Choice, scored: Sequence[ScoredCandidate], request: RoutedRequest, rng: random.Random
 ) -> ScoredCandidate:
     """Return the candidate that the rule `choice` picks.
 
@@ -92,8 +92,8 @@
 
     choice : the rule.
     scored : at least one candidate.
-    wanted : the request.
-    chance : random number generator.
+    request : the request.
+    rng : random number generator.
     """
     raise NotImplementedError(type(choice).__name__)
 
@@ -102,12 +102,12 @@
 def _pick_predicted(
     choice: PredictedTime,
     scored: Sequence[ScoredCandidate],
-    wanted: RoutedRequest,
-    chance: random.Random,
+    request: RoutedRequest,
+    rng: random.Random,
 ) -> ScoredCandidate:
     bounded = drop_overloaded(scored, choice.max_over_mean)
     preferred = (
-        find_preferred(scored, wanted, choice.affinity_blocks) if wanted.prefix_blocks else None
+        find_preferred(scored, request, choice.affinity_blocks) if request.prefix_blocks else None
     )
     costs = {one.server.name: compute_cost(choice, one, one is preferred) for one in bounded}
     best_ms = min(costs.values())
@@ -116,10 +116,10 @@
     cheapest = min(one.server.price_per_hour for one in near)
     cheap = [one for one in near if one.server.price_per_hour <= cheapest]
     if preferred is None:
-        return min(cheap, key=lambda one: (one.requests, chance.random()))
+        return min(cheap, key=lambda one: (one.requests, rng.random()))
     if preferred in cheap:
         return preferred
-    return find_preferred(cheap, wanted, choice.affinity_blocks)
+    return find_preferred(cheap, request, choice.affinity_blocks)
 
 
 def compute_cost(choice: PredictedTime, one: ScoredCandidate, is_preferred: bool) -> float:
@@ -163,10 +163,10 @@
 
 
 def find_preferred(
-    scored: Sequence[ScoredCandidate], wanted: RoutedRequest, affinity_blocks: int
+    scored: Sequence[ScoredCandidate], request: RoutedRequest, affinity_blocks: int
 ) -> ScoredCandidate:
     """Return the preferred server for the request's leading blocks; all daemons agree on it."""
     by_name = {one.server.name: one for one in scored}
-    leading = wanted.prefix_blocks[:affinity_blocks]
-    key = f"{wanted.target}:{leading[-1] if leading else 0}"
+    leading = request.prefix_blocks[:affinity_blocks]
+    key = f"{request.target}:{leading[-1] if leading else 0}"
     return by_name[rank_rendezvous(key, by_name)[0]]
--- a/hemlockswitch/request/migration.py
+++ b/hemlockswitch/request/migration.py
@@ -142,10 +142,10 @@
         return True
 
     def _choose(self, running: RunningGeneration, departure: _Departure) -> BackendServer | None:
-        need = running.build_need()
+        needs = running.build_needs()
         try:
             return self._chooser.choose(
-                replace(need, exclude=need.exclude | {departure.server.name})
+                replace(needs, exclude=needs.exclude | {departure.server.name})
             )
         except RequestError:
             return None
--- a/hemlockswitch/request/placement.py
+++ b/hemlockswitch/request/placement.py
@@ -151,7 +151,7 @@
 def sample_servers(
     servers: Sequence[BackendServer],
     is_likely: Callable[[BackendServer], bool],
-    chance: random.Random,
+    rng: random.Random,
 ) -> list[BackendServer]:
     """Return the servers to compare for a prompt: all likely ones and a random sample of the remaining.
 
@@ -159,13 +159,13 @@
     ==========
 
     is_likely : returns whether a server caches, or is preferred for, the prompt's shared parts.
-    chance : random number generator.
+    rng : random number generator.
     """
     likely: list[BackendServer] = []
     remaining: list[BackendServer] = []
     for server in servers:
         (likely if is_likely(server) else remaining).append(server)
-    return likely + chance.sample(remaining, min(SAMPLED_SERVERS, len(remaining)))
+    return likely + rng.sample(remaining, min(SAMPLED_SERVERS, len(remaining)))
 
 
 def choose_server(
--- a/hemlockswitch/request/quarantine.py
+++ b/hemlockswitch/request/quarantine.py
@@ -281,13 +281,13 @@
 
     def _describe(self, fingerprint: str) -> dict[str, Any]:
         suspect = self._suspects[fingerprint]
-        standing = self.find_status(fingerprint)
+        status = self.find_status(fingerprint)
         return {
             "fingerprint": fingerprint,
-            "held": standing.is_quarantined,
+            "held": status.is_quarantined,
             "ends": sorted(suspect.ends - suspect.excused),
             "trials": suspect.trials,
-            "trial_in_ms": standing.trial_in_ms,
+            "trial_in_ms": status.trial_in_ms,
             "changed_ms_ago": round(self._clock.now_ms() - suspect.changed_ms),
         }
 
--- a/hemlockswitch/request/relay.py
+++ b/hemlockswitch/request/relay.py
@@ -19,7 +19,7 @@
     MoveReady,
     RelayObserver,
     RunningGeneration,
-    build_need,
+    build_needs,
 )
 from hemlockswitch.version.backend import BackendServer
 
@@ -76,7 +76,7 @@
         RequestError : the request was given up; the error states whether it ran.
         CallerGoneError : the caller disconnected; the engine was told to cancel the stream.
         """
-        running = RunningGeneration(generation, build_need(generation), self._clock.now_ms())
+        running = RunningGeneration(generation, build_needs(generation), self._clock.now_ms())
         running.sent = bool(generation.stream_id)
         self.running[generation.request_id] = running
         if connection is not None:
@@ -202,8 +202,8 @@
         generation = running.generation
         server = generation.server
         assert server is not None
-        uncached_tokens = self._chooser.record_dispatch(server.name, running.need)
-        ticket = self._directory.begin(server.name, uncached_tokens, running.need.max_tokens)
+        uncached_tokens = self._chooser.record_dispatch(server.name, running.needs)
+        ticket = self._directory.begin(server.name, uncached_tokens, running.needs.max_tokens)
         failed = False
         sent_before = running.sent
         attempt: Attempt | None = None
@@ -242,7 +242,7 @@
         until_ms = min(self._clock.now_ms() + wait_ms, running.generation.deadline_ms)
         while True:
             try:
-                return self._chooser.choose(running.build_need())
+                return self._chooser.choose(running.build_needs())
             except RequestError as refusal:
                 if self._clock.now_ms() + CHOICE_POLL_INTERVAL_MS > until_ms:
                     raise refusal.restate(running.find_ran()) from refusal
--- a/hemlockswitch/request/rollout_credit.py
+++ b/hemlockswitch/request/rollout_credit.py
@@ -51,12 +51,12 @@
     bound : the limit over all daemons.
     daemons : number of daemons that share it; None for a daemon without a part of the slack, since a
         daemon that was restarted may have spent its part before.
-    chance : random number generator.
+    rng : random number generator.
     """
 
-    def __init__(self, bound: ExposureBound, daemons: int | None, chance: random.Random) -> None:
+    def __init__(self, bound: ExposureBound, daemons: int | None, rng: random.Random) -> None:
         self._bound = bound
-        self._chance = chance
+        self._rng = rng
         part = bound.slack / daemons if daemons else 0.0
         self._unassigned = part * TRIAL_SLACK
         self._by_route: dict[str, float] = {}
@@ -95,4 +95,4 @@
 
     def _draw_fraction(self) -> float:
         """Return a random fraction, which rounds a credit that is only spent in units of 1."""
-        return self._chance.random()
+        return self._rng.random()
--- a/hemlockswitch/request/routing.py
+++ b/hemlockswitch/request/routing.py
@@ -112,7 +112,7 @@
     choice : the rule that picks one of the scored candidates.
     await_cluster_state : called before each choice; if the cluster state is stale, waits for a bounded time
         until it is up to date.
-    chance : random number generator.
+    rng : random number generator.
     clock : clock from which retry times are computed.
     """
 
@@ -124,7 +124,7 @@
         queue_length: int = 256,
         choice: Choice | None = None,
         await_cluster_state: Callable[[], None] = lambda: None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
         clock: Clock | None = None,
     ) -> None:
         self._source = source
@@ -132,12 +132,12 @@
         self.queue_length = queue_length
         self._choice = choice or DEFAULT_CHOICE
         self._await_facts = await_cluster_state
-        self._chance = chance or random.Random()
+        self._rng = rng or random.Random()
         self._retry_times = RetryTimes(clock or SystemClock())
         self.memory = PrefixRecord()
 
-    def choose(self, need: RequestNeeds) -> BackendServer:
-        """Return the server for `need`.
+    def choose(self, needs: RequestNeeds) -> BackendServer:
+        """Return the server for `needs`.
 
         Raises
         ======
@@ -146,42 +146,42 @@
             server would start it too late. Nothing has been sent.
         """
         self._await_facts()
-        traits = self._find_traits(need.target)
-        scored = self._score_all(need, traits)
+        traits = self._find_traits(needs.target)
+        scored = self._score_all(needs, traits)
         best_ms = min(one.first_token_ms for one in scored)
         if best_ms > traits.first_token_ms * OVERFLOW_SHARE:
             self._source.record_overflow()
-        self._refuse_late(need, scored, traits)
-        return pick(self._choice, scored, need, self._chance).server
+        self._refuse_late(needs, scored, traits)
+        return pick(self._choice, scored, needs, self._rng).server
 
-    def count_uncached(self, server_name: str, need: RequestNeeds) -> int:
+    def count_uncached(self, server_name: str, needs: RequestNeeds) -> int:
         """Return the estimated number of prompt tokens that the server would have to process."""
-        cached = self.memory.count_cached(server_name, need.prefix_blocks)
-        return max(need.prompt_tokens - cached, 0)
+        cached = self.memory.count_cached(server_name, needs.prefix_blocks)
+        return max(needs.prompt_tokens - cached, 0)
 
-    def record_dispatch(self, server_name: str, need: RequestNeeds) -> int:
+    def record_dispatch(self, server_name: str, needs: RequestNeeds) -> int:
         """Record that the request is sent to the server; return its estimated uncached tokens."""
-        uncached = self.count_uncached(server_name, need)
-        self.memory.record(server_name, need.prefix_blocks)
+        uncached = self.count_uncached(server_name, needs)
+        self.memory.record(server_name, needs.prefix_blocks)
         return uncached
 
-    def _score_all(self, need: RequestNeeds, traits: TargetTraits) -> list[ScoredCandidate]:
-        candidates = self._source.list_candidates(need.target)
-        cached = self.memory.count_all(need.prefix_blocks)
+    def _score_all(self, needs: RequestNeeds, traits: TargetTraits) -> list[ScoredCandidate]:
+        candidates = self._source.list_candidates(needs.target)
+        cached = self.memory.count_all(needs.prefix_blocks)
         scored = [
-            self._score(candidate, need, traits, cached)
+            self._score(candidate, needs, traits, cached)
             for candidate in candidates
-            if candidate.server.name not in need.exclude
+            if candidate.server.name not in needs.exclude
         ]
         if not scored:
-            raise RequestError(ErrorKind.NO_BACKEND, f"no backend server for {need.target}")
+            raise RequestError(ErrorKind.NO_BACKEND, f"no backend server for {needs.target}")
         return scored
 
     @staticmethod
     def _score(
-        candidate: Candidate, need: RequestNeeds, traits: TargetTraits, cached: dict[str, int]
+        candidate: Candidate, needs: RequestNeeds, traits: TargetTraits, cached: dict[str, int]
     ) -> ScoredCandidate:
-        uncached = max(need.prompt_tokens - cached.get(candidate.server.name, 0), 0)
+        uncached = max(needs.prompt_tokens - cached.get(candidate.server.name, 0), 0)
         return ScoredCandidate(
             server=candidate.server,
             first_token_ms=predict_first_token_ms(candidate, uncached, traits.slots),
@@ -189,30 +189,30 @@
             reported_requests=candidate.reported_requests,
             seen_tokens=max(cached.values(), default=0),
             ms_per_token=MS_PER_SECOND / candidate.prefill_tokens_per_s,
-            prompt_tokens=need.prompt_tokens,
+            prompt_tokens=needs.prompt_tokens,
             slot_ms=max(candidate.service_ms / (candidate.slots or traits.slots), 1.0),
             uncached_tokens=uncached,
         )
 
     def _refuse_late(
-        self, need: RequestNeeds, scored: Sequence[ScoredCandidate], traits: TargetTraits
+        self, needs: RequestNeeds, scored: Sequence[ScoredCandidate], traits: TargetTraits
     ) -> None:
         """Refuse a request that would start too late, with the time until the queue has shrunk."""
         best_ms = min(one.first_token_ms for one in scored)
-        step = min(max(need.priority, 0), len(MAX_DELAY_FACTORS) - 1)
+        step = min(max(needs.priority, 0), len(MAX_DELAY_FACTORS) - 1)
         allowed_ms = traits.first_token_ms * MAX_DELAY_FACTORS[step]
-        if need.deadline_ms is not None:
-            allowed_ms = min(allowed_ms, need.deadline_ms)
+        if needs.deadline_ms is not None:
+            allowed_ms = min(allowed_ms, needs.deadline_ms)
         full = self._source.count_waiting() >= self.queue_length
         if best_ms <= allowed_ms and not full:
             return
         wait_ms = max(best_ms - allowed_ms, best_ms / 2 if full else 0, 1)
         slot_ms = 1 / sum(1 / one.slot_ms for one in scored)
-        assigned_ms = self._retry_times.assign(need.target, wait_ms, slot_ms)
-        spread = 1 + RETRY_SPREAD * self._chance.random()
+        assigned_ms = self._retry_times.assign(needs.target, wait_ms, slot_ms)
+        spread = 1 + RETRY_SPREAD * self._rng.random()
         raise RequestError(
             ErrorKind.OVERLOADED,
-            f"every backend server for {need.target} would start the request too late",
+            f"every backend server for {needs.target} would start the request too late",
             retry_after_ms=int(assigned_ms * spread) + 1,
         )
 
--- a/hemlockswitch/request/running.py
+++ b/hemlockswitch/request/running.py
@@ -33,11 +33,11 @@
 class Chooser(Protocol):
     """Chooses a backend server; implemented by the router."""
 
-    def choose(self, need: RequestNeeds) -> BackendServer:
-        """Return the server for `need`, or raise a `RequestError`."""
+    def choose(self, needs: RequestNeeds) -> BackendServer:
+        """Return the server for `needs`, or raise a `RequestError`."""
 
-    def record_dispatch(self, server_name: str, need: RequestNeeds) -> int:
-        """Record that `need` is sent to the server; return its estimated uncached tokens."""
+    def record_dispatch(self, server_name: str, needs: RequestNeeds) -> int:
+        """Record that a request with `needs` is sent to the server; return its estimated uncached tokens."""
 
 
 class Directory(Protocol):
@@ -86,7 +86,7 @@
     ==========
 
     generation : the generation.
-    need : what the generation needs of a backend server, before its first token.
+    needs : what the generation needs of a backend server, before its first token.
     started_ms : clock time at which this daemon began to relay it.
     exchange : the exchange that the relay reads; None between attempts.
     stopped : the error that ends the relay; raised at its next wait.
@@ -105,7 +105,7 @@
     """
 
     generation: Generation
-    need: RequestNeeds
+    needs: RequestNeeds
     begun_ms: float
     exchange: BackendExchange | None = None
     stopped: BaseException | None = None
@@ -161,14 +161,14 @@
             return Ran.YES
         return Ran.UNKNOWN if self.sent else Ran.NO
 
-    def build_need(self) -> RequestNeeds:
-        """Return the need of the remaining generation, excluding servers that lost an attempt."""
+    def build_needs(self) -> RequestNeeds:
+        """Return the needs of the remaining generation, excluding servers that lost an attempt."""
         done = len(self.generation.tokens)
         return replace(
-            self.need,
-            prompt_tokens=self.need.prompt_tokens + done,
+            self.needs,
+            prompt_tokens=self.needs.prompt_tokens + done,
             max_tokens=max(self.generation.max_tokens - done, 1),
-            priority=0 if done else self.need.priority,
+            priority=0 if done else self.needs.priority,
             exclude=frozenset(self.excluded),
         )
 
@@ -184,11 +184,11 @@
         first = self.generation.cause is Cause.FIRST
         if first or not self.attempt_has_token or self.kv_handle is not None:
             return 0
-        return self.need.prompt_tokens + self.base_tokens
+        return self.needs.prompt_tokens + self.base_tokens
 
 
-def build_need(generation: Generation) -> RequestNeeds:
-    """Return the need of a generation that has not started."""
+def build_needs(generation: Generation) -> RequestNeeds:
+    """Return the needs of a generation that has not started."""
     return RequestNeeds(
         target=generation.model,
         prefix_blocks=hash_blocks(generation.prompt),
--- a/hemlockswitch/request/service_call.py
+++ b/hemlockswitch/request/service_call.py
@@ -222,11 +222,11 @@
     def _choose(
         self, request: CallerRequest, service: Service, progress: _Progress
     ) -> BackendServer:
-        need = RequestNeeds(target=service.name, exclude=frozenset(progress.excluded))
+        needs = RequestNeeds(target=service.name, exclude=frozenset(progress.excluded))
         chosen = ""
         self._observer.choice_began(request)
         try:
-            server = self._chooser.choose(need)
+            server = self._chooser.choose(needs)
             chosen = server.name
             return server
         except RequestError as refusal:
--- a/tests/herd_replay.py
+++ b/tests/herd_replay.py
@@ -155,8 +155,8 @@
         prefix, prompt = self._draw_prompt(kind)
         number = self.rng.randrange(len(self.loads))
         loads = self.loads[number]
-        chance = self.rng if self.draws else None
-        candidates = loads.build_candidates(self.servers, prompt, rng=chance)
+        rng = self.rng if self.draws else None
+        candidates = loads.build_candidates(self.servers, prompt, rng=rng)
         placement = choose_server(prompt, candidates)
         now_ms = self.clock.now_ms()
         if find_retry_delay_ms(placement, QueueBound(kind.objective_ms, kind.rank)) is not None:
--- a/tests/placement_replay.py
+++ b/tests/placement_replay.py
@@ -75,8 +75,8 @@
     def _place(self, prefix):
         loads = self.random.choice(self.loads)
         prompt = make_prompt(prefix)
-        chance = self.random if self.choose is choose_ours else None
-        candidates = loads.build_candidates(self.servers, prompt, rng=chance)
+        rng = self.random if self.choose is choose_ours else None
+        candidates = loads.build_candidates(self.servers, prompt, rng=rng)
         placement = self.choose(self.random, candidates, prompt)
         if self.bound is not None and find_retry_delay_ms(placement, self.bound) is not None:
             self.refused += 1
--- a/tests/rollout_plays.py
+++ b/tests/rollout_plays.py
@@ -241,14 +241,14 @@
     def ask(self, gateway):
         rng = self.rng
         (route,) = rng.choices(list(ROUTES), [one[0] for one in ROUTES.values()])
-        wish = SendProperties(
+        properties = SendProperties(
             SERVICE,
             route,
             is_first=True,
             is_repeatable=route == RESUMABLE,
             draws_canary=rng.random() < 0.5,
         )
-        selected = gateway.rollouts.select(wish, gateway.servers)
+        selected = gateway.rollouts.select(properties, gateway.servers)
         now_ms = self.clock.now_ms()
         in_time = now_ms < self.limit_ms
         self.outcome.asked += in_time
--- a/tests/share_fleet.py
+++ b/tests/share_fleet.py
@@ -109,7 +109,7 @@
             network=self.network,
             find_file=lambda: fleet.file,
             list_members=fleet.list_members,
-            is_gone=lambda gone: gone in fleet.gone,
+            is_vm_removed=lambda gone: gone in fleet.gone,
             batch_ms=0,
         )
         self.admission = Admission(self.shares, clock, CapacityQueue(clock), starts_full=False)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -44,22 +44,22 @@
 def test_preferred_servers_are_distributed_evenly():
     names = [server.name for server in SERVERS]
     ranks = [rank_preferred_servers(f"p{number}", names) for number in range(1_200)]
-    homes = Counter(rank[0] for rank in ranks)
-    assert max(homes.values()) < 1.3 * min(homes.values())
+    counts = Counter(rank[0] for rank in ranks)
+    assert max(counts.values()) < 1.3 * min(counts.values())
 
 
 def test_failing_server_is_avoided_temporarily():
     clock = ManualClock()
     loads = ServerLoads(clock)
     prompt = make_prompt(1)
-    home = choose_server(prompt, loads.build_candidates(SERVERS, prompt)).candidate.server
-    loads.record_result(home.name, failed=True)
-    loads.record_result(home.name, failed=True)
+    preferred = choose_server(prompt, loads.build_candidates(SERVERS, prompt)).candidate.server
+    loads.record_result(preferred.name, failed=True)
+    loads.record_result(preferred.name, failed=True)
     other = choose_server(prompt, loads.build_candidates(SERVERS, prompt)).candidate.server
-    assert other != home
+    assert other != preferred
     clock.advance(20_000)
     again = choose_server(prompt, loads.build_candidates(SERVERS, prompt)).candidate.server
-    assert again == home
+    assert again == preferred
 
 
 def test_busy_preferred_server_is_replaced_by_the_next():
--- a/tests/test_preferred_servers.py
+++ b/tests/test_preferred_servers.py
@@ -16,25 +16,25 @@
 @given(st.lists(st.sets(st.sampled_from(NAMES), min_size=1), min_size=1, max_size=8))
 def test_cached_ranks_match_the_present_servers(server_sets):
     """Servers are added, removed and added again; some are excluded from a request."""
-    homes = PreferredServers()
+    preferred = PreferredServers()
     for present in server_sets:
         for key in ("part-1", "part-2"):
             expected = rank_preferred_servers(key, present)
-            assert homes.rank(key, sorted(present)) == {
+            assert preferred.rank(key, sorted(present)) == {
                 name: rank for rank, name in enumerate(expected)
             }
 
 
 def test_part_is_ranked_once_while_servers_are_unchanged(monkeypatch):
-    homes = PreferredServers()
-    homes.rank("part", NAMES)
+    preferred = PreferredServers()
+    preferred.rank("part", NAMES)
     monkeypatch.setattr("hemlockswitch.request.preferred_servers.rank_preferred_servers", None)
-    assert len(homes.rank("part", NAMES[3:])) == PREFERRED_COUNT
+    assert len(preferred.rank("part", NAMES[3:])) == PREFERRED_COUNT
 
 
 def test_removed_servers_are_evicted():
-    homes = PreferredServers()
+    preferred = PreferredServers()
     for generation in range(200):
         names = [f"{generation}-{number}" for number in range(CACHED_RANKS)]
-        homes.rank("part", names)
-    assert len(homes._ranked_names) <= 6 * CACHED_RANKS
+        preferred.rank("part", names)
+    assert len(preferred._ranked_names) <= 6 * CACHED_RANKS
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -38,17 +38,17 @@
     def __init__(self):
         self.needs = []
 
-    def choose(self, need):
-        self.needs.append(need)
+    def choose(self, needs):
+        self.needs.append(needs)
         for server in SERVERS:
-            if server.name not in need.exclude:
+            if server.name not in needs.exclude:
                 return server
         raise RequestError(ErrorKind.NO_BACKEND, "none")
 
-    def record_dispatch(self, server_name, need):
-        return need.prompt_tokens
+    def record_dispatch(self, server_name, needs):
+        return needs.prompt_tokens
 
-    def note_cached(self, server_name, need, cached_tokens):
+    def note_cached(self, server_name, needs, cached_tokens):
         pass
 
 
--- a/tests/test_rollouts.py
+++ b/tests/test_rollouts.py
@@ -53,13 +53,13 @@
     def read(self, *items):
         self.rollouts.apply_changes(ObjectPage(items, 9))
 
-    def ask(self, wish=FIRST, servers=(*OLD, *NEW), took_ms=10, failing="", expected_ms=10.0):
+    def ask(self, properties=FIRST, servers=(*OLD, *NEW), took_ms=10, failing="", expected_ms=10.0):
         """Send a request to the first server that it may go to, and return that server."""
-        selected = self.rollouts.select(wish, list(servers))
+        selected = self.rollouts.select(properties, list(servers))
         if not selected:
             return None
         server = selected[0]
-        send = self.rollouts.begin_attempt(wish.route, server, expected_ms)
+        send = self.rollouts.begin_attempt(properties.route, server, expected_ms)
         self.clock.advance(took_ms)
         failed = server.version == failing
         if send is not None:
@@ -187,7 +187,7 @@
 def test_repeated_request_does_not_try_the_new_version(gateway):
     gateway.read(make_order())
     repeat = SendProperties(SERVICE, ROUTE, is_first=False)
-    assert set(gateway.ask_many(100, wish=repeat)) == {"v1"}
+    assert set(gateway.ask_many(100, properties=repeat)) == {"v1"}
 
 
 def test_version_without_order_waits_for_a_new_list_of_orders(gateway):
@@ -257,8 +257,8 @@
 def test_repeatable_requests_do_not_move_early(gateway):
     gateway.read(make_order())
     gateway.progress.begin_move(gateway.clock.now_ms())
-    wish = SendProperties(SERVICE, ROUTE, is_first=False, is_repeatable=True)
-    assert gateway.ask(wish).version == "v1"
+    properties = SendProperties(SERVICE, ROUTE, is_first=False, is_repeatable=True)
+    assert gateway.ask(properties).version == "v1"
 
 
 def test_move_stays_within_the_bound(gateway):
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -36,34 +36,34 @@
     return Source(*(Candidate(make_server(n), prefill_tokens=t) for n, t in prefill_tokens.items()))
 
 
-def expect_refusal(router, need):
+def expect_refusal(router, needs):
     with pytest.raises(RequestError) as caught:
-        router.choose(need)
+        router.choose(needs)
     return caught.value
 
 
 def test_cached_prefix_outweighs_moderate_load():
     source = make_source(a=0, b=0)
     router = Router(source)
-    need = RequestNeeds("m", PREFIX, prompt_tokens=160)
-    home = router.choose(need).name
-    other = "b" if home == "a" else "a"
-    router.record_dispatch(home, need)
-    source.candidates = list(make_source(**{other: 0, home: 80}).candidates)
-    assert router.choose(need).name == home
-    source.candidates = list(make_source(**{other: 0, home: 800}).candidates)
-    assert router.choose(need).name == other
+    needs = RequestNeeds("m", PREFIX, prompt_tokens=160)
+    preferred = router.choose(needs).name
+    other = "b" if preferred == "a" else "a"
+    router.record_dispatch(preferred, needs)
+    source.candidates = list(make_source(**{other: 0, preferred: 80}).candidates)
+    assert router.choose(needs).name == preferred
+    source.candidates = list(make_source(**{other: 0, preferred: 800}).candidates)
+    assert router.choose(needs).name == other
 
 
 def test_prefix_returns_to_its_preferred_server():
     router = Router(make_source(a=0, b=0, c=0))
-    need = RequestNeeds("m", PREFIX, prompt_tokens=160)
-    home = router.choose(need).name
-    other = next(name for name in "abc" if name != home)
-    router.record_dispatch(other, need)
-    assert router.choose(need).name in (home, other)
-    router.record_dispatch(home, need)
-    assert router.choose(need).name == home
+    needs = RequestNeeds("m", PREFIX, prompt_tokens=160)
+    preferred = router.choose(needs).name
+    other = next(name for name in "abc" if name != preferred)
+    router.record_dispatch(other, needs)
+    assert router.choose(needs).name in (preferred, other)
+    router.record_dispatch(preferred, needs)
+    assert router.choose(needs).name == preferred
 
 
 def test_all_daemons_prefer_one_server_for_a_prefix():
@@ -85,10 +85,10 @@
     scored = [
         ScoredCandidate(make_server(name), 10.0, requests=1, uncached_tokens=0) for name in names
     ]
-    need = RequestNeeds("m", PREFIX)
-    home = find_preferred(scored, need, 8)
-    busy = [ScoredCandidate(one.server, 10.0, 40 if one is home else 1, 0) for one in scored]
-    assert pick(PredictedTime(), busy, need, random.Random(1)).server.name != home.server.name
+    needs = RequestNeeds("m", PREFIX)
+    preferred = find_preferred(scored, needs, 8)
+    busy = [ScoredCandidate(one.server, 10.0, 40 if one is preferred else 1, 0) for one in scored]
+    assert pick(PredictedTime(), busy, needs, random.Random(1)).server.name != preferred.server.name
 
 
 def test_deadline_before_the_first_token_is_refused():
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -46,13 +46,13 @@
             self, self, self, budget, clock, self, self, guard or make_guard(clock)
         )
 
-    def choose(self, need):
+    def choose(self, needs):
         for server in self.servers:
-            if server.name not in need.exclude:
+            if server.name not in needs.exclude:
                 return server
         raise RequestError(ErrorKind.NO_BACKEND, "none")
 
-    def record_dispatch(self, server_name, need):
+    def record_dispatch(self, server_name, needs):
         return 0
 
     def begin(self, name, prompt_tokens=0):
--- a/tools/measure_subsets.py
+++ b/tools/measure_subsets.py
@@ -69,13 +69,13 @@
         vm = {"name": name, "zone": "zone-1", "address": "127.0.0.1:1", "serves": "m"}
         gossip_state.record(GossipItem(f"vm/{name}", 1, vm))
     router = Router(directory)
-    need = RequestNeeds("m", hash_blocks(PROMPT), prompt_tokens=1_000)
+    needs = RequestNeeds("m", hash_blocks(PROMPT), prompt_tokens=1_000)
     for server in directory.list_servers("m"):
-        router.record_dispatch(server.name, need)
+        router.record_dispatch(server.name, needs)
 
     def choose_often() -> None:
         for _ in range(CHOICES):
-            router.choose(need)
+            router.choose(needs)
 
     return {
         "servers": len(directory.list_servers("m")),
--- a/tools/routing_baselines.py
+++ b/tools/routing_baselines.py
@@ -49,30 +49,30 @@
 def _(
     choice: RandomChoice,
     scored: Sequence[ScoredCandidate],
-    wanted: RoutedRequest,
-    chance: random.Random,
+    request: RoutedRequest,
+    rng: random.Random,
 ) -> ScoredCandidate:
-    return chance.choice(scored)
+    return rng.choice(scored)
 
 
 @pick.register
 def _(
     choice: LeastReported,
     scored: Sequence[ScoredCandidate],
-    wanted: RoutedRequest,
-    chance: random.Random,
+    request: RoutedRequest,
+    rng: random.Random,
 ) -> ScoredCandidate:
-    return min(scored, key=lambda one: (one.reported_requests, chance.random()))
+    return min(scored, key=lambda one: (one.reported_requests, rng.random()))
 
 
 @pick.register
 def _(
     choice: TwoChoices,
     scored: Sequence[ScoredCandidate],
-    wanted: RoutedRequest,
-    chance: random.Random,
+    request: RoutedRequest,
+    rng: random.Random,
 ) -> ScoredCandidate:
-    drawn = chance.sample(list(scored), min(2, len(scored)))
+    drawn = rng.sample(list(scored), min(2, len(scored)))
     return min(drawn, key=lambda one: one.requests)
 
 
@@ -80,7 +80,7 @@
 def _(
     choice: AffinityOnly,
     scored: Sequence[ScoredCandidate],
-    wanted: RoutedRequest,
-    chance: random.Random,
+    request: RoutedRequest,
+    rng: random.Random,
 ) -> ScoredCandidate:
-    return find_preferred(scored, wanted, choice.affinity_blocks)
+    return find_preferred(scored, request, choice.affinity_blocks)
