--- a/features/steps/at_most_once_checks.py
+++ b/features/steps/at_most_once_checks.py
@@ -187,7 +187,7 @@
 
 
 @then("when the daemon thaws it has run 1 time")
-def check_thawed_home(context):
+def check_thawed_owner(context):
     context.frozen.thaw()
     first = context.sent[context.key][0]
     reply = wait_until(
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -227,7 +227,7 @@
 
 
 @when('"{entry}" is frozen, which writes the claims of the next key')
-def freeze_home(context, entry):
+def freeze_owner(context, entry):
     context.key, _ = choose_key(context, entry)
     context.frozen = context.cluster.get(entry)
     context.frozen.freeze()
--- a/features/support/keyed_calls.py
+++ b/features/support/keyed_calls.py
@@ -32,15 +32,15 @@
     return [reply.json["error"]["kind"] for reply in replies if reply.status >= 400]
 
 
-def choose_key(context, home):
-    """Return an unused key, and its partition, of which the daemon is the home."""
+def choose_key(context, owner):
+    """Return an unused key, and its partition, of which the daemon is the owner."""
     for number in range(10_000):
         key = f"chosen{number}"
         partition = find_partition(digest_key(ACCOUNT, key))
-        is_home = rank_rendezvous(f"claims/{partition}", ENTRIES)[0] == home
-        if is_home and key not in context.sent:
+        is_owner = rank_rendezvous(f"claims/{partition}", ENTRIES)[0] == owner
+        if is_owner and key not in context.sent:
             return key, partition
-    raise AssertionError(f"{home} is no partition's home")
+    raise AssertionError(f"{owner} is no partition's owner")
 
 
 def make_key_beside(context, key):
--- a/hemlockswitch/process/controller.py
+++ b/hemlockswitch/process/controller.py
@@ -198,10 +198,10 @@
     def _run_control(self) -> None:
         while True:
             self._wake.clear()
-            self._run_pass()
+            self._reconcile()
             self._wake.wait(self.settings.copies.pass_ms / MS_PER_SECOND)
 
-    def _run_pass(self) -> None:
+    def _reconcile(self) -> None:
         if not self.lease.is_held:
             return
         try:
--- a/hemlockswitch/process/copies/observed_zone.py
+++ b/hemlockswitch/process/copies/observed_zone.py
@@ -114,7 +114,7 @@
                 self._prices[MachineClass(vm.machine_class)] = vm.price_per_hour
         models = {one.name for one in wanted if one.takes_orders}
         self._loads.refresh([vm for vm in listed if vm.serves in models and vm.state != STARTING])
-        self._usage = self._ask_usage()
+        self._usage = self._query_usage()
         self._measure(wanted)
 
     def find_load(self, name: str) -> ReportedLoad | None:
@@ -181,7 +181,7 @@
         rates = {(place.zone, place.machine_class): place.reclaims_per_hour for place in places}
         return rates.get((zone, machine_class), own)
 
-    def _ask_usage(self) -> Usage | None:
+    def _query_usage(self) -> Usage | None:
         try:
             return self._sources.daemons.query_usage(self.vms)
         except PeerError as error:
--- a/hemlockswitch/process/gateway/loads.py
+++ b/hemlockswitch/process/gateway/loads.py
@@ -150,7 +150,7 @@
         self._demand: dict[str, DemandMeter] = {}
         self._reported = ReportedLoads(clock, get_period)
         self._preferred_servers: dict[str, PreferredServers] = defaultdict(PreferredServers)
-        self._begun_ms = clock.now_ms()
+        self._started_ms = clock.now_ms()
         self._unreported_prompts: deque[SentPrompt] = deque(maxlen=MAX_REPORTED_PROMPTS)
 
     def begin(
@@ -332,5 +332,5 @@
         """Return the cached tokens; None if there are none but this process started too recently to tell."""
         prefixes = self._cached_prefixes.get(name)
         cached = prefixes.count_cached(prompt.shared_chain) if prefixes is not None else 0.0
-        is_warming_up = self._clock.now_ms() - self._begun_ms < CACHE_WARM_UP_MS
+        is_warming_up = self._clock.now_ms() - self._started_ms < CACHE_WARM_UP_MS
         return None if is_warming_up and not cached else cached
--- a/hemlockswitch/process/gateway/reported_loads.py
+++ b/hemlockswitch/process/gateway/reported_loads.py
@@ -32,7 +32,8 @@
     Parameters
     ==========
 
-    token_ages : by server, the sum of each report's waiting tokens times its age beyond `FRESH_REPORT_MS`.
+    token_ages : by server, the sum of each report's waiting tokens times its age beyond
+        `FRESH_REPORT_MS`.
 
     The sums are plain numbers because the loads of all daemons are added up for each request: building
     `ServerLoad` objects would take half of the time of a placement.
--- a/hemlockswitch/process/servers/backends.py
+++ b/hemlockswitch/process/servers/backends.py
@@ -38,8 +38,8 @@
     ===========
 
     Servers of the local zone come from gossip (`vm/<name>` and `notice/<name>`). Servers of another
-    zone come from the answers of that zone's daemons, and expire `ZONE_OFFER_EXPIRY_MS` after the query was
-    sent, so that an unreachable zone gets no new work.
+    zone come from the answers of that zone's daemons, and expire `ZONE_OFFER_EXPIRY_MS` after the query
+    was sent, so that an unreachable zone gets no new work.
 
     A server that was reported as leaving stays leaving, even if a later record says otherwise.
 
--- a/hemlockswitch/process/shares/renewal.py
+++ b/hemlockswitch/process/shares/renewal.py
@@ -65,7 +65,7 @@
         self._wake = Wake()
         self._counter = 0
         self._complete = False
-        self._begun_ms: float | None = None
+        self._started_ms: float | None = None
         self._names: frozenset[str] = frozenset()
         self._fast_renewal_until_ms = 0.0
 
@@ -75,8 +75,8 @@
 
         Units that are missing after that time can be borrowed.
         """
-        if not self._complete and self._begun_ms is not None:
-            waited = self._clock.now_ms() - self._begun_ms > FIRST_GRANT_MS
+        if not self._complete and self._started_ms is not None:
+            waited = self._clock.now_ms() - self._started_ms > FIRST_GRANT_MS
             self._complete = waited or self._has_part()
         return self._complete
 
@@ -107,7 +107,7 @@
 
     def run(self) -> None:
         """Renew periodically until killed."""
-        self._begun_ms = self._clock.now_ms()
+        self._started_ms = self._clock.now_ms()
         was_in_term = False
         while True:
             self._wake.clear()
--- a/hemlockswitch/request/placement.py
+++ b/hemlockswitch/request/placement.py
@@ -3,8 +3,8 @@
 A model request waits until the engine has processed the prompts queued before it, and then the
 uncached part of its own prompt. Both are estimated in tokens, summed over all daemons, and converted
 to time by the latency model of the service's engines (`request.engine_model`).
-Each shared prompt part has preferred servers in its service (`request.preferred_servers`); when the first one is
-busy, the next one is used.
+Each shared prompt part has preferred servers in its service (`request.preferred_servers`); when the
+first one is busy, the next one is used.
 """
 
 import random
--- a/hemlockswitch/request/routing.py
+++ b/hemlockswitch/request/routing.py
@@ -110,8 +110,8 @@
     find_traits : returns the configured properties of a model or service.
     queue_length : maximum number of this daemon's requests that wait for a first token.
     choice : the rule that picks one of the scored candidates.
-    await_cluster_state : called before each choice; if the cluster state is stale, waits for a bounded time
-        until it is up to date.
+    await_cluster_state : called before each choice; if the cluster state is stale, waits for a bounded
+        time until it is up to date.
     rng : random number generator.
     clock : clock from which retry times are computed.
     """
@@ -131,7 +131,7 @@
         self._find_traits = find_traits
         self.queue_length = queue_length
         self._choice = choice or DEFAULT_CHOICE
-        self._await_facts = await_cluster_state
+        self._await_cluster_state = await_cluster_state
         self._rng = rng or random.Random()
         self._retry_times = RetryTimes(clock or SystemClock())
         self.memory = PrefixRecord()
@@ -145,7 +145,7 @@
         RequestError : `NO_BACKEND` if no server accepts it; `OVERLOADED`, with a retry time, if every
             server would start it too late. Nothing has been sent.
         """
-        self._await_facts()
+        self._await_cluster_state()
         traits = self._find_traits(needs.target)
         scored = self._score_all(needs, traits)
         best_ms = min(one.first_token_ms for one in scored)
--- a/hemlockswitch/request/running.py
+++ b/hemlockswitch/request/running.py
@@ -37,7 +37,7 @@
         """Return the server for `needs`, or raise a `RequestError`."""
 
     def record_dispatch(self, server_name: str, needs: RequestNeeds) -> int:
-        """Record that a request with `needs` is sent to the server; return its estimated uncached tokens."""
+        """Record a dispatch to the server; return the estimated uncached tokens."""
 
 
 class Directory(Protocol):
--- a/tests/crash_replay.py
+++ b/tests/crash_replay.py
@@ -239,14 +239,14 @@
         gone = SimpleNamespace(incarnation=server.incarnation)
         self.at(RESTART_DELAY_MS, self._start_server, server)
         for request in ended.values():
-            self.at(self.draws.uniform(0, 10), self._note_broken, request, gone)
+            self.at(self.draws.uniform(0, 10), self._record_broken_connection, request, gone)
 
     @staticmethod
     def _start_server(server):
         server.start += 1
         server.is_running = True
 
-    def _note_broken(self, request, gone):
+    def _record_broken_connection(self, request, gone):
         gateway = request.gateway
         self.caller = gateway
         if self.setting.has_memory:
