--- a/hemlockswitch/process/controller.py
+++ b/hemlockswitch/process/controller.py
@@ -18,19 +18,19 @@
 from hemlockswitch.core.errors import HemlockError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.copies.control import Controller, ControlTimes
+from hemlockswitch.process.copies.controller import Controller, ControlSettings
 from hemlockswitch.process.copies.cost import CostMeter
 from hemlockswitch.process.copies.observed_zone import Sources
 from hemlockswitch.process.copies.reclaims import Reclaims
 from hemlockswitch.process.copies.records import CopyRecords
-from hemlockswitch.process.copies.usage import Daemons
+from hemlockswitch.process.copies.usage import EntryDaemonClient
 from hemlockswitch.process.copies.zone_load import ZoneSummaries
+from hemlockswitch.process.gossip.state import GossipState
 from hemlockswitch.process.lease import Lease, LeaseTimes
-from hemlockswitch.process.news.board import NewsBoard
 from hemlockswitch.process.revisions.configuration import Configuration
-from hemlockswitch.process.revisions.spread import RevisionSpread
 from hemlockswitch.process.revisions.store import RevisionStore
 from hemlockswitch.process.revisions.tasks import READ_TIMEOUT_MS, follow_pointer
+from hemlockswitch.process.revisions.updates import RevisionUpdater
 from hemlockswitch.version.models import OperatorFile
 from hemlockswitch.version.revisions import CURRENT_POINTER, POINTER_KIND
 from hemlockswitch.version.settings import ControllerSettings
@@ -67,8 +67,8 @@
         self._platform = platform
         self._store = RevisionStore(platform, clock, READ_TIMEOUT_MS)
         self._configuration = Configuration(clock)
-        self._spread = RevisionSpread(
-            self._configuration, NewsBoard(), network, list_daemons, lambda: None, clock
+        self._updater = RevisionUpdater(
+            self._configuration, GossipState(), network, list_daemons, lambda: None, clock
         )
 
     @property
@@ -78,7 +78,7 @@
 
     def refresh(self) -> OperatorFile | None:
         """Adopt a newer revision from the daemons or the platform; return the file in force."""
-        self._spread.check_peers()
+        self._updater.check_peers()
         stored = self._platform.read(POINTER_KIND, CURRENT_POINTER)
         if stored is not None:
             follow_pointer(self._configuration, self._store, stored)
@@ -147,11 +147,11 @@
             self._platform,
             self._clock,
             OrderClient(settings.order_timeout_ms),
-            Daemons(self._network, settings.seeds),
+            EntryDaemonClient(self._network, settings.seeds),
             self._reclaims,
             ZoneSummaries(self._platform, self._clock, settings.zone, copies.report_ms),
         )
-        times = ControlTimes(
+        times = ControlSettings(
             copies.replace_ms, copies.shrink_after_ms, copies.gone_after_ms, copies.parallel_starts
         )
         records = CopyRecords(self._platform)
@@ -190,7 +190,7 @@
     def _run_lease(self) -> None:
         while True:
             was_held = self.lease.is_held
-            pause_ms = self.lease.take_turn()
+            pause_ms = self.lease.run_step()
             if self.lease.is_held and not was_held:
                 self._wake.set()
             self._clock.sleep_ms(pause_ms)
@@ -198,16 +198,16 @@
     def _run_control(self) -> None:
         while True:
             self._wake.clear()
-            self._run_pass()
+            self._reconcile()
             self._wake.wait(self.settings.copies.pass_ms / MS_PER_SECOND)
 
-    def _run_pass(self) -> None:
+    def _reconcile(self) -> None:
         if not self.lease.is_held:
             return
         try:
             file = self._current.refresh()
             if file is not None:
-                self.controller.run_pass(file)
+                self.controller.reconcile(file)
         except HemlockError as error:
             log_event(Event.CONTROL_PASS_FAILED, "warning", kind=error.kind, detail=error.detail)
         except Exception as error:
--- a/hemlockswitch/process/copies/control.py
+++ b/hemlockswitch/process/copies/controller.py
@@ -12,9 +12,9 @@
 from hemlockswitch.core.identifiers import make_identifier
 from hemlockswitch.core.logs import log_event
 from hemlockswitch.process.copies.changes import CopyStarter, CopyStopper, OrderSender, StoppingCopy
-from hemlockswitch.process.copies.copies import Copy, Plan, Planner, plan_excess_stops
 from hemlockswitch.process.copies.cost import CostMeter, LicensedCopy
 from hemlockswitch.process.copies.observed_zone import LIVE, ObservedZone, Sources
+from hemlockswitch.process.copies.planner import Copy, Plan, Planner, plan_excess_stops
 from hemlockswitch.process.copies.records import CopyRecord, CopyRecords, CopyState, CopyTable
 from hemlockswitch.process.copies.targets import WantedTarget, list_wanted
 from hemlockswitch.process.lease import Lease
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class ControlTimes:
+class ControlSettings:
     """The time constants and start limit of the controller.
 
     Parameters
@@ -62,7 +62,7 @@
         lease: Lease,
         records: CopyRecords,
         sources: Sources,
-        times: ControlTimes | None = None,
+        times: ControlSettings | None = None,
         cost: CostMeter | None = None,
     ) -> None:
         self._cost = cost
@@ -70,7 +70,7 @@
         self._lease = lease
         self._records = records
         self._clock = sources.clock
-        self._times = times or ControlTimes()
+        self._times = times or ControlSettings()
         self._order_sender = OrderSender(sources.orders, lease)
         self._starter = CopyStarter(sources.platform, records, lease, sources.clock)
         self._stopper = CopyStopper(
@@ -85,7 +85,7 @@
         )
         self._plans: dict[str, Plan] = {}
 
-    def run_pass(self, file: OperatorFile) -> None:
+    def reconcile(self, file: OperatorFile) -> None:
         """Run one reconciliation pass; without the lease, do nothing."""
         if not self._lease.is_held:
             return
--- a/hemlockswitch/process/copies/observed_zone.py
+++ b/hemlockswitch/process/copies/observed_zone.py
@@ -10,12 +10,12 @@
 from hemlockswitch.core.errors import PeerError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.copies.copies import Place
 from hemlockswitch.process.copies.demand import DemandMeter
+from hemlockswitch.process.copies.planner import Place
 from hemlockswitch.process.copies.reclaims import Reclaims
 from hemlockswitch.process.copies.records import CopyRecord
 from hemlockswitch.process.copies.targets import WantedTarget
-from hemlockswitch.process.copies.usage import Daemons, Usage
+from hemlockswitch.process.copies.usage import EntryDaemonClient, Usage
 from hemlockswitch.process.copies.zone_load import (
     OfferedPlace,
     ZoneLoads,
@@ -46,7 +46,7 @@
     platform: PlatformClient
     clock: Clock
     orders: OrderClient
-    daemons: Daemons
+    daemons: EntryDaemonClient
     reclaims: Reclaims
     summaries: ZoneSummaries
 
@@ -114,7 +114,7 @@
                 self._prices[MachineClass(vm.machine_class)] = vm.price_per_hour
         models = {one.name for one in wanted if one.takes_orders}
         self._loads.refresh([vm for vm in listed if vm.serves in models and vm.state != STARTING])
-        self._usage = self._ask_usage()
+        self._usage = self._query_usage()
         self._measure(wanted)
 
     def find_load(self, name: str) -> ReportedLoad | None:
@@ -181,9 +181,9 @@
         rates = {(place.zone, place.machine_class): place.reclaims_per_hour for place in places}
         return rates.get((zone, machine_class), own)
 
-    def _ask_usage(self) -> Usage | None:
+    def _query_usage(self) -> Usage | None:
         try:
-            return self._sources.daemons.ask_usage(self.vms)
+            return self._sources.daemons.query_usage(self.vms)
         except PeerError as error:
             log_event(Event.DAEMONS_SILENT, "debug", detail=error.detail)
             return None
--- a/hemlockswitch/process/departure.py
+++ b/hemlockswitch/process/departure.py
@@ -7,7 +7,8 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.facts import Facts
+from hemlockswitch.process.cluster_state import ClusterState
+from hemlockswitch.process.gossip.state import GossipItem
 from hemlockswitch.process.handover.handover import Handover, HandoverMember
 from hemlockswitch.process.handover.messages import (
     ConfirmTake,
@@ -19,11 +20,10 @@
 from hemlockswitch.process.handover.resuming import Resuming
 from hemlockswitch.process.handover.state_store import StateStore
 from hemlockswitch.process.membership.members import MemberState
-from hemlockswitch.process.news.board import NewsItem
 from hemlockswitch.process.records import RequestRecords
 from hemlockswitch.process.servers.backends import NOTICE_PREFIX
 from hemlockswitch.process.serving import Serving
-from hemlockswitch.process.shares.members import list_share_members
+from hemlockswitch.process.shares.factory import list_share_members
 from hemlockswitch.request.admission import Admission
 from hemlockswitch.request.attempt import AttemptOpener
 from hemlockswitch.request.relay import Relay
@@ -39,7 +39,7 @@
     ==========
 
     settings : settings of this daemon.
-    facts : its gossip items, members and peer network.
+    cluster_state : its gossip items, members and peer network.
     clock : the process's clock.
     relay : the generations in progress.
     opener : ends the engine streams of generations that were not fetched.
@@ -49,31 +49,33 @@
     def __init__(
         self,
         settings: EntrySettings,
-        facts: Facts,
+        cluster_state: ClusterState,
         clock: Clock,
         relay: Relay,
         opener: AttemptOpener,
         count: Callable[[str], None],
     ) -> None:
         self._settings = settings
-        self._facts = facts
+        self._cluster_state = cluster_state
         self._clock = clock
-        self.told = Signal()
+        self.stop_requested = Signal()
         self._count = count
         self.store = StateStore(clock, opener.cancel, count)
         self.handover = Handover(
             name=settings.name,
             zone=settings.zone,
             clock=clock,
-            network=facts.network,
-            list_members=lambda: list_share_members(facts.membership),
+            network=cluster_state.network,
+            list_members=lambda: list_share_members(cluster_state.membership),
             list_running=lambda: list(relay.running.values()),
             store=self.store,
             count=count,
         )
         self._serve_peers()
-        facts.board.add_listener(f"{NOTICE_PREFIX}{settings.name}", self._handle_notice)
-        facts.directory.add_leaving_listener(self._handle_leaving)
+        cluster_state.gossip_state.add_listener(
+            f"{NOTICE_PREFIX}{settings.name}", self._handle_notice
+        )
+        cluster_state.directory.add_leaving_listener(self._handle_leaving)
 
     def build_resuming(
         self, admission: Admission, records: RequestRecords, serving: Serving
@@ -82,7 +84,7 @@
         return Resuming(
             name=self._settings.name,
             clock=self._clock,
-            network=self._facts.network,
+            network=self._cluster_state.network,
             list_members=self._list_holders,
             store=self.store,
             admission=admission,
@@ -94,25 +96,25 @@
     def request(self) -> None:
         """Request a departure within the settings' grace period; called by signal handlers."""
         self.handover.set_deadline(self._clock.now_ms() + self._settings.stop_grace_ms)
-        self.told.set()
+        self.stop_requested.set()
 
     def run(self, is_busy: Callable[[], bool]) -> None:
         """Announce the departure, finish what fits in the time and hand over the remainder."""
         self.request()
-        if self._facts.membership is not None:
-            self._facts.membership.leave()
+        if self._cluster_state.membership is not None:
+            self._cluster_state.membership.leave()
         self.handover.run(is_busy)
         log_event(Event.HANDOVER_ENDED, counts=self.handover.describe())
 
     def _serve_peers(self) -> None:
-        network = self._facts.network
+        network = self._cluster_state.network
         network.handle(HandOver, self.store.put, quick=True)
         network.handle(FindState, self.store.find, quick=True)
         network.handle(TakeState, self.store.reserve, quick=True)
         network.handle(ConfirmTake, self.store.confirm, quick=True)
         network.handle(DropState, self.store.drop, quick=True)
 
-    def _handle_notice(self, item: NewsItem) -> None:
+    def _handle_notice(self, item: GossipItem) -> None:
         if item.key != f"{NOTICE_PREFIX}{self._settings.name}" or item.value is None:
             return
         left_ms = int(item.value.get("deadline_wall_ms", 0)) - self._clock.wall_ms()
@@ -126,11 +128,11 @@
     def _leave_in(self, left_ms: float) -> None:
         log_event(Event.ENTRY_LEAVING, left_ms=int(left_ms))
         self.handover.set_deadline(self._clock.now_ms() + left_ms)
-        self.told.set()
+        self.stop_requested.set()
 
     def _list_holders(self) -> list[HandoverMember]:
         """Return the entry daemons that may store states, both live and leaving ones."""
-        membership = self._facts.membership
+        membership = self._cluster_state.membership
         members = membership.list_members() if membership is not None else []
         return [
             HandoverMember(member.name, member.zone, member.peer_address, not member.is_live)
--- a/hemlockswitch/process/gateway/loads.py
+++ b/hemlockswitch/process/gateway/loads.py
@@ -17,8 +17,8 @@
 )
 from hemlockswitch.request.dialect import Chain, Prompt
 from hemlockswitch.request.engine_model import PRIOR
-from hemlockswitch.request.homes import NO_HOME, Homes
-from hemlockswitch.request.placement import HOMES_CONSIDERED, Candidate, draw_considered
+from hemlockswitch.request.placement import PREFERRED_CONSIDERED, Candidate, sample_servers
+from hemlockswitch.request.preferred_servers import NOT_PREFERRED, PreferredServers
 from hemlockswitch.version.backend import BackendServer
 
 MAX_RECORDED_PREFIXES = 4_096
@@ -96,7 +96,7 @@
         self._waiting_tokens = waiting_tokens
         self._on_begun = on_begun
 
-    def note_first_event(self, *, succeeds: bool = True) -> None:
+    def record_first_event(self, *, succeeds: bool = True) -> None:
         """Record that the server has read the prompt; `succeeds` unless the answer is a failure."""
         if succeeds:
             self._on_begun()
@@ -106,11 +106,11 @@
     def end(self, failed: bool) -> None:
         """Record the end of the send attempt."""
         self._loads.add(self._name, -1, -self._waiting_tokens)
-        self._loads.note_result(self._name, failed)
+        self._loads.record_result(self._name, failed)
 
 
 @dataclass(frozen=True)
-class _Look:
+class _Comparison:
     """The inputs shared by all servers that are compared for a request."""
 
     prompt: Prompt | None
@@ -149,8 +149,8 @@
         self._cached_prefixes: dict[str, CachedPrefixes] = {}
         self._demand: dict[str, DemandMeter] = {}
         self._reported = ReportedLoads(clock, get_period)
-        self._homes: dict[str, Homes] = defaultdict(Homes)
-        self._begun_ms = clock.now_ms()
+        self._preferred_servers: dict[str, PreferredServers] = defaultdict(PreferredServers)
+        self._started_ms = clock.now_ms()
         self._unreported_prompts: deque[SentPrompt] = deque(maxlen=MAX_REPORTED_PROMPTS)
 
     def begin(
@@ -179,11 +179,11 @@
         self._unreported_loads.add(name)
         self._on_change()
 
-    def note_result(self, name: str, failed: bool) -> None:
+    def record_result(self, name: str, failed: bool) -> None:
         """Record the result of a send attempt."""
         self.failures.record_own(name, failed=failed)
 
-    def forget(self, name: str) -> None:
+    def evict(self, name: str) -> None:
         """Discard the state of a removed server, except its send attempts in progress."""
         self.failures.evict(name)
         self._unreported_loads.discard(name)
@@ -236,7 +236,7 @@
         self._unreported_prompts.clear()
         return sent
 
-    def take_report(
+    def apply_report(
         self,
         daemon: str,
         report: Mapping[str, ServerLoad],
@@ -268,7 +268,7 @@
         prompt: Prompt | None,
         tokens_per_ms: float = PRIOR.tokens_per_ms,
         find_distance_ms: Callable[[str], float] = lambda _: 0.0,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> list[Candidate]:
         """Return the servers to compare for a request, with their load.
 
@@ -278,19 +278,19 @@
         servers : the servers of one service.
         tokens_per_ms : how fast the service's engines read prompts.
         find_distance_ms : returns the additional latency to a zone.
-        chance : draws the servers that are compared for a prompt; None to compare all.
+        rng : draws the servers that are compared for a prompt; None to compare all.
         """
         ranks = self._rank_preferred_servers(servers, prompt)
-        if prompt is not None and chance is not None:
+        if prompt is not None and rng is not None:
             likely = self._list_caching_servers(prompt)
-            likely |= {name for name, rank in ranks.items() if rank < HOMES_CONSIDERED}
-            servers = draw_considered(
+            likely |= {name for name, rank in ranks.items() if rank < PREFERRED_CONSIDERED}
+            servers = sample_servers(
                 servers,
                 lambda server: server.name in likely or server.incarnation in likely,
-                chance,
+                rng,
             )
         reported = self._reported.sum_loads({server.incarnation for server in servers})
-        comparison = _Look(prompt, ranks, reported, tokens_per_ms, find_distance_ms)
+        comparison = _Comparison(prompt, ranks, reported, tokens_per_ms, find_distance_ms)
         return [self._build_candidate(server, comparison) for server in servers]
 
     def _rank_preferred_servers(
@@ -300,7 +300,9 @@
         if not servers or prompt is None or not prompt.shared_parts:
             return {}
         key = prompt.shared_parts[-1].identifier
-        return self._homes[servers[0].serves].rank(key, [server.name for server in servers])
+        return self._preferred_servers[servers[0].serves].rank(
+            key, [server.name for server in servers]
+        )
 
     def _list_caching_servers(self, prompt: Prompt) -> set[str]:
         """Return the incarnations of the servers to which a prompt's first shared part was sent."""
@@ -311,7 +313,7 @@
             name for name, memory in self._cached_prefixes.items() if memory.count_cached(first)
         }
 
-    def _build_candidate(self, server: BackendServer, comparison: "_Look") -> Candidate:
+    def _build_candidate(self, server: BackendServer, comparison: "_Comparison") -> Candidate:
         name = server.incarnation
         waiting_tokens = comparison.others.estimate_waiting_tokens(name, comparison.tokens_per_ms)
         return Candidate(
@@ -321,7 +323,7 @@
             cached_tokens=(
                 self._count_cached(name, comparison.prompt) if comparison.prompt else None
             ),
-            home_rank=comparison.ranks.get(server.name, NO_HOME),
+            preference_rank=comparison.ranks.get(server.name, NOT_PREFERRED),
             distance_ms=comparison.find_distance_ms(server.zone),
             failure_rate=self.failures.get_rate(name),
         )
@@ -330,5 +332,5 @@
         """Return the cached tokens; None if there are none but this process started too recently to tell."""
         prefixes = self._cached_prefixes.get(name)
         cached = prefixes.count_cached(prompt.shared_chain) if prefixes is not None else 0.0
-        is_warming_up = self._clock.now_ms() - self._begun_ms < CACHE_WARM_UP_MS
+        is_warming_up = self._clock.now_ms() - self._started_ms < CACHE_WARM_UP_MS
         return None if is_warming_up and not cached else cached
--- a/hemlockswitch/process/gateway/zone_watchers.py
+++ b/hemlockswitch/process/gateway/zone_watchers.py
@@ -5,7 +5,7 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.process.gateway.fleet import Fleet
 from hemlockswitch.process.gateway.freshness import STALE_VIEW_MS, QueryScope
-from hemlockswitch.process.gateway.neighbours import Peer, rank_gateway
+from hemlockswitch.process.gateway.peer_groups import Peer, rank_gateway
 
 WATCHERS_PER_ZONE = 2
 """Number of gateways of each zone that watch the object service for the others. With two of them, no change
@@ -59,7 +59,7 @@
 
     def find_query_scope(self) -> QueryScope:
         """Return whether this gateway queries the object service for the fleet, its zone, or itself only."""
-        if self._rank_current(self._fleet.list_heard())[0][1] == self._fleet.name:
+        if self._rank_current(self._fleet.list_connected())[0][1] == self._fleet.name:
             return QueryScope.FLEET
         if self._rank_current(self._list_zone_peers())[0][1] == self._fleet.name:
             return QueryScope.ZONE
--- a/hemlockswitch/process/membership/membership.py
+++ b/hemlockswitch/process/membership/membership.py
@@ -13,11 +13,11 @@
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.identifiers import rank_rendezvous
 from hemlockswitch.core.logs import log_event
+from hemlockswitch.process.gossip.gossip import Gossip
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
 from hemlockswitch.process.membership.members import MEMBER_PREFIX, Member, MemberState
 from hemlockswitch.process.membership.overlay import Links, choose_links
 from hemlockswitch.process.membership.probes import SWEEP_INTERVAL_MS, Prober, ProbeTimes
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
-from hemlockswitch.process.news.spread import Spread
 
 __all__ = ["Member", "MemberState", "Membership", "ProbeTimes"]
 
@@ -35,7 +35,7 @@
     ===========
 
     Each member is a gossip item whose version increases with the member's incarnation and, within
-    one incarnation, with its state; `Spread` disseminates these items like any others. Only the
+    one incarnation, with its state; `Gossip` disseminates these items like any others. Only the
     daemon itself increases its incarnation: when it receives a report that it is suspect or dead,
     it refutes the report with a higher incarnation.
 
@@ -55,9 +55,9 @@
     def __init__(
         self,
         own: Member,
-        board: NewsBoard,
+        gossip_state: GossipState,
         network: PeerNetwork,
-        spread: Spread,
+        gossip: Gossip,
         *,
         seeds: Iterable[str] = (),
         discover: Callable[[], list[str]] = list,
@@ -67,9 +67,9 @@
         self.times = times or ProbeTimes()
         self.joined = False
         self._own = own
-        self._board = board
+        self._gossip_state = gossip_state
         self._network = network
-        self._spread = spread
+        self._gossip = gossip
         self._seeds = tuple(seeds)
         self._discover = discover
         self._clock = clock or SystemClock()
@@ -81,13 +81,13 @@
         self._was_isolated = False
         self._prober = self._make_prober()
         self._tasks: list[gevent.Greenlet] = []
-        board.add_listener(MEMBER_PREFIX, self._apply_item)
+        gossip_state.add_listener(MEMBER_PREFIX, self._apply_item)
 
     def _make_prober(self) -> Prober:
         return Prober(
             self._own,
             self._network,
-            self._spread,
+            self._gossip,
             self.times,
             self._clock,
             lambda: self._find_links().probed,
@@ -100,22 +100,22 @@
         address = self._network.address
         incarnation = self._clock.wall_ms()
         self._own = replace(self._own, peer_address=address, incarnation=incarnation)
-        self._board.learn(self._own.to_item())
-        self._spread.start(lambda: self._find_links().gossip_peers)
+        self._gossip_state.record(self._own.to_item())
+        self._gossip.start(lambda: self._find_links().gossip_peers)
         tasks = (self._join_forever, self._prober.run, self._sweep_forever, self._retry_dead)
         self._tasks = [gevent.spawn(task) for task in tasks]
 
     def leave(self) -> None:
         """Announce that this daemon is leaving; it accepts no new work from now on."""
         self._own = replace(self._own, state=MemberState.LEAVING)
-        self._board.learn(self._own.to_item())
+        self._gossip_state.record(self._own.to_item())
 
     def stop(self) -> None:
         """Announce that this daemon has stopped, and stop the tasks."""
         gevent.killall(self._tasks, block=False)
         self._own = replace(self._own, state=MemberState.DEAD)
-        self._board.learn(self._own.to_item())
-        self._spread.stop()
+        self._gossip_state.record(self._own.to_item())
+        self._gossip.stop()
 
     @property
     def own(self) -> Member:
@@ -168,7 +168,7 @@
             self._links = choose_links(self._own, live)
         return self._links
 
-    def _apply_item(self, item: NewsItem) -> None:
+    def _apply_item(self, item: GossipItem) -> None:
         try:
             member = Member.from_item(item)
         except (TypeError, ValueError) as error:
@@ -207,7 +207,7 @@
         incarnation = max(self._clock.wall_ms(), reported.incarnation + 1)
         self._own = replace(self._own, incarnation=incarnation)
         log_event(Event.MEMBERSHIP_REFUTED, "warning", heard=reported.state.name.lower())
-        self._board.learn(self._own.to_item())
+        self._gossip_state.record(self._own.to_item())
 
     def _suspect(self, unresponsive: list[Member]) -> None:
         if len(unresponsive) > 1:
@@ -220,7 +220,7 @@
         for member in unresponsive:
             known = self._members.get(member.name)
             if known is not None and known.state is MemberState.ALIVE:
-                self._board.learn(replace(known, state=MemberState.SUSPECT).to_item())
+                self._gossip_state.record(replace(known, state=MemberState.SUSPECT).to_item())
 
     def _sweep_forever(self) -> None:
         last_ms = self._clock.now_ms()
@@ -230,7 +230,7 @@
             # Time in which this process was paused does not count: no refutation could arrive.
             self._active_ms += min(now_ms - last_ms, 2 * SWEEP_INTERVAL_MS)
             last_ms = now_ms
-            self._spread.discard_tombstones()
+            self._gossip.discard_tombstones()
             self._log_isolation_change()
             if self._was_answered_within(self.times.suspicion_timeout_ms):
                 self._expire_suspicions()
@@ -247,7 +247,9 @@
             # and act only if all of those have failed as well.
             wait_ms = self.times.suspicion_timeout_ms * (1 if name in probed else 2)
             if self._active_ms - since_ms >= wait_ms:
-                self._board.learn(replace(self._members[name], state=MemberState.DEAD).to_item())
+                self._gossip_state.record(
+                    replace(self._members[name], state=MemberState.DEAD).to_item()
+                )
 
     def _retry_dead(self) -> None:
         while True:
@@ -295,7 +297,7 @@
 
     def _try_address(self, address: str) -> None:
         try:
-            self._spread.repair(address)
+            self._gossip.repair(address)
         except PeerError:
             return
         self._prober.last_answer_ms = self._clock.now_ms()
--- a/hemlockswitch/process/quarantine/suspect_news.py
+++ b/hemlockswitch/process/quarantine/suspect_gossip.py
@@ -10,20 +10,25 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.process.news.board import NewsBoard, NewsItem
-from hemlockswitch.request.quarantine import LIFE_MS, Quarantine, SuspectFields, SuspectRecord
+from hemlockswitch.process.gossip.state import GossipItem, GossipState
+from hemlockswitch.request.quarantine import (
+    SUSPECT_RETENTION_MS,
+    Quarantine,
+    SuspectFields,
+    SuspectRecord,
+)
 
 SUSPECT_PREFIX = "suspect/"
 
 
-class SuspectNews:
+class SuspectGossip:
     """Exchanges records of suspect contents with the other entry daemons.
 
     Parameters
     ==========
 
     name : name of this daemon.
-    board : the local gossip state.
+    gossip_state : the local gossip state.
     quarantine : this daemon's records.
     is_isolated : returns whether this daemon receives messages from no peer.
     clock : the time source.
@@ -32,49 +37,49 @@
     def __init__(
         self,
         name: str,
-        board: NewsBoard,
+        gossip_state: GossipState,
         quarantine: Quarantine,
         is_isolated: Callable[[], bool],
         clock: Clock,
     ) -> None:
         self._name = name
-        self._board = board
+        self._gossip_state = gossip_state
         self._quarantine = quarantine
         self._is_isolated = is_isolated
         self._clock = clock
-        board.add_listener(SUSPECT_PREFIX, self._apply_item)
+        gossip_state.add_listener(SUSPECT_PREFIX, self._apply_item)
 
-    def note_change(self) -> None:
+    def publish_changes(self) -> None:
         """Publish changed records, and withdraw expired ones."""
-        for record in self._quarantine.pop_untold():
+        for record in self._quarantine.pop_unsent():
             key = f"{SUSPECT_PREFIX}{record.fingerprint}/{self._name}"
             self._publish(key, record.list_fields())
-        oldest_ms = self._clock.wall_ms() - LIFE_MS
-        for item in self._board.list_items(SUSPECT_PREFIX):
+        oldest_ms = self._clock.wall_ms() - SUSPECT_RETENTION_MS
+        for item in self._gossip_state.list_items(SUSPECT_PREFIX):
             if item.version < oldest_ms and not item.tombstone:
                 self._publish(item.key, None)
 
     def _publish(self, key: str, fields: SuspectFields | None) -> None:
         """Publish an item with a version above all earlier ones of its key, even if the clock was set back."""
-        current = self._board.find(key)
+        current = self._gossip_state.find(key)
         version = max(self._clock.wall_ms(), current.version + 1 if current is not None else 0)
-        self._board.learn(NewsItem(key, version, fields, tombstone=fields is None))
+        self._gossip_state.record(GossipItem(key, version, fields, tombstone=fields is None))
 
     def repair(self) -> None:
         """Do nothing: the gossip protocol itself repairs differences between daemons."""
 
-    def differ(self) -> bool:
+    def has_differing_peer(self) -> bool:
         """Return False: the gossip protocol itself repairs differences between daemons."""
         return False
 
-    def are_missed(self) -> bool:
+    def has_disconnected_peer(self) -> bool:
         """Return whether this daemon receives messages from no peer."""
         return self._is_isolated()
 
-    def _apply_item(self, item: NewsItem) -> None:
+    def _apply_item(self, item: GossipItem) -> None:
         if item.tombstone or item.key.endswith(f"/{self._name}"):
             return
         try:
-            self._quarantine.take(SuspectRecord.from_fields(item.value))
+            self._quarantine.merge(SuspectRecord.from_fields(item.value))
         except (TypeError, ValueError) as error:
             log_event(Event.NEWS_UNREADABLE, "warning", key=item.key, detail=repr(error))
--- a/hemlockswitch/process/revisions/tasks.py
+++ b/hemlockswitch/process/revisions/tasks.py
@@ -7,11 +7,11 @@
 from hemlockswitch.connection.stored_objects import StoredObject
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.core.errors import ErrorKind, PlatformError
-from hemlockswitch.process.facts import Facts
+from hemlockswitch.process.cluster_state import ClusterState
 from hemlockswitch.process.membership.members import Member
 from hemlockswitch.process.revisions.configuration import Configuration
-from hemlockswitch.process.revisions.spread import RevisionSpread
 from hemlockswitch.process.revisions.store import RevisionStore, read_pointer
+from hemlockswitch.process.revisions.updates import RevisionUpdater
 from hemlockswitch.process.servers.watchers import Pointer, Watcher
 from hemlockswitch.process.status.zone_status import DaemonReport, ZoneMember, ZoneStatus
 from hemlockswitch.version.revisions import CURRENT_POINTER, POINTER_KIND
@@ -44,7 +44,7 @@
     Parameters
     ==========
 
-    facts : the daemon's members, gossip items, network and platform client.
+    cluster_state : the daemon's members, gossip items, network and platform client.
     name, zone, program : of the daemon.
     clock : the daemon's clock.
     is_ready : returns whether the daemon accepts new work.
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        facts: Facts,
+        cluster_state: ClusterState,
         name: str,
         zone: str,
         program: str,
@@ -62,33 +62,39 @@
         describe: Callable[[], dict[str, Any]] = dict,
     ) -> None:
         self.configuration = Configuration(clock)
-        self._facts = facts
+        self._cluster_state = cluster_state
         self._name = name
         self._zone = zone
         self._program = program
         self._clock = clock
         self._is_ready = is_ready
         self._describe = describe
-        self._store = RevisionStore(facts.platform, clock, READ_TIMEOUT_MS)
-        self.spread = RevisionSpread(
+        self._store = RevisionStore(cluster_state.platform, clock, READ_TIMEOUT_MS)
+        self.updater = RevisionUpdater(
             self.configuration,
-            facts.board,
-            facts.network,
+            cluster_state.gossip_state,
+            cluster_state.network,
             self.list_peers,
             lambda: self._store.read_current().revision,
             clock,
         )
         self.zone_status = ZoneStatus(
-            zone, name, self.make_report, self.list_zone, facts.network, facts.platform, clock
+            zone,
+            name,
+            self.make_report,
+            self.list_zone,
+            cluster_state.network,
+            cluster_state.platform,
+            clock,
         )
         self.configuration.add_listener(lambda _: self.zone_status.report_soon())
 
     def start(self, spawn: Callable[[str, Callable[[], None]], None]) -> None:
         """Start the tasks; `spawn` runs a named task until the daemon stops."""
-        pointer = Pointer(self._facts.platform, POINTER_KIND, CURRENT_POINTER, self.follow)
-        watcher = Watcher("revision pointer", self._facts.post, pointer.ask, 0, self._clock)
+        pointer = Pointer(self._cluster_state.platform, POINTER_KIND, CURRENT_POINTER, self.follow)
+        watcher = Watcher("revision pointer", self._cluster_state.post, pointer.ask, 0, self._clock)
         spawn("revision pointer", watcher.run)
-        spawn("revision spread", self.spread.run)
+        spawn("revision spread", self.updater.run)
         spawn("zone reports", self.zone_status.run_reports)
         spawn("zone status", self.zone_status.run_writes)
 
@@ -132,9 +138,9 @@
             "number": self.configuration.revision,
             "digest": self.configuration.digest,
             "in_force": steps,
-            "received": vars(self.spread.counts),
+            "received": vars(self.updater.counts),
         }
 
     def _list_live(self) -> list[Member]:
-        membership = self._facts.membership
+        membership = self._cluster_state.membership
         return [] if membership is None else membership.list_live()
--- a/hemlockswitch/process/shares/members.py
+++ b/hemlockswitch/process/shares/factory.py
@@ -4,9 +4,9 @@
 
 from hemlockswitch.connection.platform import PlatformClient
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.process.facts import Facts
+from hemlockswitch.process.cluster_state import ClusterState
+from hemlockswitch.process.gossip.state import GossipState
 from hemlockswitch.process.membership.membership import Membership
-from hemlockswitch.process.news.board import NewsBoard
 from hemlockswitch.process.servers.backends import VM_PREFIX
 from hemlockswitch.process.shares.parts import ShareMember
 from hemlockswitch.process.shares.shares import Shares
@@ -14,23 +14,28 @@
 from hemlockswitch.version.models import OperatorFile
 from hemlockswitch.version.settings import EntrySettings
 
-CALL_MS = 1_000.0
+PLATFORM_CALL_TIMEOUT_MS = 1_000.0
 
 
 def build_shares(
-    settings: EntrySettings, facts: Facts, clock: Clock, find_file: Callable[[], OperatorFile]
+    settings: EntrySettings,
+    cluster_state: ClusterState,
+    clock: Clock,
+    find_file: Callable[[], OperatorFile],
 ) -> Shares:
     """Return the daemon's shares of the limits, with a separate platform client."""
-    store = PlatformClient(settings.platform, "limits", settings.name, timeout_ms=CALL_MS)
+    store = PlatformClient(
+        settings.platform, "limits", settings.name, timeout_ms=PLATFORM_CALL_TIMEOUT_MS
+    )
     return Shares(
         name=settings.name,
         zone=settings.zone,
         clock=clock,
         store=store,
-        network=facts.network,
+        network=cluster_state.network,
         find_file=find_file,
-        list_members=lambda: list_share_members(facts.membership),
-        is_gone=lambda name: is_vm_gone(facts.board, name),
+        list_members=lambda: list_share_members(cluster_state.membership),
+        is_vm_removed=lambda name: is_vm_removed(cluster_state.gossip_state, name),
     )
 
 
@@ -43,7 +48,7 @@
     ]
 
 
-def is_vm_gone(board: NewsBoard, name: str) -> bool:
+def is_vm_removed(gossip_state: GossipState, name: str) -> bool:
     """Return whether a VM was removed from the platform's VM list after it had been listed.
 
     Explanation
@@ -52,5 +57,5 @@
     Death according to the membership is not sufficient: the daemon may be disconnected and still admit
     requests.
     """
-    item = board.find(f"{VM_PREFIX}{name}")
+    item = gossip_state.find(f"{VM_PREFIX}{name}")
     return item is not None and item.value.get("state") == BackendState.GONE.value
--- a/hemlockswitch/request/routing.py
+++ b/hemlockswitch/request/routing.py
@@ -7,9 +7,9 @@
 
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock, SystemClock
 from hemlockswitch.core.errors import ErrorKind, RequestError
-from hemlockswitch.request.choices import Choice, PredictedTime, Scored, pick
+from hemlockswitch.request.choices import Choice, PredictedTime, ScoredCandidate, pick
 from hemlockswitch.request.prefixes import PrefixRecord
-from hemlockswitch.request.returns import RetryTimes
+from hemlockswitch.request.retry_times import RetryTimes
 from hemlockswitch.version.backend import BackendServer
 
 DEFAULT_CHOICE: Choice = PredictedTime()
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class Need:
+class RequestNeeds:
     """Properties of a request that the choice of a backend server depends on.
 
     Parameters
@@ -96,7 +96,7 @@
     def count_waiting(self) -> int:
         """Return the number of this daemon's requests without a first token."""
 
-    def note_overflow(self) -> None:
+    def record_overflow(self) -> None:
         """Record that the servers in use are overloaded."""
 
 
@@ -110,9 +110,9 @@
     find_traits : returns the configured properties of a model or service.
     queue_length : maximum number of this daemon's requests that wait for a first token.
     choice : the rule that picks one of the scored candidates.
-    await_facts : called before each choice; if the cluster state is stale, waits for a bounded time
-        until it is up to date.
-    chance : random number generator.
+    await_cluster_state : called before each choice; if the cluster state is stale, waits for a bounded
+        time until it is up to date.
+    rng : random number generator.
     clock : clock from which retry times are computed.
     """
 
@@ -123,21 +123,21 @@
         *,
         queue_length: int = 256,
         choice: Choice | None = None,
-        await_facts: Callable[[], None] = lambda: None,
-        chance: random.Random | None = None,
+        await_cluster_state: Callable[[], None] = lambda: None,
+        rng: random.Random | None = None,
         clock: Clock | None = None,
     ) -> None:
         self._source = source
         self._find_traits = find_traits
         self.queue_length = queue_length
         self._choice = choice or DEFAULT_CHOICE
-        self._await_facts = await_facts
-        self._chance = chance or random.Random()
+        self._await_cluster_state = await_cluster_state
+        self._rng = rng or random.Random()
         self._retry_times = RetryTimes(clock or SystemClock())
         self.memory = PrefixRecord()
 
-    def choose(self, need: Need) -> BackendServer:
-        """Return the server for `need`.
+    def choose(self, needs: RequestNeeds) -> BackendServer:
+        """Return the server for `needs`.
 
         Raises
         ======
@@ -145,72 +145,74 @@
         RequestError : `NO_BACKEND` if no server accepts it; `OVERLOADED`, with a retry time, if every
             server would start it too late. Nothing has been sent.
         """
-        self._await_facts()
-        traits = self._find_traits(need.target)
-        scored = self._score_all(need, traits)
+        self._await_cluster_state()
+        traits = self._find_traits(needs.target)
+        scored = self._score_all(needs, traits)
         best_ms = min(one.first_token_ms for one in scored)
         if best_ms > traits.first_token_ms * OVERFLOW_SHARE:
-            self._source.note_overflow()
-        self._refuse_late(need, scored, traits)
-        return pick(self._choice, scored, need, self._chance).server
+            self._source.record_overflow()
+        self._refuse_late(needs, scored, traits)
+        return pick(self._choice, scored, needs, self._rng).server
 
-    def count_uncached(self, server_name: str, need: Need) -> int:
+    def count_uncached(self, server_name: str, needs: RequestNeeds) -> int:
         """Return the estimated number of prompt tokens that the server would have to process."""
-        cached = self.memory.count_cached(server_name, need.prefix_blocks)
-        return max(need.prompt_tokens - cached, 0)
+        cached = self.memory.count_cached(server_name, needs.prefix_blocks)
+        return max(needs.prompt_tokens - cached, 0)
 
-    def note_dispatch(self, server_name: str, need: Need) -> int:
+    def record_dispatch(self, server_name: str, needs: RequestNeeds) -> int:
         """Record that the request is sent to the server; return its estimated uncached tokens."""
-        uncached = self.count_uncached(server_name, need)
-        self.memory.record(server_name, need.prefix_blocks)
+        uncached = self.count_uncached(server_name, needs)
+        self.memory.record(server_name, needs.prefix_blocks)
         return uncached
 
-    def _score_all(self, need: Need, traits: TargetTraits) -> list[Scored]:
-        candidates = self._source.list_candidates(need.target)
-        cached = self.memory.count_all(need.prefix_blocks)
+    def _score_all(self, needs: RequestNeeds, traits: TargetTraits) -> list[ScoredCandidate]:
+        candidates = self._source.list_candidates(needs.target)
+        cached = self.memory.count_all(needs.prefix_blocks)
         scored = [
-            self._score(candidate, need, traits, cached)
+            self._score(candidate, needs, traits, cached)
             for candidate in candidates
-            if candidate.server.name not in need.exclude
+            if candidate.server.name not in needs.exclude
         ]
         if not scored:
-            raise RequestError(ErrorKind.NO_BACKEND, f"no backend server for {need.target}")
+            raise RequestError(ErrorKind.NO_BACKEND, f"no backend server for {needs.target}")
         return scored
 
     @staticmethod
     def _score(
-        candidate: Candidate, need: Need, traits: TargetTraits, cached: dict[str, int]
-    ) -> Scored:
-        uncached = max(need.prompt_tokens - cached.get(candidate.server.name, 0), 0)
-        return Scored(
+        candidate: Candidate, needs: RequestNeeds, traits: TargetTraits, cached: dict[str, int]
+    ) -> ScoredCandidate:
+        uncached = max(needs.prompt_tokens - cached.get(candidate.server.name, 0), 0)
+        return ScoredCandidate(
             server=candidate.server,
             first_token_ms=predict_first_token_ms(candidate, uncached, traits.slots),
             requests=candidate.own_requests + candidate.other_requests,
             reported_requests=candidate.reported_requests,
             seen_tokens=max(cached.values(), default=0),
             ms_per_token=MS_PER_SECOND / candidate.prefill_tokens_per_s,
-            prompt_tokens=need.prompt_tokens,
+            prompt_tokens=needs.prompt_tokens,
             slot_ms=max(candidate.service_ms / (candidate.slots or traits.slots), 1.0),
             uncached_tokens=uncached,
         )
 
-    def _refuse_late(self, need: Need, scored: Sequence[Scored], traits: TargetTraits) -> None:
+    def _refuse_late(
+        self, needs: RequestNeeds, scored: Sequence[ScoredCandidate], traits: TargetTraits
+    ) -> None:
         """Refuse a request that would start too late, with the time until the queue has shrunk."""
         best_ms = min(one.first_token_ms for one in scored)
-        step = min(max(need.priority, 0), len(MAX_DELAY_FACTORS) - 1)
+        step = min(max(needs.priority, 0), len(MAX_DELAY_FACTORS) - 1)
         allowed_ms = traits.first_token_ms * MAX_DELAY_FACTORS[step]
-        if need.deadline_ms is not None:
-            allowed_ms = min(allowed_ms, need.deadline_ms)
+        if needs.deadline_ms is not None:
+            allowed_ms = min(allowed_ms, needs.deadline_ms)
         full = self._source.count_waiting() >= self.queue_length
         if best_ms <= allowed_ms and not full:
             return
         wait_ms = max(best_ms - allowed_ms, best_ms / 2 if full else 0, 1)
         slot_ms = 1 / sum(1 / one.slot_ms for one in scored)
-        assigned_ms = self._retry_times.assign(need.target, wait_ms, slot_ms)
-        spread = 1 + RETRY_SPREAD * self._chance.random()
+        assigned_ms = self._retry_times.assign(needs.target, wait_ms, slot_ms)
+        spread = 1 + RETRY_SPREAD * self._rng.random()
         raise RequestError(
             ErrorKind.OVERLOADED,
-            f"every backend server for {need.target} would start the request too late",
+            f"every backend server for {needs.target} would start the request too late",
             retry_after_ms=int(assigned_ms * spread) + 1,
         )
 
--- a/tools/capacity_variants.py
+++ b/tools/capacity_variants.py
@@ -11,10 +11,10 @@
 
 from hemlockswitch.connection.messages import register_message
 from hemlockswitch.core.errors import PeerError
+from hemlockswitch.process.gossip.gossip import Gossip
+from hemlockswitch.process.gossip.messages import Fetch, GossipItems, GossipLimits, Row
 from hemlockswitch.process.membership.membership import Membership
 from hemlockswitch.process.membership.overlay import Links
-from hemlockswitch.process.news.messages import Fetch, News, Row, SpreadBounds
-from hemlockswitch.process.news.spread import Spread
 
 FANOUT = 6
 GRAFT_WAIT_S = 0.1
@@ -28,14 +28,14 @@
         return Links(others, others)
 
 
-class FloodSpread(Spread):
+class FloodGossip(Gossip):
     """Every item goes whole over every link."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
-        super().__init__(*arguments, bounds=SpreadBounds(max_pushed_bytes=1_000_000), **options)
+        super().__init__(*arguments, limits=GossipLimits(max_pushed_bytes=1_000_000), **options)
 
 
-class MeshSpread(FloodSpread):
+class MeshGossip(FloodGossip):
     """The daemon that learns an item first sends it to all; nobody passes it on."""
 
     def _push(self) -> None:
@@ -66,7 +66,7 @@
     rows: list[list[Any]]
 
 
-class TreeSpread(Spread):
+class TreeGossip(Gossip):
     """The rings' links cut down to a broadcast tree by duplicates, as in the paper."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
@@ -78,10 +78,10 @@
     def _prune(self, sender: str, message: Prune) -> None:
         self._lazy.add(sender)
 
-    def _receive_news(self, sender: str, news: News) -> None:
-        before = self.items_known
-        super()._receive_news(sender, news)
-        if news.items and self.items_known - before == len(news.items):
+    def _receive_items(self, sender: str, message: GossipItems) -> None:
+        before = self.duplicate_items
+        super()._receive_items(sender, message)
+        if message.items and self.duplicate_items - before == len(message.items):
             self._lazy.add(sender)
             self._network.send(sender, Prune())
         else:
@@ -104,15 +104,15 @@
             return
         self._lazy.discard(sender)
         try:
-            self._receive_news(sender, self._network.ask(sender, Fetch(keys), 1_000))
+            self._receive_items(sender, self._network.ask(sender, Fetch(keys), 1_000))
         except PeerError:
             return
 
 
-VARIANTS: dict[str, tuple[type[Membership], type[Spread]]] = {
-    "rings": (Membership, Spread),
-    "flood": (Membership, FloodSpread),
-    "mesh": (MeshMembership, MeshSpread),
-    "random": (RandomMembership, FloodSpread),
-    "tree": (Membership, TreeSpread),
+VARIANTS: dict[str, tuple[type[Membership], type[Gossip]]] = {
+    "rings": (Membership, Gossip),
+    "flood": (Membership, FloodGossip),
+    "mesh": (MeshMembership, MeshGossip),
+    "random": (RandomMembership, FloodGossip),
+    "tree": (Membership, TreeGossip),
 }
