--- a/hemlockswitch/platform/bodies.py
+++ b/hemlockswitch/platform/bodies.py
@@ -1,8 +1,8 @@
-"""Reading of the platform's JSON: strict models, and one place that turns mistakes into errors.
+"""Strict models of the platform's JSON, and the conversion of validation failures into errors.
 
-The models are `msgspec` structures: as strict as those of pydantic, which the other programs use,
-but loaded in a hundredth of a second. A gateway starts again whenever its VM is reclaimed, and
-callers wait for that start.
+The models are `msgspec` structures. They are as strict as the pydantic models of the other programs
+and load in a hundredth of a second, which matters because a gateway restarts whenever its VM is reclaimed and
+callers wait for that restart.
 """
 
 from typing import Any, TypeVar
@@ -15,22 +15,22 @@
 
 
 class Body(msgspec.Struct, frozen=True):
-    """Base of the wire's models; fields that are not read here are passed over."""
+    """Base of the models; unrecognized fields are ignored."""
 
 
 def read_value(model: type[Model], value: Any, *, strict: bool = True) -> Model:
-    """Return a value that lay in the object store as a checked model.
+    """Convert a value from the object store to a validated model.
 
     Parameters
     ==========
 
-    value : what `json` made of the stored text; None where that text could not be read.
-    strict : whether a number as text is a mistake.
+    value : the decoded JSON; None if the stored text could not be decoded.
+    strict : whether a number that is written as a string is rejected.
 
     Raises
     ======
 
-    ConfigurationError : the value does not fit; the detail names the place and the reason.
+    ConfigurationError : the value does not match the model; the detail names the path and the reason.
     """
     try:
         return msgspec.convert(value, model, strict=strict)
--- a/hemlockswitch/platform/cloud.py
+++ b/hemlockswitch/platform/cloud.py
@@ -1,4 +1,4 @@
-"""The platform's API for the duties of one daemon at a time: usage reports and orders of runners."""
+"""Client of the platform's API for usage reports and runner scaling, used by one daemon at a time."""
 
 from collections.abc import Mapping
 from http import HTTPStatus
@@ -19,37 +19,37 @@
 from hemlockswitch.version.machine_class import MachineClass
 
 TIMEOUT_MS = 800.0
-"""Shorter than the last part of a lease in which its holder no longer acts."""
-LONGEST_PAUSE_MS = 1_000.0
+"""Shorter than the final part of a lease term, in which the lease holder no longer acts."""
+MAX_BACKOFF_MS = 1_000.0
 
 
 class CloudApi:
-    """Calls that only the holder of the duties makes.
+    """Calls that only the daemon that holds the lease of the duties makes.
 
     Parameters
     ==========
 
     address : ``ip:port`` of the API.
-    holder : this machine's name.
-    clock : the time.
+    holder : the name of this machine, sent as the lease holder.
+    clock : the clock of the back-off and of the calls.
     """
 
     def __init__(self, address: str, holder: str, clock: Clock) -> None:
         self._holder = holder
         self._calls = PlatformCalls(address, {}, TIMEOUT_MS, clock)
-        self._backoff = Backoff(clock, LONGEST_PAUSE_MS)
+        self._backoff = Backoff(clock, MAX_BACKOFF_MS)
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._calls.close()
 
     def report_usage(self, window: int, counts: Mapping[str, int], fencing: int) -> bool:
-        """Report one window; return whether it was taken."""
+        """Report the counts of one usage window; return whether the API accepted them."""
         answer = self._post("/usage", {"window": window, "counts": dict(counts)}, fencing)
         return answer.status < HTTPStatus.BAD_REQUEST
 
     def order_copies(self, service: str, pool: Pool, count: int, fencing: int) -> OrderOutcome:
-        """Order `count` copies in a pool."""
+        """Set the desired number of copies of `service` in `pool` to `count`."""
         order: dict[str, Any] = {"service": service, "zone": pool.zone, "desired": count}
         if pool.machine_class is MachineClass.RECLAIMABLE:
             order["spot"] = True
@@ -71,5 +71,8 @@
         except AnswerLostError as error:
             raise make_unavailable(str(error), self._backoff) from error
         if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, f"status {answer.status}")
+            raise PlatformError(
+                ErrorKind.PLATFORM_UNAVAILABLE,
+                f"the cloud API answered with status {answer.status}",
+            )
         return answer
--- a/hemlockswitch/platform/headers.py
+++ b/hemlockswitch/platform/headers.py
@@ -1,4 +1,4 @@
-"""Requests and answers on the wire: header names and statuses of the platform's protocol."""
+"""Header names and status codes of the platform's protocol for requests and answers."""
 
 import re
 from http import HTTPStatus
@@ -25,20 +25,20 @@
 DEADLINE = "hemlockswitch-deadline-ms"
 API_KEY = "x-api-key"
 TENANT = "hemlockswitch-tenant"
-"""The client account's name; callers must not set it."""
+"""Name of the client account; callers must not set it."""
 TOKEN_COUNTS = "hemlockswitch-token-counts"
-"""Two numbers: prompt tokens, and the most output tokens."""
+"""Two numbers: prompt tokens, and maximum output tokens."""
 PROMPT_PREFIX = "hemlockswitch-prompt-prefix"
-"""All parts of the prompt, the request's own last: more than a prefix."""
+"""All parts of the prompt, not only its prefix; the last part is specific to the request."""
 LAST_EVENT_ID = "last-event-id"
 EXPECT_INSTANCE = "hemlockswitch-expect-instance"
 URGENCY = "hemlockswitch-request-urgency"
 SEAL = "hemlockswitch-response-seal"
-"""The message authentication code of a runner's answer."""
+"""Message authentication code of a runner's answer."""
 NOT_EXECUTED = "hemlockswitch-not-executed"
 INSTANCE_LOAD = "hemlockswitch-instance-load"
 
-SET_BY_US = frozenset(
+NOT_FORWARDED = frozenset(
     {
         DEADLINE,
         API_KEY,
@@ -54,30 +54,35 @@
         "hemlockswitch-expect-version",
     }
 )
-"""Headers of a caller that never go on as they came."""
-LOWEST_URGENCY = 9
-HIGHEST_OWN_TIME_MS = 86_400_000
+"""Headers of a caller that are never forwarded unchanged."""
+MAX_URGENCY_LEVEL = 9
+"""The least urgent level; greater values are reduced to it."""
+MAX_CALLER_DEADLINE_MS = 86_400_000
 _NUMBER = re.compile(r"\d{1,12}(\.\d{1,6})?")
-_PROMISES_NOT_RUN = frozenset({408, 421, 429, 503})
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 class Headers:
-    """The platform's dialect of forwarded requests; see `hemlockswitch.request.dialect.Dialect`."""
+    """The platform's implementation of `hemlockswitch.request.dialect.Dialect`."""
 
     def decode_request(self, request: ReceivedRequest) -> RequestFacts:
-        """Return what the request says of itself."""
+        """Decode the request's headers."""
         request_id = request.get(REQUEST_ID)
         if not request_id:
-            raise RequestError(ErrorKind.BAD_REQUEST, "the request has no identifier")
+            raise RequestError(
+                ErrorKind.BAD_REQUEST, "the request has no request identifier header"
+            )
         hosts = [value for name, value in request.headers if name.lower() == "host"]
         if len(hosts) != 1:
-            raise RequestError(ErrorKind.BAD_REQUEST, "the request needs exactly one host")
+            raise RequestError(
+                ErrorKind.BAD_REQUEST, "the request must have exactly one Host header"
+            )
         key = request.get(API_KEY)
         return RequestFacts(
             request_id=request_id,
             host=hosts[0].partition(":")[0],
             key=key or None,
-            time_left_ms=_decode_time(request.get(DEADLINE)),
+            time_left_ms=_decode_deadline(request.get(DEADLINE)),
             prompt=_decode_prompt(request),
             last_event_id=request.get(LAST_EVENT_ID),
         )
@@ -85,18 +90,18 @@
     def encode_request(
         self, request: ReceivedRequest, facts: RequestFacts, fields: SendFields
     ) -> bytes:
-        """Return the bytes to send to a runner."""
+        """Encode the request that is sent to a runner."""
         headers = [
             (name, value)
             for name, value in select_end_to_end(request.headers)
-            if name.lower() not in SET_BY_US
+            if name.lower() not in NOT_FORWARDED
         ]
         headers.append(("Hemlockswitch-Deadline-Ms", str(int(fields.time_left_ms))))
         headers.append(("Hemlockswitch-Expect-Instance", fields.server_name))
         if fields.account:
             headers.append(("Hemlockswitch-Tenant", fields.account))
         if facts.prompt is not None:
-            urgency = min(fields.urgency, LOWEST_URGENCY)
+            urgency = min(fields.urgency, MAX_URGENCY_LEVEL)
             headers.append(("Hemlockswitch-Request-Urgency", str(urgency)))
         if fields.last_event_id:
             headers.append(("Last-Event-Id", fields.last_event_id))
@@ -105,28 +110,31 @@
         return encode_head(f"{request.method} {request.target} HTTP/1.1", headers) + request.body
 
     def is_answer_to(self, answer: ParsedAnswer, request_id: str) -> bool:
-        """Return whether the answer is this request's; runners may decline without naming it."""
-        names = dict(_lower(answer))
-        if REQUEST_ID in names:
-            return names[REQUEST_ID] == request_id
+        """Return whether the answer belongs to this request.
+
+        A runner that declines a request may omit the request's identifier.
+        """
+        fields = dict(_lower_names(answer))
+        if REQUEST_ID in fields:
+            return fields[REQUEST_ID] == request_id
         return self.states_not_run(answer)
 
     def states_not_run(self, answer: ParsedAnswer) -> bool:
         """Return whether the runner states that it did not run the request."""
         if answer.status == HTTPStatus.MISDIRECTED_REQUEST:
             return True
-        return any(name == NOT_EXECUTED for name, _ in _lower(answer))
+        return any(name == NOT_EXECUTED for name, _ in _lower_names(answer))
 
     def is_genuine(self, answer: ParsedAnswer) -> bool:
-        """Return whether the answer is a runner's own and not encoded on the way."""
-        names = dict(_lower(answer))
-        if "content-encoding" in names:
+        """Return whether a runner made the answer and no intermediary re-encoded it."""
+        fields = dict(_lower_names(answer))
+        if "content-encoding" in fields:
             return False
-        return SEAL in names or answer.status >= HTTPStatus.MULTIPLE_CHOICES
+        return SEAL in fields or answer.status >= HTTPStatus.MULTIPLE_CHOICES
 
     def read_slots(self, answer: ParsedAnswer) -> ReportedSlots | None:
-        """Return the load: running, waiting, slots."""
-        stated = dict(_lower(answer)).get(INSTANCE_LOAD, "")
+        """Return the reported load (running, waiting, slots); None if absent or malformed."""
+        stated = dict(_lower_names(answer)).get(INSTANCE_LOAD, "")
         numbers = stated.split(",")
         if len(numbers) != 3 or not all(number.strip().isdigit() for number in numbers):
             return None
@@ -134,43 +142,45 @@
         return ReportedSlots(running, waiting, slots)
 
     def select_answer_headers(self, answer: ParsedAnswer) -> list[Header]:
-        """Return the runner's headers without those of its connection."""
+        """Return the runner's end-to-end headers."""
         return select_end_to_end(answer.headers)
 
     def describe_error(self, error: RequestError, request_id: str) -> ErrorReply:
-        """Return the answer to a request that failed here.
+        """Return the answer to a request that failed in this daemon.
 
         Explanation
         ===========
 
-        Here 408, 421, 429 and 503 promise that the request has not run and never will; 502 and
-        504 promise nothing. So a request that certainly did not run gets a status that says so,
-        and no other does.
+        In the platform's protocol 408, 421, 429 and 503 guarantee that the request has not run and
+        never will; 502 and 504 guarantee nothing. Only a request that certainly did not run gets
+        one of the former.
         """
         status = error.answer.status
         if error.answer.ran is Ran.NO and status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             status = HTTPStatus.SERVICE_UNAVAILABLE.value
-        elif error.answer.ran is not Ran.NO and status in _PROMISES_NOT_RUN:
+        elif error.answer.ran is not Ran.NO and status in _NOT_RUN_STATUSES:
             status = HTTPStatus.BAD_GATEWAY.value
         headers: list[Header] = [("Content-Type", "text/plain; charset=utf-8")]
         if request_id:
             headers.append(("Hemlockswitch-Request-Id", request_id))
-        if error.answer.retry_after_ms > 0 and status in _PROMISES_NOT_RUN:
+        if error.answer.retry_after_ms > 0 and status in _NOT_RUN_STATUSES:
             headers.append(("Retry-After", f"{error.answer.retry_after_ms / MS_PER_SECOND:.3f}"))
         body = f"{error.kind.value}: {error.detail}\n".encode()
         return ErrorReply(status, HTTPStatus(status).phrase, tuple(headers), body)
 
 
-def _lower(answer: ParsedAnswer) -> list[Header]:
+def _lower_names(answer: ParsedAnswer) -> list[Header]:
     return [(name.lower(), value) for name, value in answer.headers]
 
 
-def _decode_time(value: str) -> float | None:
+def _decode_deadline(value: str) -> float | None:
     if not value:
         return None
     if not _NUMBER.fullmatch(value):
-        raise RequestError(ErrorKind.BAD_REQUEST, "the deadline is not a number of milliseconds")
-    return min(float(value), HIGHEST_OWN_TIME_MS)
+        raise RequestError(
+            ErrorKind.BAD_REQUEST, "the deadline header must be a number of milliseconds"
+        )
+    return min(float(value), MAX_CALLER_DEADLINE_MS)
 
 
 def _decode_prompt(request: ReceivedRequest) -> Prompt | None:
@@ -179,7 +189,7 @@
         return None
     numbers = [number.strip() for number in counts.split(",")]
     if len(numbers) != 2 or not all(number.isdigit() for number in numbers):
-        raise RequestError(ErrorKind.BAD_REQUEST, "the token counts are not two numbers")
+        raise RequestError(ErrorKind.BAD_REQUEST, "the token counts header must be two numbers")
     parts = tuple(_decode_part(entry) for entry in request.get(PROMPT_PREFIX).split(",") if entry)
     return Prompt(parts, int(numbers[0]), int(numbers[1]))
 
@@ -187,5 +197,5 @@
 def _decode_part(entry: str) -> PromptPart:
     identifier, _, tokens = entry.strip().partition(":")
     if not tokens.isdigit():
-        raise RequestError(ErrorKind.BAD_REQUEST, "a prompt part has no size")
+        raise RequestError(ErrorKind.BAD_REQUEST, "a prompt part has no token count")
     return PromptPart(identifier, int(tokens))
--- a/hemlockswitch/platform/manifest.py
+++ b/hemlockswitch/platform/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest, which the platform keeps as one object: decoded into a `ServingTable`."""
+"""Decoding of the platform's manifest, which is stored as one object, into a `ServingTable`."""
 
 from hemlockswitch.connection.stored_objects import StoredObject
 from hemlockswitch.core.clock import MS_PER_SECOND
@@ -37,10 +37,10 @@
     path_prefix: str
     kind: str
     timeout_ms: float
-    goal_ms: float = 0.0  # the latency objective; for a stream, of its first event
+    goal_ms: float = 0.0  # latency objective; for a stream, until its first event
     priority: int = 0
     service: str = ""
-    split: tuple[_SplitBody, ...] = ()  # in place of `service`
+    split: tuple[_SplitBody, ...] = ()  # replaces `service`
     max_attempts: int = 1
     public: bool = False
     resumable: bool = False
@@ -55,7 +55,7 @@
     min: int
     max: int
     boot_s: float
-    spot_price: float = 1.0  # a part of the price of a copy that is not reclaimable
+    spot_price: float = 1.0  # as a fraction of the price of a non-reclaimable copy
     zone_prices: dict[str, float] = {}
 
 
@@ -67,7 +67,7 @@
 
 
 class _LimitsBody(Body, frozen=True):
-    """What a caller may send; account limits stand elsewhere, in `tenants`."""
+    """Limits on each caller's connection; limits of client accounts are in `tenants`."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -94,12 +94,12 @@
 
 
 def decode_manifest(item: StoredObject) -> ServingTable:
-    """Return the serving table of a stored manifest.
+    """Decode the serving table of a stored manifest.
 
     Raises
     ======
 
-    ConfigurationError : the manifest cannot be read; the detail names the place of the first mistake.
+    ConfigurationError : the manifest is invalid; the detail names the path of the first error.
     """
     body = read_value(_ManifestBody, item.value, strict=False)
     return ServingTable(
@@ -115,9 +115,9 @@
 def _build_route(body: _RouteBody) -> Route:
     kind = _KINDS.get(body.kind)
     if kind is None:
-        detail = f"route {body.name}: unknown kind {body.kind!r}"
+        detail = f"unknown request kind in route {body.name}: {body.kind!r}"
         raise ConfigurationError(ErrorKind.INVALID_CONFIGURATION, detail)
-    weights = tuple(ServiceWeight(one.service, one.weight) for one in body.split)
+    weights = tuple(ServiceWeight(split.service, split.weight) for split in body.split)
     return Route(
         name=body.name,
         host=body.host,
--- a/hemlockswitch/platform/rollouts.py
+++ b/hemlockswitch/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs, which the platform keeps one for each service: decoded, and their status."""
+"""Decoding of rollout orders, of which the platform stores one per service, and their status."""
 
 from typing import Annotated, Any, Literal
 
@@ -18,26 +18,26 @@
 
 class _OrderBody(Body, frozen=True):
     service: _Text
-    to: _Text  # the version of the runners' software to move to
-    duration_s: _Positive  # the time within which the move must be over, not how long it lasts
+    to: _Text  # target version of the runners' software
+    duration_s: _Positive  # time limit of the rollout, not its expected duration
 
 
 class _StatusBody(Body, frozen=True):
     state: Literal["running", "completed", "rolled_back"]
-    to: str = ""  # the version that the state is about; an order may have replaced another one
+    to: str = ""  # version that the state refers to; an earlier order may have written it
 
 
 def decode_rollout(item: StoredObject) -> RolloutOrder:
-    """Return the order of a stored object.
+    """Decode the rollout order of a stored object.
 
     Raises
     ======
 
-    ConfigurationError : it cannot be read, or it names another service than its object.
+    ConfigurationError : the order is invalid, or its service differs from the object's name.
     """
     body = read_value(_OrderBody, item.value)
     if body.service != item.name:
-        detail = f"roll-out {item.name!r} names the service {body.service!r}"
+        detail = f"rollout order {item.name!r} names a different service, {body.service!r}"
         raise ConfigurationError(ErrorKind.INVALID_CONFIGURATION, detail)
     return RolloutOrder(
         service=body.service,
@@ -50,7 +50,7 @@
 
 
 def _read_state(item: StoredObject, target: str) -> RolloutState | None:
-    """Return the state that is stored for this target; None if it is another order's."""
+    """Return the stored state of the order for `target`; None if it belongs to another order."""
     if not item.status:
         return None
     status = read_value(_StatusBody, item.status)
@@ -58,5 +58,5 @@
 
 
 def encode_rollout_status(order: RolloutOrder, state: RolloutState) -> dict[str, Any]:
-    """Return the status that says what became of an order."""
+    """Encode the status of an order as it is stored."""
     return {"state": state.value, "to": order.target}
--- a/hemlockswitch/platform/servers.py
+++ b/hemlockswitch/platform/servers.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers in the platform's registry, decoded into `BackendServer`."""
+"""Decoding of the platform's registry entries into `BackendServer`."""
 
 from typing import Annotated, Literal
 
@@ -18,32 +18,35 @@
 
 
 class _EntryBody(Body, frozen=True):
-    """What a runner writes about itself; the platform's page lists these fields for every entry."""
+    """The entry that a runner writes; the platform specifies these fields for every entry."""
 
     service: _Text
     address: str
     zone: _Text
-    version: str  # of the runner's software, not of the entry
+    version: str  # version of the runner's software, not of the entry
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: Literal["ready", "draining"]
-    cold_left_ms: Annotated[float, msgspec.Meta(ge=0)]  # how much longer it is slow after its start
-    sequence: _Count  # number of its heartbeats; starts anew with the process
-    spot: bool = False  # may be reclaimed
-    leaves_ms: float | None = None  # time left when it wrote this, if it is being reclaimed
-    born: _Count = 0  # Unix ms of the process's start; a restart may keep the entry's name
+    cold_left_ms: Annotated[
+        float, msgspec.Meta(ge=0)
+    ]  # remaining time of slow operation after its start
+    sequence: _Count  # heartbeat counter; restarts with the process
+    spot: bool = False  # whether the VM may be reclaimed
+    leaves_ms: float | None = None  # time left at the time of writing, if it is being reclaimed
+    born: _Count = 0  # process start in Unix ms; a restarted process may keep the entry's name
 
 
 def decode_server(item: StoredObject) -> BackendServer:
-    """Return the backend server of a registry entry.
+    """Decode the backend server of a registry entry.
 
     Raises
     ======
 
-    ConfigurationError : the entry cannot be read, or another program wrote it; it names no server.
+    ConfigurationError : the entry is invalid, for instance because another program wrote it; it must
+        not be used as a server.
     """
     body = read_value(_EntryBody, item.value)
     if not is_address(body.address):
-        detail = f"not an address - at `$.address`: {body.address[:40]!r}"
+        detail = f"expected an ip:port address - at `$.address`: {body.address[:40]!r}"
         raise ConfigurationError(ErrorKind.INVALID_CONFIGURATION, detail)
     machine_class = MachineClass.RECLAIMABLE if body.spot else MachineClass.ON_DEMAND
     return BackendServer(
--- a/hemlockswitch/platform/store.py
+++ b/hemlockswitch/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's object store, with the interface of the project's own `PlatformClient`."""
+"""Client of the platform's object store, with the interface of `PlatformClient`."""
 
 from http import HTTPStatus
 from typing import Annotated, Any, TypeVar
@@ -30,18 +30,18 @@
 
 ROOT = "/hemlockswitch/objects"
 TIMEOUT_MS = 1_500.0
-"""Longer than a slow service takes, which answers a hundred times later than usual."""
-LONGEST_PAUSE_MS = 600.0
-"""Longest back-off after failures: what changed during an outage must be known well within two
+"""Longer than the answers of a slow service take, which are delayed a hundredfold."""
+MAX_BACKOFF_MS = 600.0
+"""Limit of the back-off after failures: changes made during an outage must be read well within two
 seconds of its end."""
-MOST_PAGES = 1_000
+MAX_PAGES = 1_000
 
 _Revision = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class _MetadataBody(Body, frozen=True):
     name: Annotated[str, msgspec.Meta(min_length=1)]
-    revision: _Revision  # of the object's last change, not of the store
+    revision: _Revision  # revision of the object's last change, not of the store
     created_rev: _Revision = 0
 
 
@@ -51,7 +51,7 @@
     status: msgspec.Raw = msgspec.Raw(b"null")
 
     def to_object(self, kind: str, deleted: bool = False) -> StoredObject:
-        """Return the inner form; a spec or a status that cannot be read is none."""
+        """Convert to a `StoredObject`; a spec or status that cannot be decoded becomes None."""
         metadata = self.metadata
         return StoredObject(
             kind,
@@ -92,69 +92,71 @@
 
 
 class ObjectStore:
-    """Calls of the object store; see `PlatformClient` for what reads and writes promise.
+    """Client of the object store; `PlatformClient` describes the guarantees of reads and writes.
 
     Parameters
     ==========
 
     address : ``ip:port`` of the store.
-    clock : the time.
+    clock : the clock of the back-off and of the calls.
     """
 
     def __init__(self, address: str, clock: Clock, timeout_ms: float = TIMEOUT_MS) -> None:
         self._calls = PlatformCalls(address, {}, timeout_ms, clock)
-        self._backoff = Backoff(clock, LONGEST_PAUSE_MS)
+        self._backoff = Backoff(clock, MAX_BACKOFF_MS)
 
     @property
     def last_outage(self) -> Outage | None:
-        """The last time in which every call failed, once it was over."""
+        """The most recent outage that has ended."""
         return self._backoff.last_outage
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._calls.close()
 
     def read(self, kind: str, name: str) -> StoredObject | None:
-        """Return an object, or None where there is none."""
+        """Return an object, or None if it does not exist."""
         answer = self._get(_path(kind, name))
         if answer.status == HTTPStatus.NOT_FOUND:
             return None
         return _parse(_ObjectBody, answer).to_object(kind)
 
     def list(self, kind: str, prefix: str = "") -> ObjectPage:
-        """Return the objects of a kind whose names start with `prefix`, over all pages."""
+        """Return all objects of a kind whose names start with `prefix`."""
         return self._list(kind, prefix, {})
 
     def list_stale(self, kind: str) -> ObjectPage:
-        """Return the objects of a kind as they were some seconds ago; it costs a tenth."""
+        """Return all objects of a kind as of some seconds ago, at a tenth of the cost of `list`."""
         return self._list(kind, "", {"serializable": "1"})
 
     def _list(self, kind: str, prefix: str, options: dict[str, str]) -> ObjectPage:
         items: list[StoredObject] = []
         version: int | None = None
         after = ""
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             query = urlencode({"after": after, **options})
             page = _parse(_ListBody, self._get(f"{_path(kind)}?{query}"))
             readable = _read_items(kind, page.items)
             items += readable
-            # A watch from the first page's revision also shows what changed during the listing.
+            # A watch from the first page's revision includes the changes made during the listing.
             version = page.store_revision if version is None else version
             if not page.has_more or not page.items:
                 break
             if not readable:
-                raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "a page without a single name")
+                raise PlatformError(
+                    ErrorKind.PLATFORM_UNAVAILABLE, "no object of the list page has a readable name"
+                )
             after = readable[-1].name
-        kept = tuple(item for item in items if item.name.startswith(prefix))
-        return ObjectPage(kept, version or 0)
+        matching = tuple(item for item in items if item.name.startswith(prefix))
+        return ObjectPage(matching, version or 0)
 
     def watch(self, kind: str, since: int, wait_ms: int, prefix: str = "") -> ObjectPage:
-        """Return what changed after revision `since`, waiting up to `wait_ms` for the first.
+        """Return the changes after revision `since`, waiting up to `wait_ms` for the first.
 
         Raises
         ======
 
-        HistoryGoneError : the store does not keep the changes since then any more.
+        HistoryGoneError : the store no longer has the changes since that revision.
         """
         query = urlencode({"watch": since, "wait_ms": wait_ms})
         answer = self._get(f"{_path(kind)}?{query}", wait_ms)
@@ -162,26 +164,26 @@
             raise HistoryGoneError(since)
         page = _parse(_WatchBody, answer)
         items = _read_events(kind, page.events)
-        kept = tuple(item for item in items if item.name.startswith(prefix))
-        return ObjectPage(kept, page.store_revision)
+        matching = tuple(item for item in items if item.name.startswith(prefix))
+        return ObjectPage(matching, page.store_revision)
 
     def create(self, kind: str, name: str, value: Any) -> WriteOutcome:
-        """Write an object that must not exist yet."""
+        """Create an object; a `Conflict` if it exists."""
         body = {"metadata": {"name": name}, "spec": value}
         return self._write("POST", _path(kind), body)
 
     def update(self, kind: str, name: str, value: Any, version: int) -> WriteOutcome:
-        """Write an object whose revision must be `version`."""
+        """Replace an object if its revision is `version`."""
         body = {"metadata": {"name": name, "revision": version}, "spec": value}
         return self._write("PUT", _path(kind, name), body)
 
     def update_status(self, kind: str, name: str, status: Any, version: int) -> WriteOutcome:
-        """Write the status of an object whose revision must be `version`."""
+        """Replace the status of an object if the object's revision is `version`."""
         body = {"metadata": {"name": name, "revision": version}, "status": status}
         return self._write("PUT", f"{_path(kind, name)}/status", body)
 
     def delete(self, kind: str, name: str, version: int) -> WriteOutcome:
-        """Delete an object whose revision must be `version`."""
+        """Delete an object if its revision is `version`."""
         return self._write("DELETE", f"{_path(kind, name)}?revision={version}", None)
 
     def _get(self, path: str, wait_ms: float = 0) -> Answer:
@@ -202,8 +204,11 @@
         if answer.status == HTTPStatus.CONFLICT:
             return Conflict(_parse(_ObjectBody, answer).metadata.revision)
         if answer.status >= HTTPStatus.BAD_REQUEST:
-            # The store's page says that a 503 means that nothing was done.
-            raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, f"status {answer.status}")
+            # According to the platform's documentation, 503 means that nothing was written.
+            raise PlatformError(
+                ErrorKind.PLATFORM_UNAVAILABLE,
+                f"the object store answered a write with status {answer.status}",
+            )
         return _parse_written(answer)
 
 
@@ -213,7 +218,7 @@
 
 
 def _read_items(kind: str, raw_items: tuple[msgspec.Raw, ...]) -> list[StoredObject]:
-    """Return the objects of a list; one that has no name is passed over, and costs no other."""
+    """Decode the objects of a list, skipping and logging each one that cannot be decoded."""
     items: list[StoredObject] = []
     for raw in raw_items:
         try:
@@ -224,7 +229,7 @@
 
 
 def _read_events(kind: str, raw_events: tuple[msgspec.Raw, ...]) -> list[StoredObject]:
-    """Return the changed objects of a watch, likewise."""
+    """Decode the changed objects of a watch, skipping and logging as `_read_items` does."""
     items: list[StoredObject] = []
     for raw in raw_events:
         try:
@@ -243,17 +248,20 @@
     try:
         return msgspec.json.decode(text, type=model)
     except RecursionError as error:
-        raise msgspec.DecodeError("nested too deeply") from error
+        raise msgspec.DecodeError("JSON is nested too deeply") from error
 
 
 def _parse(model: type[_Model], answer: Answer) -> _Model:
-    """Return the checked body of a good answer or of a conflict."""
+    """Return the validated body of a successful answer or of a conflict."""
     if answer.status >= HTTPStatus.BAD_REQUEST and answer.status != HTTPStatus.CONFLICT:
-        raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, f"status {answer.status}")
+        raise PlatformError(
+            ErrorKind.PLATFORM_UNAVAILABLE,
+            f"the object store answered with status {answer.status}",
+        )
     try:
         return _decode(model, answer.body)
     except msgspec.DecodeError as error:
-        detail = f"an answer that does not fit: {error}"
+        detail = f"invalid answer of the object store: {error}"
         raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, detail) from error
 
 
@@ -261,4 +269,4 @@
     try:
         return Written(_decode(_ObjectBody, answer.body).metadata.revision)
     except msgspec.DecodeError:
-        return Unknown("an answer that does not fit")
+        return Unknown("invalid answer of the object store to a write")
