--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter alone: manifests, entries, headers and answers of the platform, decoded and encoded."""
+"""Decoding and encoding by the platform adapter: manifests, entries, headers and answers."""
 
 import pytest
 
@@ -33,7 +33,7 @@
     return decode_manifest(StoredObject("config", "main", 3, {**make_manifest(), **changes}))
 
 
-def test_a_manifest_becomes_a_table():
+def test_manifest_is_decoded_to_serving_table():
     table = decode()
     assert table.revision == 1
     assert table.find_route("site.example", "/hold/x").kind is RequestKind.AT_MOST_ONCE
@@ -44,17 +44,17 @@
     assert table.has_accounts
 
 
-def test_keys_are_needed_also_when_none_is_left():
+def test_accounts_without_keys_still_require_a_key():
     table = decode(tenants=[{"name": "hall", "api_keys": []}])
     assert table.has_accounts
     assert not table.accounts_by_key
 
 
-def test_a_site_without_accounts_needs_no_keys():
+def test_site_without_accounts_requires_no_key():
     assert not decode(tenants=[]).has_accounts
 
 
-def test_a_split_replaces_the_service():
+def test_split_replaces_service():
     route = dict(make_manifest()["routes"][0])
     route |= {"split": [{"service": "a", "weight": 9}, {"service": "b", "weight": 1}]}
     (built,) = decode(routes=[route]).routes
@@ -65,13 +65,13 @@
     "changes",
     [{"version": "x"}, {"routes": [{"name": "r"}]}, {"services": 3}],
 )
-def test_a_manifest_that_cannot_be_read_names_its_mistakes(changes):
+def test_error_of_invalid_manifest_names_the_field(changes):
     with pytest.raises(ConfigurationError) as caught:
         decode(**changes)
     assert next(iter(changes)) in caught.value.detail
 
 
-def test_an_unknown_kind_of_request_is_an_error():
+def test_unknown_request_kind_is_an_error():
     route = {**make_manifest()["routes"][0], "kind": "other"}
     with pytest.raises(ConfigurationError):
         decode(routes=[route])
@@ -82,7 +82,7 @@
     return decode_server(StoredObject("servers", "i-1", 3, entry))
 
 
-def test_an_entry_becomes_a_backend_server():
+def test_entry_is_decoded_to_backend_server():
     server = decode_entry(state="ready", spot=True)
     assert (server.name, server.serves, server.slots) == ("i-1", "llm", 128)
     assert server.state is BackendState.LIVE
@@ -90,7 +90,7 @@
     assert decode_entry(state="draining", leaves_ms=900).state is BackendState.LEAVING
 
 
-def test_an_entry_that_cannot_be_read_is_an_error():
+def test_incomplete_entry_is_an_error():
     with pytest.raises(ConfigurationError):
         decode_server(StoredObject("servers", "i-1", 3, {"service": "llm"}))
 
@@ -100,7 +100,7 @@
     return ReceivedRequest("POST", "/x/", tuple(fields.items()), b"", False)
 
 
-def test_a_request_is_decoded():
+def test_request_headers_are_decoded():
     facts = HEADERS.decode_request(
         make_received(
             **{
@@ -128,7 +128,7 @@
         {"host": "second.example"},
     ],
 )
-def test_a_request_that_cannot_be_read_is_refused(headers):
+def test_invalid_request_headers_are_refused(headers):
     with pytest.raises(RequestError) as caught:
         HEADERS.decode_request(make_received(**headers))
     assert caught.value.kind is ErrorKind.BAD_REQUEST
@@ -157,7 +157,7 @@
         (make_answer(503), False),
     ],
 )
-def test_whose_answer_it_is(answer, is_own):
+def test_answer_is_matched_to_its_request(answer, is_own):
     assert HEADERS.is_answer_to(answer, "id-1") is is_own
 
 
@@ -171,11 +171,11 @@
         (make_answer(Content_Encoding="gzip", **SEAL), False),
     ],
 )
-def test_a_success_needs_its_mark(answer, genuine):
+def test_successful_answer_needs_a_seal(answer, genuine):
     assert HEADERS.is_genuine(answer) is genuine
 
 
-def test_stated_load_is_read():
+def test_load_header_is_decoded():
     load = make_answer(Hemlockswitch_Instance_Load="3, 0,8")
     assert HEADERS.read_slots(load) == ReportedSlots(3, 0, 8)
     assert HEADERS.read_slots(make_answer(Hemlockswitch_Instance_Load="3,0")) is None
@@ -183,13 +183,13 @@
 
 @pytest.mark.parametrize("kind", list(ErrorKind))
 @pytest.mark.parametrize("ran", list(Ran))
-def test_a_status_that_promises_not_run_is_given_only_when_it_is_true(kind, ran):
+def test_not_run_status_is_sent_only_for_requests_that_did_not_run(kind, ran):
     answer = HEADERS.describe_error(RequestError(kind, "detail", ran=ran), "id-1")
     promises = answer.status in (408, 421, 429, 503)
     assert not promises or ran is Ran.NO
 
 
-def test_what_certainly_did_not_run_says_so_and_when_to_come_back():
+def test_request_that_did_not_run_gets_503_with_retry_after():
     for kind, row in ANSWERS.items():
         if row.ran is Ran.NO and row.status >= 500:
             answer = HEADERS.describe_error(RequestError(kind, "d", retry_after_ms=250), "id-1")
@@ -211,7 +211,7 @@
     server.stop(timeout=0)
 
 
-def test_objects_are_created_replaced_and_read(store):
+def test_objects_are_created_updated_and_read(store):
     created = store.create("k", "n", {"a": 1})
     assert isinstance(created, Written)
     assert isinstance(store.create("k", "n", {"a": 2}), Conflict)
@@ -223,7 +223,7 @@
     assert isinstance(store.update("k", "other", {}, 1), Conflict)
 
 
-def test_a_watch_goes_on_from_a_list(store, state):
+def test_watch_continues_from_the_version_of_a_list(store, state):
     state.put("k", "a", 1)
     page = store.list("k")
     state.put("k", "b", 2)
@@ -234,7 +234,7 @@
     assert store.watch("k", changes.version, 50).items == ()
 
 
-def test_a_forgotten_history_is_told(store, state):
+def test_watch_from_before_the_history_is_an_error(store, state):
     version = store.list("k").version
     state.put("k", "a", 1)
     state.forget_history()
@@ -242,21 +242,21 @@
         store.watch("k", version, 50)
 
 
-def test_a_write_whose_answer_is_lost_is_unknown(store, state):
+def test_outcome_of_write_with_lost_answer_is_unknown(store, state):
     state.faults = StoreFaults(lose_answers=1)
     assert isinstance(store.create("k", "n", 1), Unknown)
     assert state.list_kind("k")["n"].spec == 1
 
 
 @pytest.mark.parametrize("mode", ["busy", "many", "silent"])
-def test_an_outage_is_an_error_of_reads(store, state, mode):
+def test_read_during_outage_is_an_error(store, state, mode):
     state.faults = StoreFaults(mode=mode)
     with pytest.raises(PlatformError):
         store.list("k")
     state.faults = StoreFaults()
 
 
-def test_a_busy_store_has_done_nothing(store, state):
+def test_write_refused_by_busy_store_has_no_effect(store, state):
     state.faults = StoreFaults(mode="busy")
     with pytest.raises(PlatformError):
         store.create("k", "n", 1)
--- a/tests/test_platform_entries.py
+++ b/tests/test_platform_entries.py
@@ -1,6 +1,7 @@
-"""Entries of other writers in the registry, and servers that start again under their old name.
+"""Invalid registry entries, and servers that restart under the same name.
 
-Each broken entry stands alone and among good ones: it names no server, and costs the others nothing.
+Other programs may write invalid entries to the registry. Each is tested alone and among valid ones:
+it must not be used as a server, and the valid entries must stay usable.
 """
 
 import json
@@ -22,9 +23,12 @@
 from hemlockswitch.version.backend import BackendServer, BackendState
 from tests.gateway_site import make_entry, make_manifest
 
-GOOD = make_entry("llm", "10.0.0.1:80")
-WITHOUT = [{name: value for name, value in GOOD.items() if name != left_out} for left_out in GOOD]
-CHANGED = [
+VALID_ENTRY = make_entry("llm", "10.0.0.1:80")
+ENTRIES_WITHOUT_A_FIELD = [
+    {name: value for name, value in VALID_ENTRY.items() if name != omitted}
+    for omitted in VALID_ENTRY
+]
+INVALID_CHANGES = [
     {"service": ""},
     {"service": 7},
     {"address": "not-an-address"},
@@ -52,105 +56,118 @@
     {"born": None},
     {"born": -1},
 ]
-BROKEN = [*WITHOUT, *({**GOOD, **change} for change in CHANGED), None, "ready", 7, [], {}, [GOOD]]
+INVALID_ENTRIES = [
+    *ENTRIES_WITHOUT_A_FIELD,
+    *({**VALID_ENTRY, **change} for change in INVALID_CHANGES),
+    None,
+    "ready",
+    7,
+    [],
+    {},
+    [VALID_ENTRY],
+]
 
 
 def item(name, value, version=1):
     return StoredObject("servers", name, version, value)
 
 
-@pytest.mark.parametrize("value", BROKEN, ids=repr)
-def test_an_entry_of_another_writer_names_no_server(value):
+@pytest.mark.parametrize("value", INVALID_ENTRIES, ids=repr)
+def test_invalid_entry_is_an_error(value):
     with pytest.raises(ConfigurationError):
         decode_server(item("i-1", value))
 
 
-def test_fields_that_are_not_known_change_nothing():
-    assert decode_server(item("i-1", {**GOOD, "more": [1]})) == decode_server(item("i-1", GOOD))
+def test_unrecognized_fields_are_ignored():
+    assert decode_server(item("i-1", {**VALID_ENTRY, "more": [1]})) == decode_server(
+        item("i-1", VALID_ENTRY)
+    )
 
 
 class Fixture:
     def __init__(self):
-        self.gone = []
-        self.registry = ServerRegistry(decode_server, ManualClock(), self.gone.append)
+        self.removed = []
+        self.registry = ServerRegistry(decode_server, ManualClock(), self.removed.append)
 
-    def take(self, **entries):
+    def apply_entries(self, **entries):
         items = tuple(item(name, value) for name, value in entries.items())
         self.registry.apply_changes(ObjectPage(items, 5))
 
-    def names(self):
+    def list_ready_names(self):
         return [server.name for server in self.registry.list_ready("llm")]
 
 
-@pytest.mark.parametrize("value", BROKEN, ids=repr)
-def test_an_entry_that_becomes_unreadable_ends_its_server_and_no_other(value):
+@pytest.mark.parametrize("value", INVALID_ENTRIES, ids=repr)
+def test_entry_that_becomes_invalid_removes_only_its_server(value):
     fixture = Fixture()
-    fixture.take(a=GOOD, b={**GOOD, "address": "10.0.0.2:80"})
-    fixture.take(a=value, c={**GOOD, "address": "10.0.0.3:80"})
-    assert fixture.names() == ["b", "c"]
-    assert [server.name for server in fixture.gone] == ["a"]
+    fixture.apply_entries(a=VALID_ENTRY, b={**VALID_ENTRY, "address": "10.0.0.2:80"})
+    fixture.apply_entries(a=value, c={**VALID_ENTRY, "address": "10.0.0.3:80"})
+    assert fixture.list_ready_names() == ["b", "c"]
+    assert [server.name for server in fixture.removed] == ["a"]
     assert all(one.state is BackendState.LIVE for one in fixture.registry.list_all())
-    fixture.take(a=GOOD)
-    assert sorted(fixture.names()) == ["a", "b", "c"]
+    fixture.apply_entries(a=VALID_ENTRY)
+    assert sorted(fixture.list_ready_names()) == ["a", "b", "c"]
 
 
-def test_a_server_that_starts_again_under_its_name_is_a_new_one():
+def test_server_restarted_under_its_name_is_treated_as_new():
     fixture = Fixture()
-    fixture.take(a={**GOOD, "born": 1_000, "sequence": 40})
+    fixture.apply_entries(a={**VALID_ENTRY, "born": 1_000, "sequence": 40})
     fixture.registry.note_misdirected("a")
-    assert fixture.names() == []
-    fixture.take(a={**GOOD, "born": 2_000, "sequence": 1})
-    assert fixture.names() == ["a"], "what was known of the process before it is forgotten"
-    assert [server.started_unix_ms for server in fixture.gone] == [1_000]
+    assert fixture.list_ready_names() == []
+    fixture.apply_entries(a={**VALID_ENTRY, "born": 2_000, "sequence": 1})
+    assert fixture.list_ready_names() == [
+        "a"
+    ], "the state recorded for the previous process must be discarded"
+    assert [server.started_unix_ms for server in fixture.removed] == [1_000]
 
 
-# Guards against requests to a server that leaves, when its last heartbeat before that is written late.
-def test_an_older_heartbeat_does_not_make_a_leaving_server_live_again():
+# Guards against requests to a leaving server when a heartbeat from before its leaving is written late.
+def test_late_heartbeat_does_not_make_leaving_server_live():
     fixture = Fixture()
-    fixture.take(a={**GOOD, "sequence": 40})
-    fixture.take(a={**GOOD, "state": "draining", "sequence": 42})
-    fixture.take(a={**GOOD, "sequence": 41})
-    assert fixture.names() == []
+    fixture.apply_entries(a={**VALID_ENTRY, "sequence": 40})
+    fixture.apply_entries(a={**VALID_ENTRY, "state": "draining", "sequence": 42})
+    fixture.apply_entries(a={**VALID_ENTRY, "sequence": 41})
+    assert fixture.list_ready_names() == []
     assert [one.state for one in fixture.registry.list_all()] == [BackendState.LEAVING]
 
 
-def test_an_older_heartbeat_after_the_removal_does_not_either():
+def test_late_heartbeat_does_not_restore_removed_server():
     fixture = Fixture()
-    fixture.take(a={**GOOD, "state": "draining", "sequence": 42})
+    fixture.apply_entries(a={**VALID_ENTRY, "state": "draining", "sequence": 42})
     fixture.registry.replace_all(ObjectPage((), 6))
-    fixture.take(a={**GOOD, "sequence": 41})
-    assert fixture.names() == []
+    fixture.apply_entries(a={**VALID_ENTRY, "sequence": 41})
+    assert fixture.list_ready_names() == []
 
 
 @pytest.mark.parametrize("again", [{"sequence": 43}, {"born": 2_000, "sequence": 1}])
-def test_a_server_that_is_ready_after_it_has_left_is_used_again(again):
+def test_server_that_is_ready_again_after_leaving_is_used(again):
     fixture = Fixture()
-    fixture.take(a={**GOOD, "born": 1_000, "state": "draining", "sequence": 42})
-    fixture.take(a={**GOOD, "born": 1_000, **again})
-    assert fixture.names() == ["a"]
+    fixture.apply_entries(a={**VALID_ENTRY, "born": 1_000, "state": "draining", "sequence": 42})
+    fixture.apply_entries(a={**VALID_ENTRY, "born": 1_000, **again})
+    assert fixture.list_ready_names() == ["a"]
 
 
-def test_a_heartbeat_is_no_restart():
+def test_heartbeat_is_not_taken_for_a_restart():
     fixture = Fixture()
-    fixture.take(a={**GOOD, "born": 1_000, "sequence": 1})
+    fixture.apply_entries(a={**VALID_ENTRY, "born": 1_000, "sequence": 1})
     digest = fixture.registry.hash_servers()
-    fixture.take(a={**GOOD, "born": 1_000, "sequence": 9})
-    assert fixture.gone == []
+    fixture.apply_entries(a={**VALID_ENTRY, "born": 1_000, "sequence": 9})
+    assert fixture.removed == []
     assert fixture.registry.hash_servers() == digest
-    fixture.take(a={**GOOD, "born": 2_000})
+    fixture.apply_entries(a={**VALID_ENTRY, "born": 2_000})
     assert fixture.registry.hash_servers() != digest
 
 
-def test_two_starts_of_a_server_have_two_identities():
-    first = decode_server(item("i-1", {**GOOD, "born": 1_000}))
-    second = decode_server(item("i-1", {**GOOD, "born": 2_000}))
+def test_each_start_of_a_server_has_its_own_incarnation():
+    first = decode_server(item("i-1", {**VALID_ENTRY, "born": 1_000}))
+    second = decode_server(item("i-1", {**VALID_ENTRY, "born": 2_000}))
     assert first.name == second.name == "i-1"
     assert first.incarnation != second.incarnation
     assert BackendServer("i-1", "z", "10.0.0.1:80", "s").incarnation == "i-1"
 
 
 class AnsweringStore(ObjectStore):
-    """A store whose answers are given bytes."""
+    """An object store client that receives the given bodies as answers."""
 
     def __init__(self, *bodies):
         super().__init__("127.0.0.1:1", SystemClock())
@@ -164,7 +181,7 @@
     return json.dumps({"metadata": {"name": name, "revision": revision}, "spec": spec}).encode()
 
 
-UNREADABLE = [
+UNDECODABLE = [
     b'{"metadata":{"name":"bad","revision":3},"spec":{"zone":"\xff\xfe"}}',
     b'{"metadata":{"name":"\xff","revision":3},"spec":{}}',
     b'{"metadata":{"name":"bad"},"spec":{}}',
@@ -181,10 +198,10 @@
     return [one.name for one in page.items if one.value is not None]
 
 
-@pytest.mark.parametrize("bad", UNREADABLE, ids=range(len(UNREADABLE)))
+@pytest.mark.parametrize("bad", UNDECODABLE, ids=range(len(UNDECODABLE)))
 @pytest.mark.parametrize("place", [0, 1, 2])
-def test_bytes_that_cannot_be_read_cost_no_other_entry_of_a_list(bad, place):
-    objects = [encode_object("a", GOOD), encode_object("b", GOOD)]
+def test_undecodable_object_does_not_hide_other_objects_of_a_list(bad, place):
+    objects = [encode_object("a", VALID_ENTRY), encode_object("b", VALID_ENTRY)]
     objects.insert(place, bad)
     body = b'{"items":[%b],"has_more":false,"store_revision":9}' % b",".join(objects)
     page = AnsweringStore(body).list("servers")
@@ -192,30 +209,36 @@
     assert page.version == 9
 
 
-@pytest.mark.parametrize("bad", UNREADABLE, ids=range(len(UNREADABLE)))
-def test_bytes_that_cannot_be_read_cost_no_other_entry_of_a_watch(bad):
-    events = [b'{"tombstone":false,"object":%b}' % one for one in (encode_object("a", GOOD), bad)]
-    events += [b'{"tombstone":"\xff"}', b"7", b'{"object":%b}' % encode_object("b", GOOD)]
+@pytest.mark.parametrize("bad", UNDECODABLE, ids=range(len(UNDECODABLE)))
+def test_undecodable_object_does_not_hide_other_objects_of_a_watch(bad):
+    events = [
+        b'{"tombstone":false,"object":%b}' % one for one in (encode_object("a", VALID_ENTRY), bad)
+    ]
+    events += [b'{"tombstone":"\xff"}', b"7", b'{"object":%b}' % encode_object("b", VALID_ENTRY)]
     body = b'{"events":[%b],"store_revision":9}' % b",".join(events)
     page = AnsweringStore(body).watch("servers", 1, 0)
     assert list_names(page) == ["a", "b"]
 
 
-def test_a_list_goes_on_after_the_last_name_that_can_be_read():
-    first = b'{"items":[%b,null],"has_more":true,"store_revision":9}' % encode_object("a", GOOD)
-    second = b'{"items":[%b],"has_more":false,"store_revision":10}' % encode_object("b", GOOD)
+def test_list_continues_after_the_last_decodable_name():
+    first = b'{"items":[%b,null],"has_more":true,"store_revision":9}' % encode_object(
+        "a", VALID_ENTRY
+    )
+    second = b'{"items":[%b],"has_more":false,"store_revision":10}' % encode_object(
+        "b", VALID_ENTRY
+    )
     page = AnsweringStore(first, second).list("servers")
     assert (list_names(page), page.version) == (["a", "b"], 9)
 
 
-def test_a_page_without_a_single_name_is_no_end_of_the_list():
+def test_page_without_decodable_objects_does_not_end_the_list():
     body = b'{"items":[null],"has_more":true,"store_revision":9}'
     with pytest.raises(PlatformError):
         AnsweringStore(body).list("servers")
 
 
 @pytest.mark.parametrize("value", [None, 7, {}, {"address": 7}, {"address": "x"}, "10.0.0.1:80"])
-def test_a_registration_of_another_writer_names_no_gateway(value):
+def test_invalid_registration_is_not_used_as_a_gateway(value):
     fleet = Fleet("g0", lambda: "10.0.0.9:7600", ManualClock())
     good = {"address": "10.0.0.1:7600"}
     items = (StoredObject(GATEWAY_KIND, "g1", 1, value), StoredObject(GATEWAY_KIND, "g2", 1, good))
@@ -233,10 +256,14 @@
 
 
 @SEEDED
-@given(st.dictionaries(st.sampled_from(sorted({*GOOD, "spot", "leaves_ms", "born"})), JSON_VALUES))
-def test_any_entry_is_a_server_or_an_error(changes):
+@given(
+    st.dictionaries(
+        st.sampled_from(sorted({*VALID_ENTRY, "spot", "leaves_ms", "born"})), JSON_VALUES
+    )
+)
+def test_any_entry_gives_a_server_or_a_configuration_error(changes):
     try:
-        server = decode_server(item("i-1", {**GOOD, **changes}))
+        server = decode_server(item("i-1", {**VALID_ENTRY, **changes}))
     except ConfigurationError:
         return
     assert server.slots > 0
@@ -245,7 +272,7 @@
 
 @SEEDED
 @given(st.dictionaries(st.sampled_from(sorted(make_manifest())), JSON_VALUES, min_size=1))
-def test_any_manifest_is_a_table_or_an_error(changes):
+def test_any_manifest_gives_a_table_or_a_configuration_error(changes):
     try:
         decode_manifest(StoredObject("config", "main", 1, {**make_manifest(), **changes}))
     except ConfigurationError:
@@ -254,9 +281,11 @@
 
 @SEEDED
 @given(st.binary(max_size=60), st.integers(min_value=0, max_value=150))
-def test_any_bytes_are_a_page_or_an_error(noise, place):
-    whole = b'{"items":[%b],"has_more":false,"store_revision":9}' % encode_object("a", GOOD)
+def test_any_bytes_give_a_page_or_a_platform_error(noise, place):
+    complete = b'{"items":[%b],"has_more":false,"store_revision":9}' % encode_object(
+        "a", VALID_ENTRY
+    )
     try:
-        AnsweringStore(whole[:place] + noise + whole[place:]).list("servers")
+        AnsweringStore(complete[:place] + noise + complete[place:]).list("servers")
     except PlatformError:
         return
