--- a/hemlockswitch/connection/address_backoffs.py
+++ b/hemlockswitch/connection/address_backoffs.py
@@ -49,7 +49,7 @@
     @classmethod
     def from_bounds(cls, bounds: PeerBounds, clock: Clock) -> Self:
         """Return the back-offs for a peer network with `bounds`."""
-        return cls(clock, bounds.first_backoff_ms, bounds.longest_backoff_ms)
+        return cls(clock, bounds.initial_backoff_ms, bounds.max_backoff_ms)
 
     def is_paused(self, address: str) -> bool:
         """Return whether no connection to `address` may be attempted yet."""
--- a/hemlockswitch/connection/forward_server.py
+++ b/hemlockswitch/connection/forward_server.py
@@ -1,7 +1,7 @@
-"""The HTTP server of forwarded requests: whole requests in, answers out as they come.
+"""The HTTP server for forwarded requests, which reads complete requests and streams the answers.
 
-One task owns each caller's connection. While a request is being served, a watcher reads what the
-caller sends meanwhile, so that a caller that leaves is noticed at once.
+One task owns each caller's connection. While a request is being served, a watcher reads from the
+connection, so that a caller that closes it is detected immediately.
 """
 
 from collections.abc import Callable
@@ -24,19 +24,20 @@
 
 READ_EVENT = 1
 READ_BYTES = 65_536
-MOST_PIPELINED_BYTES = 65_536
-"""What is read of a caller's next requests while one is served; beyond it the kernel holds them."""
+MAX_PIPELINED_BYTES = 65_536
+"""Limit on bytes of later requests read while one is served; further bytes stay in the kernel."""
 WRITE_TIMEOUT_MS = 5_000
-"""How long a caller may leave its answer unread before it counts as gone."""
+"""A caller that reads nothing for this long is treated as disconnected."""
 LINGER_MS = 500
-"""How long to read on after a refusal that closes, so that the refusal is not lost in a reset."""
+"""How long to read after a refusal that closes the connection, so that no reset discards the
+refusal."""
 BACKLOG = 1_024
 
 Handler = Callable[[ReceivedRequest, "Reply"], None]
 
 
 class ReadPhase(Enum):
-    """How far the next request of a connection has come in."""
+    """The part of the next request that is being received on a connection."""
 
     IDLE = auto()
     HEAD = auto()
@@ -44,7 +45,7 @@
 
 
 def _start_timer(phase: ReadPhase, bounds: CallerBounds) -> gevent.Timeout:
-    """Return a running timer that ends the phase."""
+    """Start the timer that limits the duration of a phase."""
     limit_ms = bounds.head_timeout_ms if phase is ReadPhase.HEAD else bounds.idle_timeout_ms
     timer = gevent.Timeout(limit_ms / MS_PER_SECOND)
     timer.start()
@@ -54,8 +55,8 @@
 class CallerLeftError(Exception):
     """The caller closed its connection, or the answer cannot be continued on it.
 
-    It is no `OSError`: it is raised in a task that may just wait for a backend server, and must
-    not look like that server's failure.
+    It is not an `OSError`, because it is raised in a task that may be waiting for a backend server,
+    and must not be mistaken for a failure of that server.
     """
 
 
@@ -65,9 +66,9 @@
     Explanation
     ===========
 
-    `send` writes a whole answer; `begin`, `write` and `end` a chunked one. A reply that was begun
-    and not ended makes the connection close without the last chunk, so that what the caller got
-    does not look complete.
+    `send` writes a complete answer; `begin`, `write` and `end` write a chunked one. If a reply was
+    begun and not ended, the connection is closed without the last chunk, so that the caller does
+    not mistake a partial answer for a complete one.
     """
 
     def __init__(self, connection: socket.socket, request: ReceivedRequest, closes: bool) -> None:
@@ -79,7 +80,7 @@
         self.ended = False
 
     def send(self, status: int, reason: str, headers: list[Header], body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         framed = [*headers, ("Content-Length", str(len(body)))]
         self._start(status)
         head = self._encode(status, reason, framed)
@@ -97,7 +98,7 @@
             self._write_all(b"%x\r\n%b\r\n" % (len(piece), piece))
 
     def end(self) -> None:
-        """Write the end of the body."""
+        """Write the last chunk of the body."""
         self._write_all(b"0\r\n\r\n")
         self.ended = True
 
@@ -118,13 +119,13 @@
 
 
 class CallerSession:
-    """One caller's connection, from its acceptance to its end."""
+    """The serving of one caller's connection."""
 
     def __init__(self, server: "ForwardServer", connection: socket.socket) -> None:
         self._server = server
         self._connection = connection
         self._parser = RequestParser(server.get_sizes, server.clock.now_ms)
-        self._early = b""
+        self._early_bytes = b""
         self._watcher: Any = None
         self._task: gevent.Greenlet | None = None
         self.is_waiting = False
@@ -139,14 +140,19 @@
             while self._serve_next():
                 pass
         except (OSError, CallerLeftError):
-            pass  # The caller left; the request that it had in progress was logged where it ended.
+            pass  # The caller disconnected; the handler has logged the request in progress.
         finally:
             self._server.sessions.discard(self)
             self._connection.close()
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request is being read or served."""
-        if self.is_waiting and self._parser.is_idle and not self._early and self._task is not None:
+        if (
+            self.is_waiting
+            and self._parser.is_idle
+            and not self._early_bytes
+            and self._task is not None
+        ):
             self._task.kill(CallerLeftError("stopping"), block=False)
 
     def _serve_next(self) -> bool:
@@ -174,15 +180,17 @@
         return reply.ended and not reply.closes and not self._closes_now()
 
     def _closes_now(self) -> bool:
-        """Return whether to close after an answer that did not announce it: its head went out
-        before the process was asked to stop, and the caller's next request would be cut off."""
-        return self._server.is_closing and not self._early
+        """Return whether to close after an answer that did not announce the close.
+
+        The head of the answer was sent before the process began to stop; a further request on the
+        connection would be interrupted.
+        """
+        return self._server.is_closing and not self._early_bytes
 
     def _read_request(self) -> ReceivedRequest | None:
-        """Return the next whole request, or None when the connection ended between requests.
+        """Return the next complete request, or None if the connection ended between requests.
 
-        Each phase of the reading has its time as a whole: a caller that sends a byte now and then
-        gets no more of it.
+        The time limit applies to each phase as a whole; receiving single bytes does not extend it.
         """
         bounds = self._server.get_bounds()
         phase = self._find_phase()
@@ -203,7 +211,9 @@
                 raise
             if self._parser.is_idle:
                 return None
-            raise RequestError(ErrorKind.CALLER_TOO_SLOW, "the request came too slowly") from None
+            raise RequestError(
+                ErrorKind.CALLER_TOO_SLOW, "the request was not received within its time limit"
+            ) from None
         finally:
             timer.close()
         return self._parser.complete.popleft()
@@ -214,14 +224,14 @@
         return ReadPhase.IDLE if self._parser.is_idle else ReadPhase.HEAD
 
     def _invite_body(self) -> None:
-        """Answer ``Expect: 100-continue``."""
+        """Answer ``Expect: 100-continue`` once the head is complete."""
         if self._parser.wants_continue and self._parser.in_body:
             self._parser.wants_continue = False
             self._connection.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _receive(self) -> bytes:
-        if self._early:
-            early, self._early = self._early, b""
+        if self._early_bytes:
+            early, self._early_bytes = self._early_bytes, b""
             return early
         self.is_waiting = True
         try:
@@ -233,7 +243,7 @@
     def _watch(self) -> None:
         loop = gevent.get_hub().loop
         self._watcher = loop.io(self._connection.fileno(), READ_EVENT)
-        self._watcher.start(self._look)
+        self._watcher.start(self._read_early)
 
     def _unwatch(self) -> None:
         if self._watcher is not None:
@@ -241,8 +251,8 @@
             self._watcher.close()
             self._watcher = None
 
-    def _look(self) -> None:
-        """Read what came while a request is served; the end of the connection ends the request."""
+    def _read_early(self) -> None:
+        """Read early bytes while a request is served; the end of the connection aborts the request."""
         try:
             data = self._connection._sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -250,16 +260,16 @@
         except OSError:
             data = b""
         if data:
-            self._early += data
-            if len(self._early) > MOST_PIPELINED_BYTES:
+            self._early_bytes += data
+            if len(self._early_bytes) > MAX_PIPELINED_BYTES:
                 self._watcher.stop()
             return
         self._watcher.stop()
         if self._task is not None:
-            self._task.kill(CallerLeftError("the caller left"), block=False)
+            self._task.kill(CallerLeftError("the caller closed its connection"), block=False)
 
     def _refuse(self, error: RequestError) -> None:
-        """Answer a request that cannot be read and close."""
+        """Answer a malformed request and close the connection."""
         log_event(Event.REQUEST_UNREADABLE, "warning", kind=error.kind.value, detail=error.detail)
         phrase = HTTPStatus(error.answer.status).phrase
         headers = [("Content-Length", "0"), ("Connection", "close")]
@@ -278,8 +288,8 @@
 
     address : host and port.
     handler : serves one request by writing its reply.
-    get_bounds : the bounds in force.
-    clock : the time.
+    get_bounds : returns the active limits.
+    clock : the clock for the reception times of requests.
 
     `active` is the number of requests that are being served.
     """
@@ -300,22 +310,22 @@
         self._server = StreamServer(address, self._accept, backlog=BACKLOG)
 
     def start(self) -> str:
-        """Listen, and return the address that is bound."""
+        """Start to listen; return the bound address."""
         self._server.start()
         host, port = self._server.address[:2]
         return f"{host}:{port}"
 
     def get_sizes(self) -> tuple[int, int]:
-        """Return the largest head and body in bytes."""
+        """Return the maximum sizes of head and body in bytes."""
         bounds = self.get_bounds()
         return bounds.max_head_bytes, bounds.max_body_bytes
 
     def begin_closing(self) -> None:
-        """Close connections after their answers from now on; new ones are still accepted."""
+        """Close each connection after its next answer; new connections are still accepted."""
         self.is_closing = True
 
     def stop_accepting(self) -> None:
-        """Stop listening, and close the connections that are idle."""
+        """Stop listening and close the idle connections."""
         self._server.close()
         self.close_idle()
 
--- a/hemlockswitch/connection/links.py
+++ b/hemlockswitch/connection/links.py
@@ -1,4 +1,4 @@
-"""One TCP stream between two processes of the system: a bounded queue and its two tasks."""
+"""One TCP stream between two processes of the system, with a bounded send queue and two tasks."""
 
 from collections import deque
 from collections.abc import Callable
@@ -20,18 +20,18 @@
 
 @dataclass(frozen=True)
 class PeerBounds:
-    """Bounds of the peer network.
+    """Limits of the peer network.
 
     Parameters
     ==========
 
-    queue_frames, queue_bytes : what may wait to be sent on one stream.
-    handler_tasks : messages handled at once, over all streams.
-    accepted_streams : streams that other processes may open to this one.
-    connect_timeout_ms, write_timeout_ms : how long a connect or a write may take.
-    hello_timeout_ms : how long an accepted stream may go without its hello.
+    queue_frames, queue_bytes : maximum size of the send queue of one stream.
+    handler_tasks : maximum number of messages handled concurrently, over all streams.
+    accepted_streams : maximum number of streams opened by other processes.
+    connect_timeout_ms, write_timeout_ms : time-outs of a connect and of a write.
+    hello_timeout_ms : time within which the hello must be received on an accepted stream.
     idle_ms : a stream unused for longer is closed.
-    first_backoff_ms, longest_backoff_ms : first and longest pause after a failed connection.
+    initial_backoff_ms, max_backoff_ms : initial and maximum pause after a failed connection.
     """
 
     queue_frames: int = 1_024
@@ -42,13 +42,13 @@
     hello_timeout_ms: int = 2_000
     write_timeout_ms: int = 5_000
     idle_ms: int = 60_000
-    first_backoff_ms: int = 100
-    longest_backoff_ms: int = 2_000
+    initial_backoff_ms: int = 100
+    max_backoff_ms: int = 2_000
 
 
 @dataclass
 class Traffic:
-    """What a process has sent to and received from its peers, for metrics and measurement."""
+    """Counters of the messages and bytes exchanged with peers, for metrics and measurements."""
 
     messages_in: int = 0
     messages_out: int = 0
@@ -60,29 +60,30 @@
 
 @dataclass(frozen=True)
 class _QueuedFrame:
-    """An encoded frame that waits to be sent; its kind says whether it may be dropped."""
+    """An encoded frame in the send queue; only one-way frames may be dropped."""
 
     kind: FrameKind
     wire: bytes
 
 
 class Link:
-    """A stream to one peer. It owns its socket; two tasks read and write it.
+    """A stream to one peer; it owns its socket, with one task for reading and one for writing.
 
     Explanation
     ===========
 
-    The queue of frames to send is bounded. When it is full the oldest one-way frame goes, since
-    one-way messages are repaired by later ones; a question is refused instead of dropped.
+    The send queue is bounded. When it is full, the oldest one-way frame is dropped, because later
+    one-way messages make up for a lost one; requests are not dropped but refused.
 
     Parameters
     ==========
 
-    address : the peer's listening address; empty until the peer of an accepted socket gives it.
+    address : the peer's listening address; empty until the peer of an accepted socket sends it.
     connection : an accepted socket, or None to connect when the link starts.
-    source_host : the local IP from which to connect.
-    greeting : frame that a connecting link sends first.
-    on_frame, on_close : called with the link (and the frame); they must not raise.
+    source_host : the local IP to connect from.
+    greeting : encoded frame that a connecting link sends first.
+    on_frame : called with the link and a received frame.
+    on_close : called with the link and whether it failed; must not raise.
     """
 
     def __init__(
@@ -114,7 +115,7 @@
         self._queue: deque[_QueuedFrame] = deque()
         self._queued_bytes = 0
         self._wake = Signal()
-        self._heard = False
+        self._has_received = False
         self._ended = Signal()
         self._tasks: list[gevent.Greenlet] = []
 
@@ -123,15 +124,15 @@
         self._tasks.append(gevent.spawn(self._run))
 
     def put(self, frame: Frame) -> None:
-        """Queue `frame`.
+        """Queue `frame` for sending.
 
         Raises
         ======
 
-        PeerError : the link is closed, or full of frames that may not be dropped.
+        PeerError : the link is closed, or its queue is full of frames that may not be dropped.
         """
         if self.closed:
-            raise PeerError(ErrorKind.PEER_UNAVAILABLE, f"no stream to {self.address}")
+            raise PeerError(ErrorKind.PEER_UNAVAILABLE, f"the stream to {self.address} is closed")
         wire = frame.encode()
         self._make_room(len(wire), frame.kind)
         self._queue.append(_QueuedFrame(frame.kind, wire))
@@ -147,13 +148,13 @@
             oldest = next((one for one in self._queue if one.kind is FrameKind.ONE_WAY), None)
             if oldest is None:
                 self._traffic.dropped += 1
-                raise PeerError(ErrorKind.OVERLOADED, f"the queue to {self.address} is full")
+                raise PeerError(ErrorKind.OVERLOADED, f"the send queue to {self.address} is full")
             self._queue.remove(oldest)
             self._queued_bytes -= len(oldest.wire)
             self._traffic.dropped += 1
 
     def close(self, failed: bool = False) -> None:
-        """End the stream and its tasks; `failed` tells the owner to wait before the next one."""
+        """Close the stream and end its tasks; `failed` makes the owner back off from the peer."""
         if self.closed:
             return
         self.closed = True
@@ -168,17 +169,17 @@
 
     @property
     def has_queued(self) -> bool:
-        """Whether frames wait to be sent."""
+        """Whether the send queue is not empty."""
         return bool(self._queue)
 
     def wait_closed(self) -> None:
-        """Wait until the stream has ended."""
+        """Wait until the stream is closed."""
         self._ended.wait()
 
     def is_idle(self, now_ms: float) -> bool:
-        """Return whether the stream may be closed for want of use.
+        """Return whether the stream has been unused for so long that it may be closed.
 
-        The accepting end waits longer, so that the two ends seldom cross while closing.
+        The accepting end waits twice as long, so that the two ends rarely close at the same time.
         """
         if not self.address:
             return now_ms - self.last_used_ms > self._bounds.hello_timeout_ms
@@ -246,14 +247,14 @@
         except (OSError, PeerError):
             self.close(failed=True)
             return
-        self.close(failed=not self._heard)
+        self.close(failed=not self._has_received)
 
     def _receive(self) -> bytes:
         assert self._connection is not None
-        # Waiting for the socket apart from recv keeps the write time-out off idle streams.
+        # Waiting before recv avoids the socket's time-out, which is for writes, on idle streams.
         socket.wait_read(self._connection.fileno())
         received = self._connection.recv(READ_BYTES)
-        self._heard = True
+        self._has_received = True
         self._traffic.bytes_in += len(received)
         self.last_received_ms = self._clock.now_ms()
         self.last_used_ms = self.last_received_ms
--- a/hemlockswitch/connection/loads.py
+++ b/hemlockswitch/connection/loads.py
@@ -1,4 +1,4 @@
-"""Reading the load that a backend server reports."""
+"""Client for the load reports of backend servers."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -19,17 +19,17 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What a backend server said of its load.
+    """The load reported by a backend server.
 
     Parameters
     ==========
 
-    running, waiting : requests with and without a slot, of all daemons.
-    slots : requests that it works on at once.
-    prefill_tokens_per_s : speed of computing prompt tokens; a default where it does not say.
-    prefill_backlog : prompt tokens still to be computed; 0 where it does not say.
-    age_ms : how long before the answer it was measured.
-    draining : the server was ordered to finish and take nothing new.
+    running, waiting : number of requests with and without a slot, of all daemons.
+    slots : number of requests that the server processes concurrently.
+    prefill_tokens_per_s : prefill speed in prompt tokens; a default if not reported.
+    prefill_backlog : prompt tokens still to be prefilled; 0 if not reported.
+    age_ms : time between the measurement and the answer.
+    draining : whether the server completes its requests and accepts no new ones.
     """
 
     running: int
@@ -42,7 +42,7 @@
 
 
 class _LoadAnswer(BaseModel):
-    """The body of the answer; engines may say more."""
+    """The body of the answer; engines may send further fields."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -56,12 +56,13 @@
 
 
 class LoadClient:
-    """A kept connection to one backend server, for its load alone.
+    """A client that reads the load of one backend server.
 
     Explanation
     ===========
 
-    Asking for the load may be repeated, so the library's kept connections can be used here.
+    Load requests are idempotent, so the library's connection pool, which may resend a request, can
+    be used here.
     """
 
     def __init__(self, http: HTTPClient) -> None:
@@ -83,35 +84,35 @@
         )
 
     def read(self) -> LoadReport | None:
-        """Return the load, or None when the server does not report any.
+        """Return the load, or None if the server does not report its load.
 
         Raises
         ======
 
-        BackendError : it cannot be reached or its answer is not a load.
+        BackendError : the server cannot be reached, or its answer is not a load report.
         """
         try:
             response = self._http.get(LOAD_PATH)
             body = bytes(response.read(MAX_LOAD_BYTES))
             response.release()
         except (OSError, HTTPParseError, EOFError) as error:
-            raise BackendError(ErrorKind.NO_BACKEND, f"load: {error}") from error
+            raise BackendError(ErrorKind.NO_BACKEND, f"load request failed: {error}") from error
         if response.status_code == HTTPStatus.NOT_FOUND:
             return None
         return parse_load(body)
 
     def close(self) -> None:
-        """Give the connection back."""
+        """Close the connection."""
         self._http.close()
 
 
 def parse_load(body: bytes) -> LoadReport:
-    """Return the report in the body of an answer.
+    """Parse the load report in the body of an answer.
 
     Raises
     ======
 
-    BackendError : the body is not a load.
+    BackendError : the body is not a load report.
 
     Examples
     ========
@@ -122,5 +123,7 @@
     try:
         answer = _LoadAnswer.model_validate_json(body)
     except ValidationError as error:
-        raise BackendError(ErrorKind.ANSWER_INVALID, "load is not of the known form") from error
+        raise BackendError(
+            ErrorKind.ANSWER_INVALID, "the load report has an invalid format"
+        ) from error
     return LoadReport(**answer.model_dump())
--- a/hemlockswitch/connection/message_parsers.py
+++ b/hemlockswitch/connection/message_parsers.py
@@ -1,7 +1,8 @@
-"""Incremental HTTP/1.1 parsers of requests and answers, over httptools (llhttp, strict mode).
+"""Incremental HTTP/1.1 parsers for requests and answers, based on httptools (llhttp, strict mode).
 
-llhttp refuses what two parsers could read differently: both length and chunked framing, doubled
-lengths, white space before a colon, folded lines. Nothing of a message that it refused is used.
+llhttp rejects messages that two parsers could interpret differently: both length and chunked
+framing, duplicate lengths, white space before a colon, folded lines. No part of a rejected message
+is used.
 """
 
 from collections import deque
@@ -13,16 +14,16 @@
 from hemlockswitch.connection.heads import Header, ReceivedRequest
 from hemlockswitch.core.errors import ErrorKind, RequestError
 
-HIGHEST_INTERIM_STATUS = 199
+MAX_INTERIM_STATUS = 199
 
 
 class RequestParser:
-    """Parses the requests of one caller's connection, with bounds on head and body.
+    """Parses the requests of one caller's connection, with size limits for head and body.
 
     Parameters
     ==========
 
-    get_bounds : returns the largest head and the largest body in bytes.
+    get_bounds : returns the maximum sizes of head and body in bytes.
     read_clock : returns the time in ms for `ReceivedRequest.received_ms`.
     """
 
@@ -39,28 +40,30 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request has begun to arrive."""
+        """Whether no part of a further request has been received."""
         return not self._begun
 
     @property
     def in_body(self) -> bool:
-        """Whether the head is complete and the body is still arriving."""
+        """Whether the head is complete and the body is not."""
         return self._begun and self._head_done
 
     def feed(self, data: bytes) -> None:
-        """Parse `data`; whole requests appear in `complete`.
+        """Parse `data`; complete requests are appended to `complete`.
 
         Raises
         ======
 
-        RequestError : malformed or over a bound; the connection cannot be used further.
+        RequestError : the request is malformed or too large; the connection must not be reused.
         """
         if not self._head_done:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as error:
-            raise RequestError(ErrorKind.BAD_REQUEST, "no protocol upgrades") from error
+            raise RequestError(
+                ErrorKind.BAD_REQUEST, "protocol upgrades are not supported"
+            ) from error
         except httptools.HttpParserError as error:
             if self._error is not None:
                 raise self._error from error
@@ -69,16 +72,16 @@
             self._check_head_size()
 
     def on_message_begin(self) -> None:
-        """Begin a request (called by httptools, like the other ``on_`` methods)."""
+        """Start a request (called by httptools, as are the other ``on_`` methods)."""
         self._reset()
         self._begun = True
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the target."""
+        """Append a piece of the target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes | None) -> None:
-        """Take a header; trailers are dropped."""
+        """Append a header; trailers are dropped."""
         if self._head_done:
             return
         self._field_bytes += len(name) + len(value or b"")
@@ -87,25 +90,25 @@
             self._fail(ErrorKind.HEAD_TOO_LARGE, "the head is too large")
 
     def on_headers_complete(self) -> None:
-        """Note the end of the head, and whether the caller waits before it sends the body."""
+        """Record the end of the head, and whether the caller waits for ``100 Continue``."""
         self._head_done = True
         self._received_ms = self._read_clock()
-        names = {name.lower(): value for name, value in self._headers}
-        self._has_body = "content-length" in names or "transfer-encoding" in names
-        self.wants_continue = names.get("expect", "").lower() == "100-continue"
-        length = names.get("content-length", "0")
+        fields = {name.lower(): value for name, value in self._headers}
+        self._has_body = "content-length" in fields or "transfer-encoding" in fields
+        self.wants_continue = fields.get("expect", "").lower() == "100-continue"
+        length = fields.get("content-length", "0")
         if length.isdigit() and int(length) > self._get_bounds()[1]:
             self._fail(ErrorKind.BODY_TOO_LARGE, "the body is too large")
 
     def on_body(self, piece: bytes) -> None:
-        """Take a piece of the body."""
+        """Append a piece of the body."""
         self._pieces.append(piece)
         self._body_bytes += len(piece)
         if self._body_bytes > self._get_bounds()[1]:
             self._fail(ErrorKind.BODY_TOO_LARGE, "the body is too large")
 
     def on_message_complete(self) -> None:
-        """Queue the whole request."""
+        """Queue the complete request."""
         request = ReceivedRequest(
             method=self._parser.get_method().decode("ascii"),
             target=self._target.decode("latin-1"),
@@ -123,7 +126,7 @@
             raise RequestError(ErrorKind.HEAD_TOO_LARGE, "the head is too large")
 
     def _fail(self, kind: ErrorKind, detail: str) -> None:
-        """Stop parsing: httptools turns any exception of a callback into its own."""
+        """Stop parsing; httptools replaces the exception of a callback, so it is stored as well."""
         self._error = RequestError(kind, detail)
         raise self._error
 
@@ -141,7 +144,7 @@
 
 
 class ParsedAnswer:
-    """One answer as far as it has been parsed."""
+    """One answer, which may be partially parsed."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -154,27 +157,27 @@
 
     @property
     def ends_with_connection(self) -> bool:
-        """Whether neither a length nor chunks tell where the body ends."""
+        """Whether the body has neither a length nor chunks and ends when the connection closes."""
         names = {name.lower() for name, _ in self.headers}
         return not names & {"content-length", "transfer-encoding"}
 
     def take_body(self) -> bytes:
-        """Return and forget the body parsed since the last call."""
+        """Remove and return the body parsed since the last call."""
         body = b"".join(self.pieces)
         self.pieces.clear()
         return body
 
 
 class AnswerParser:
-    """Parses what a backend server sends on one connection: any number of answers.
+    """Parses the answers that a backend server sends on one connection.
 
     Explanation
     ===========
 
-    A faulty backend server may send a second answer, or bytes that are none. `answers` holds all
-    that was parsed, oldest first, so that the exchange can drop an answer of another request and
-    go on with the next one. Garbage after a whole answer sets `is_spoiled`: the connection must
-    not be used again, but the whole answer stands.
+    A faulty backend server may send a second answer, or bytes that are not HTTP. `answers` contains
+    all parsed answers, oldest first, so that the exchange can drop an answer to another request and
+    continue with the next one. Invalid bytes after a complete answer set `is_spoiled`: the
+    connection must not be reused, but the complete answer is valid.
     """
 
     def __init__(self, method: str) -> None:
@@ -190,44 +193,44 @@
         Raises
         ======
 
-        ValueError : not HTTP, inside an answer.
+        ValueError : invalid HTTP before any answer is complete.
         """
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.is_spoiled = True
-            if not self._has_whole_answer():
+            if not self._has_complete_answer():
                 raise ValueError(f"not an HTTP answer: {error}") from error
 
     def end(self) -> None:
-        """Note that the connection was closed cleanly: it completes an answer without length."""
+        """Handle a clean close of the connection, which completes an answer without length."""
         current = self._current
         if current.head_done and not current.done and current.ends_with_connection:
             current.done = True
 
-    def _has_whole_answer(self) -> bool:
+    def _has_complete_answer(self) -> bool:
         return any(answer.done for answer in self.answers)
 
     def on_message_begin(self) -> None:
-        """Begin an answer (called by httptools, like the other ``on_`` methods)."""
+        """Start an answer (called by httptools, as are the other ``on_`` methods)."""
         self._current = ParsedAnswer()
 
     def on_status(self, reason: bytes) -> None:
-        """Take a piece of the reason phrase."""
+        """Append a piece of the reason phrase."""
         self._current.reason += reason.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes | None) -> None:
-        """Take a header; trailers are dropped."""
+        """Append a header; trailers are dropped."""
         if not self._current.head_done:
             field = (name.decode("latin-1"), (value or b"").decode("latin-1").strip())
             self._current.headers.append(field)
 
     def on_headers_complete(self) -> None:
-        """Queue the answer as soon as its head is complete; interim answers are dropped."""
+        """Queue the answer once its head is complete; interim answers are dropped."""
         current = self._current
         current.status = self._parser.get_status_code()
         current.head_done = True
-        if current.status <= HIGHEST_INTERIM_STATUS:
+        if current.status <= MAX_INTERIM_STATUS:
             return
         current.keep_alive = self._parser.should_keep_alive()
         self.answers.append(current)
@@ -237,9 +240,9 @@
             self.is_spoiled = self._without_body
 
     def on_body(self, piece: bytes) -> None:
-        """Take a piece of the body."""
+        """Append a piece of the body."""
         self._current.pieces.append(piece)
 
     def on_message_complete(self) -> None:
-        """Mark the answer as whole."""
+        """Mark the answer as complete."""
         self._current.done = True
--- a/hemlockswitch/connection/messages.py
+++ b/hemlockswitch/connection/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages between the system's processes, and their msgpack form.
+"""Typed messages between the system's processes, encoded with msgpack.
 
-A message is a frozen dataclass registered under a short tag. On the wire it is a map of its
-fields with the tag under ``"t"``.
+A message is a frozen dataclass registered under a short tag. It is encoded as a map of its fields,
+with the tag under ``"t"``.
 """
 
 from dataclasses import dataclass, fields
@@ -23,7 +23,7 @@
 
     def register(message_type: MessageType) -> MessageType:
         if tag in _types:
-            raise ValueError(f"message tag {tag!r} is taken")
+            raise ValueError(f"message tag {tag!r} is already registered")
         _types[tag] = message_type
         message_type.tag = tag  # type: ignore[attr-defined]
         return message_type
@@ -32,7 +32,7 @@
 
 
 def encode_message(message: Any) -> bytes:
-    """Return the msgpack form of a registered message.
+    """Encode a registered message with msgpack.
 
     Examples
     ========
@@ -46,27 +46,29 @@
 
 
 def decode_message(frame: bytes) -> Any:
-    """Return the message in `frame`.
+    """Decode the message in the body of a frame.
 
     Raises
     ======
 
-    PeerError : the frame is not a known message or has wrong fields.
+    PeerError : the body is too large, its tag is not registered, or its fields are wrong.
     """
     if len(frame) > MAX_FRAME_BYTES:
-        raise PeerError(ErrorKind.BODY_TOO_LARGE, f"a frame of {len(frame)} bytes")
+        raise PeerError(ErrorKind.BODY_TOO_LARGE, f"message too large: {len(frame)} bytes")
     try:
         body = msgpack.unpackb(frame, raw=False)
         message_type = _types[body.pop(TAG_FIELD)]
         return message_type(**body)
     except (ValueError, KeyError, TypeError, AttributeError, msgpack.UnpackException) as error:
-        raise PeerError(ErrorKind.BAD_REQUEST, f"not a known message: {error}") from error
+        raise PeerError(
+            ErrorKind.BAD_REQUEST, f"malformed message or unregistered tag: {error}"
+        ) from error
 
 
 @register_message("refusal")
 @dataclass(frozen=True)
 class Refusal:
-    """The answer to a peer's message that could not be served."""
+    """The reply to a message that could not be served."""
 
     kind: str
     detail: str
