--- a/hemlockswitch/connection/links.py
+++ b/hemlockswitch/connection/links.py
@@ -82,7 +82,7 @@
     connection : an accepted socket, or None to connect when the link starts.
     source_host : the local IP to connect from.
     greeting : encoded frame that a connecting link sends first.
-    on_frame : called with the link and a received frame.
+    on_frame : called with the link and a received frame; a `PeerError` closes the link.
     on_close : called with the link and whether it failed; must not raise.
     """
 
--- a/hemlockswitch/connection/orders.py
+++ b/hemlockswitch/connection/orders.py
@@ -1,8 +1,8 @@
-"""Orders to model engines: what they report, and the state that the controller wants.
+"""Orders that set the state of model engines, and the state that engines report.
 
-An order is absolute: it names the whole wanted state, so giving it twice, or giving it again
-after a stale one, ends in the same state. It carries the lease's fencing number; engines that
-check the number refuse an old one, others do as the last order says.
+An order is absolute: it contains the complete wanted state, so that sending it twice, or again
+after a stale one, has the same result. It carries the fencing number of the lease; engines that
+check the number refuse an older one, and all other engines follow the most recent order.
 """
 
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 
 class EngineState(StrEnum):
-    """What an order can want of an engine."""
+    """The states that an order can request of an engine."""
 
     SERVING = "serving"
     DRAINED = "drained"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class WantedState:
-    """The whole state that an engine is to be in."""
+    """The complete state that is requested of an engine."""
 
     models: tuple[str, ...]
     role: str = "mixed"
@@ -43,7 +43,7 @@
 
 
 class ReportedLoad(BaseModel):
-    """What a backend server says of itself, with a lag."""
+    """The load and state that a backend server reports, which may be outdated."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -57,7 +57,7 @@
     draining: bool = False
 
     def is_in(self, wanted: WantedState) -> bool:
-        """Return whether the reported state is the wanted one."""
+        """Return whether the reported state equals the wanted state."""
         if self.draining != (wanted.state == EngineState.DRAINED):
             return False
         return set(self.models) == set(wanted.models) and self.role == wanted.role
@@ -65,47 +65,47 @@
 
 @dataclass(frozen=True)
 class OrderDone:
-    """The engine took the order."""
+    """The engine accepted the order."""
 
 
 @dataclass(frozen=True)
 class OrderStale:
-    """The engine has seen a higher fencing number than the order's."""
+    """The engine refused the order, having received a higher fencing number."""
 
     highest: int
 
 
 class OrderNotPermittedError(OSError):
-    """The permit was refused between connecting and writing; nothing was ordered.
+    """The permit was refused between connecting and writing; no order was sent.
 
-    It is an `OSError` because the HTTP client then drops the connection by itself.
+    It is an `OSError` because the HTTP client then drops the connection on its own.
     """
 
 
 class _OrderPool(ConnectionPool):
-    """Connections on which the kernel too gives up after the order's time-out.
+    """Connections on which the kernel also gives up after the order's time-out.
 
-    Without this a frozen process's kernel would go on resending an order's bytes for minutes.
+    Otherwise the kernel would retransmit an order's bytes to a frozen process for minutes.
     """
 
     def after_connect(self, sock: gevent.socket.socket) -> None:
-        """Set the options of a fresh connection."""
+        """Set the options of a new connection."""
         timeout_ms = int(self.network_timeout * MS_PER_SECOND)
         sock.setsockopt(IPPROTO_TCP, TCP_USER_TIMEOUT, timeout_ms)
         sock.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
 
 
 class _PermittedBody:
-    """An order's bytes, given out only if the permit holds at that moment.
+    """An order's bytes, which can be read only while the permit is valid.
 
-    The HTTP client reads its body after it has connected and written the headers. The permit is
-    asked there, so that between the clock's reading and the write there are no waits at all.
+    The HTTP client reads the body after it has connected and written the headers. The permit is
+    checked at that point, so that nothing waits between the reading of the clock and the write.
     """
 
     mode = "rb"
 
     def __init__(self, content: bytes, permit: Callable[[], object]) -> None:
-        self._left = content
+        self._remaining = content
         self._length = len(content)
         self._permit = permit
 
@@ -113,43 +113,47 @@
         return self._length
 
     def read(self, size: int) -> bytes:
-        """Return the next bytes of the body."""
-        part, self._left = self._left[:size], self._left[size:]
+        """Return the next bytes of the body, after checking the permit."""
+        part, self._remaining = self._remaining[:size], self._remaining[size:]
         if part:
             self._permit()
         return part
 
 
 class OrderClient:
-    """Asks backend servers for their state and gives them orders.
+    """Reads the state of backend servers and sends them orders.
 
     Parameters
     ==========
 
-    timeout_ms : the whole time that one call may take; an order that took longer is unknown.
+    timeout_ms : time-out of a complete call; the outcome of an order that took longer is unknown.
     """
 
     def __init__(self, timeout_ms: int = ORDER_TIMEOUT_MS) -> None:
         self._timeout_ms = timeout_ms
 
     def read_load(self, address: str) -> ReportedLoad:
-        """Return what the backend server at `address` reports.
+        """Return the load and state that the backend server at `address` reports.
 
         Raises
         ======
 
-        BackendError : it did not answer in time, or not with a load report.
+        BackendError : the server did not answer in time, or its answer is not a load report.
         """
         status, body = self._call(address, "GET", "/v1/load", b"")
         if status != HTTPStatus.OK:
-            raise BackendError(ErrorKind.NO_BACKEND, f"{address} answered {status} to a load call")
+            raise BackendError(
+                ErrorKind.NO_BACKEND, f"{address} answered a load request with status {status}"
+            )
         try:
             return ReportedLoad.model_validate_json(body)
         except ValidationError as error:
-            raise BackendError(ErrorKind.ANSWER_INVALID, f"load of {address}: {error}") from error
+            raise BackendError(
+                ErrorKind.ANSWER_INVALID, f"invalid load report of {address}: {error}"
+            ) from error
 
     def is_reachable(self, address: str) -> bool:
-        """Return whether anything at `address` takes a connection."""
+        """Return whether a connection to `address` can be opened."""
         host, port = address.rsplit(":", 1)
         try:
             gevent.socket.create_connection(
@@ -162,19 +166,19 @@
     def send_order(
         self, address: str, fencing: int, wanted: WantedState, permit: Callable[[], object]
     ) -> OrderDone | OrderStale:
-        """Order the engine at `address` into `wanted`.
+        """Order the engine at `address` to enter the state `wanted`.
 
         Parameters
         ==========
 
-        fencing : the number under which the order is given.
-        permit : called just before the order's bytes are written; raises to stop it.
+        fencing : the fencing number of the order.
+        permit : called just before the order's bytes are written; raises to prevent the order.
 
         Raises
         ======
 
-        BackendError : refused, failed, or not answered in time (the order may have been taken).
-        OrderNotPermittedError : the permit raised; nothing was ordered.
+        BackendError : refused, failed, or not answered in time; the order may have taken effect.
+        OrderNotPermittedError : the permit raised; no order was sent.
         """
         content = _OrderBody(fencing=fencing, wanted=asdict(wanted)).model_dump_json().encode()
         body = _PermittedBody(content, _convert_refusal(permit))
@@ -183,7 +187,9 @@
             return OrderDone()
         if status == HTTPStatus.CONFLICT:
             return OrderStale(_read_highest(answer))
-        raise BackendError(ErrorKind.NO_BACKEND, f"{address} answered {status} to an order")
+        raise BackendError(
+            ErrorKind.NO_BACKEND, f"{address} answered an order with status {status}"
+        )
 
     def _call(self, address: str, method: str, path: str, body: Any) -> tuple[int, bytes]:
         host, port = address.rsplit(":", 1)
@@ -200,36 +206,40 @@
         except OrderNotPermittedError:
             raise
         except (OSError, HTTPParseError, gevent.Timeout) as error:
-            raise BackendError(ErrorKind.NO_BACKEND, f"{address}: {error!r}") from error
+            raise BackendError(
+                ErrorKind.NO_BACKEND, f"call of {address} failed: {error!r}"
+            ) from error
         finally:
             client.close()
 
 
 class _OrderBody(BaseModel):
-    """An order as the engine reads it."""
+    """The body of an order."""
 
     fencing: int
     wanted: dict[str, Any]
 
 
 def _convert_refusal(permit: Callable[[], object]) -> Callable[[], None]:
-    def ask() -> None:
+    def check_permit() -> None:
         try:
             permit()
         except Exception as error:
             raise OrderNotPermittedError(str(error)) from error
 
-    return ask
+    return check_permit
 
 
 def _read_highest(answer: bytes) -> int:
     try:
         return _StaleAnswer.model_validate_json(answer).highest
     except ValidationError as error:
-        raise BackendError(ErrorKind.ANSWER_INVALID, "a refusal without its number") from error
+        raise BackendError(
+            ErrorKind.ANSWER_INVALID, "the refusal of a stale order has no fencing number"
+        ) from error
 
 
 class _StaleAnswer(BaseModel):
-    """An engine's refusal of an old fencing number."""
+    """The body of an engine's refusal of a stale fencing number."""
 
     highest: int
--- a/hemlockswitch/connection/page_server.py
+++ b/hemlockswitch/connection/page_server.py
@@ -1,7 +1,7 @@
-"""A few small pages over HTTP, for a balancer or for operators' monitoring.
+"""Small HTTP pages for a load balancer or for monitoring.
 
-They are served by the server of forwarded requests, so that a gateway loads no second HTTP server
-for a page that may never be asked for.
+They are served by `ForwardServer`, so that a gateway does not load a second HTTP server for a page
+that may never be requested.
 """
 
 from collections.abc import Callable, Mapping
@@ -13,13 +13,13 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.version.serving_table import CallerBounds
 
-READING_METHODS = frozenset({"GET", "HEAD"})
+READ_METHODS = frozenset({"GET", "HEAD"})
 JSON_TYPE = "application/json"
 
 
 @dataclass(frozen=True)
 class Page:
-    """What a page shows now."""
+    """The current content of a page."""
 
     body: bytes = b""
     content_type: str = JSON_TYPE
@@ -35,9 +35,9 @@
     Parameters
     ==========
 
-    address : host and port; port 0 takes any free one.
-    pages : path to what builds the page.
-    clock : the time.
+    address : host and port; port 0 selects a free one.
+    pages : functions that build the pages, by path.
+    clock : the clock for the reception times of requests.
     """
 
     def __init__(
@@ -48,11 +48,11 @@
         self._server = ForwardServer(address, self._answer, lambda: bounds, clock)
 
     def start(self) -> str:
-        """Listen, and return the address that is bound."""
+        """Start to listen; return the bound address."""
         return self._server.start()
 
     def stop(self) -> None:
-        """Stop listening, and close the connections that are idle."""
+        """Stop listening and close the idle connections."""
         self._server.stop_accepting()
 
     def _answer(self, request: ReceivedRequest, reply: Reply) -> None:
@@ -64,6 +64,6 @@
         build = self._pages.get(request.path)
         if build is None:
             return Page(status=HTTPStatus.NOT_FOUND)
-        if request.method not in READING_METHODS:
+        if request.method not in READ_METHODS:
             return Page(status=HTTPStatus.METHOD_NOT_ALLOWED)
         return build()
--- a/hemlockswitch/connection/peers.py
+++ b/hemlockswitch/connection/peers.py
@@ -1,4 +1,4 @@
-"""The network between the system's processes: typed messages over TCP streams."""
+"""Typed messages over TCP streams between the system's processes."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -27,16 +27,16 @@
 
 Handler = Callable[[str, Any], Any]
 
-LARGEST_NUMBER = 0xFFFFFFFF
-SWEEP_MS = 1_000
-FLUSH_MS = 200
-FLUSH_STEP_S = 0.005
+MAX_REQUEST_NUMBER = 0xFFFFFFFF
+SWEEP_INTERVAL_MS = 1_000
+FLUSH_TIMEOUT_MS = 200
+FLUSH_POLL_INTERVAL_S = 0.005
 
 
 @register_message("hello")
 @dataclass(frozen=True)
 class Hello:
-    """First message of a connecting process: its cluster, its name, its listening address."""
+    """The first message of a connecting process, with its cluster, name and listening address."""
 
     cluster: str
     name: str
@@ -45,41 +45,41 @@
 
 @dataclass(frozen=True)
 class _Registration:
-    """The handler of a message type, and whether it runs in the stream's own task."""
+    """The handler of a message type, and whether it runs in the reading task of the stream."""
 
     handler: Handler
     quick: bool
 
 
 @dataclass
-class _Question:
-    """A question that waits for its reply, and the link on which it went."""
+class _PendingRequest:
+    """A request waiting for its reply, and the link on which it was sent."""
 
     result: AsyncResult
     link: Link
 
 
 class PeerNetwork:
-    """Send typed messages to other processes by address, and serve theirs.
+    """Sends typed messages to other processes by address, and handles received messages.
 
     Explanation
     ===========
 
-    There is one stream for each pair of processes, opened on demand by whichever has something to
-    say and closed when idle. A peer is known by its listening address, which it gives in its hello
+    There is one stream for each pair of processes, opened on demand by the process that sends first
+    and closed when idle. A peer is identified by its listening address, which is part of its hello
     together with the cluster's name; a process of another cluster is refused.
 
-    A handler is called as ``handler(sender address, message)``; what it returns is the reply to a
-    question. A handler that raises a `HemlockError` answers with its kind, any other exception is
-    logged and answered as `INTERNAL`; neither ends the stream or the process.
+    A handler is called as ``handler(sender address, message)`` and returns the reply to a request.
+    A `HemlockError` raised by a handler is replied with its kind; any other exception is logged and
+    replied as `INTERNAL`. Neither ends the stream or the process.
 
     Parameters
     ==========
 
-    cluster : name that both ends must share.
-    name : this process.
-    listen : ``ip:port``; port 0 takes a free one.
-    advertise : address that peers use, when it is not the one listened on.
+    cluster : name of the cluster, which must be the same at both ends.
+    name : name of this process.
+    listen : ``ip:port``; port 0 selects a free one.
+    advertise : address that peers use, if it differs from the one listened on.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         self._handlers: dict[type, _Registration] = {}
         self._links: dict[str, Link] = {}
         self._all_links: set[Link] = set()
-        self._questions: dict[int, _Question] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self._backoffs = AddressBackoffs.from_bounds(self._bounds, self._clock)
         self._last_number = 0
         self._workers = Pool(self._bounds.handler_tasks)
@@ -111,7 +111,7 @@
         self._stopped = False
 
     def start(self) -> str:
-        """Listen, and return the address that peers use."""
+        """Start to listen; return the address that peers use."""
         pool = Pool(self._bounds.accepted_streams)
         self._server = StreamServer(self._listen, self._accept, spawn=pool)
         self._server.start()
@@ -121,12 +121,12 @@
 
     @property
     def bound_address(self) -> str:
-        """Where it listens, once started; peers may use another address to get here."""
+        """The address listened on, once started; peers may use another one to connect."""
         assert self._server is not None
         return f"{self._listen[0]}:{self._server.server_port}"
 
     def stop(self) -> None:
-        """Stop listening, let what is queued go for a moment, and close every stream."""
+        """Stop listening, wait up to `FLUSH_TIMEOUT_MS` for queued frames to be sent, and close all streams."""
         self._stopped = True
         self._flush()
         if self._sweeper is not None:
@@ -138,24 +138,25 @@
         self._workers.kill(block=False)
 
     def _flush(self) -> None:
-        until_ms = self._clock.now_ms() + FLUSH_MS
+        until_ms = self._clock.now_ms() + FLUSH_TIMEOUT_MS
         while self._clock.now_ms() < until_ms:
             if not any(link.has_queued for link in self._all_links):
                 return
-            gevent.sleep(FLUSH_STEP_S)
+            gevent.sleep(FLUSH_POLL_INTERVAL_S)
 
     def handle(self, message_type: type, handler: Handler, *, quick: bool = False) -> None:
-        """Serve messages of `message_type` with `handler`.
+        """Register `handler` for messages of `message_type`.
 
         Parameters
         ==========
 
-        quick : the handler never waits; it runs in the stream's own task, in order of arrival.
+        quick : the handler never waits; it runs in the reading task of the stream, in the order in
+            which messages are received.
         """
         self._handlers[message_type] = _Registration(handler, quick)
 
     def send(self, address: str, message: Any) -> bool:
-        """Queue a one-way message; return whether there was a stream to queue it on."""
+        """Queue a one-way message; return whether it could be queued."""
         return self._send_frame(address, Frame(FrameKind.ONE_WAY, 0, encode_message(message)))
 
     def _send_frame(self, address: str, frame: Frame) -> bool:
@@ -167,35 +168,37 @@
         return True
 
     def send_all(self, addresses: Iterable[str], message: Any) -> None:
-        """Queue a one-way message to each of `addresses`; it is encoded once."""
+        """Queue a one-way message to each of `addresses`, encoding it once."""
         frame = Frame(FrameKind.ONE_WAY, 0, encode_message(message))
         for address in addresses:
             self._send_frame(address, frame)
 
     def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
-        """Send a question and return its reply.
+        """Send a request and return its reply.
 
         Raises
         ======
 
-        PeerError : the peer cannot be reached, did not answer in `timeout_ms`, or refused; the
-            kind says which.
+        PeerError : the peer cannot be reached, did not reply in `timeout_ms`, or refused; the kind
+            tells these apart.
         """
         link = self._find_link(address)
         number = self._take_number()
-        question = _Question(AsyncResult(), link)
-        self._questions[number] = question
-        asked_ms = self._clock.now_ms()
+        pending = _PendingRequest(AsyncResult(), link)
+        self._pending[number] = pending
+        sent_ms = self._clock.now_ms()
         try:
             link.put(Frame(FrameKind.ASK, number, encode_message(message)))
-            reply = question.result.get(timeout=timeout_ms / MS_PER_SECOND)
+            reply = pending.result.get(timeout=timeout_ms / MS_PER_SECOND)
         except gevent.Timeout as error:
-            # A stream that stayed silent all along may be cut: the next use opens a new one.
-            if link.last_received_ms < asked_ms:
+            # A stream on which nothing was received may be broken; the next use opens a new one.
+            if link.last_received_ms < sent_ms:
                 link.close()
-            raise PeerError(ErrorKind.PEER_UNAVAILABLE, f"{address} did not answer") from error
+            raise PeerError(
+                ErrorKind.PEER_UNAVAILABLE, f"{address} did not reply within the time-out"
+            ) from error
         finally:
-            self._questions.pop(number, None)
+            self._pending.pop(number, None)
         if isinstance(reply, Refusal):
             raise PeerError(ErrorKind(reply.kind), reply.detail)
         return reply
@@ -205,7 +208,7 @@
         return list(self._links)
 
     def _take_number(self) -> int:
-        self._last_number = self._last_number % LARGEST_NUMBER + 1
+        self._last_number = self._last_number % MAX_REQUEST_NUMBER + 1
         return self._last_number
 
     def _find_link(self, address: str) -> Link:
@@ -213,7 +216,9 @@
         if link is not None:
             return link
         if self._stopped or self._backoffs.is_paused(address):
-            raise PeerError(ErrorKind.PEER_UNAVAILABLE, f"{address} failed a moment ago")
+            raise PeerError(
+                ErrorKind.PEER_UNAVAILABLE, f"connections to {address} are paused after a failure"
+            )
         return self._add_link(address, None)
 
     def _add_link(self, address: str, connection: socket.socket | None) -> Link:
@@ -224,7 +229,7 @@
             source_host=self._listen[0],
             greeting=Frame(FrameKind.ONE_WAY, 0, hello).encode(),
             on_frame=self._receive,
-            on_close=self._forget,
+            on_close=self._remove_link,
             clock=self._clock,
             bounds=self._bounds,
             traffic=self.traffic,
@@ -235,16 +240,16 @@
         link.start()
         return link
 
-    def _forget(self, link: Link, failed: bool) -> None:
+    def _remove_link(self, link: Link, failed: bool) -> None:
         self._all_links.discard(link)
         if self._links.get(link.address) is link:
             del self._links[link.address]
         if failed:
             self._backoffs.record_failure(link.address)
-        for question in list(self._questions.values()):
-            if question.link is link:
-                detail = f"the stream to {link.address} ended"
-                question.result.set_exception(PeerError(ErrorKind.PEER_UNAVAILABLE, detail))
+        for pending in list(self._pending.values()):
+            if pending.link is link:
+                detail = f"the stream to {link.address} was closed before the reply"
+                pending.result.set_exception(PeerError(ErrorKind.PEER_UNAVAILABLE, detail))
 
     def _accept(self, connection: socket.socket, _: Any) -> None:
         link = self._add_link("", connection)
@@ -252,28 +257,30 @@
 
     def _receive(self, link: Link, frame: Frame) -> None:
         if not link.address:
-            self._greet(link, frame)
+            self._accept_hello(link, frame)
             return
         self._backoffs.record_success(link.address)
         try:
             message = decode_message(frame.body)
         except PeerError as error:
-            # A process of another version may send what this one does not know.
+            # A process of another version may send messages that are not registered here.
             log_event(Event.PEER_MESSAGE_UNKNOWN, "warning", peer=link.address, reason=str(error))
             self._reply(link, frame, Refusal(error.kind, error.detail))
             return
         if frame.kind is FrameKind.REPLY:
-            question = self._questions.get(frame.number)
-            if question is not None and question.link is link:
-                question.result.set(message)
+            pending = self._pending.get(frame.number)
+            if pending is not None and pending.link is link:
+                pending.result.set(message)
             return
         self._dispatch(link, frame, message)
 
-    def _greet(self, link: Link, frame: Frame) -> None:
+    def _accept_hello(self, link: Link, frame: Frame) -> None:
         hello = decode_message(frame.body)
         if not isinstance(hello, Hello) or hello.cluster != self._cluster:
             log_event(Event.PEER_REFUSED, "warning", hello=repr(hello))
-            raise PeerError(ErrorKind.UNAUTHORIZED, "not a hello of this cluster")
+            raise PeerError(
+                ErrorKind.UNAUTHORIZED, "the first message is not a hello of this cluster"
+            )
         link.address = hello.address
         self._backoffs.record_success(hello.address)
         self._links.setdefault(hello.address, link)
@@ -284,7 +291,9 @@
         if registration.quick:
             self._answer(link, frame, message, handler)
         elif self._workers.full():
-            self._reply(link, frame, Refusal(ErrorKind.OVERLOADED, "too many messages at once"))
+            self._reply(
+                link, frame, Refusal(ErrorKind.OVERLOADED, "too many messages are being handled")
+            )
         else:
             self._workers.spawn(self._answer, link, frame, message, handler)
 
@@ -295,7 +304,7 @@
             reply = Refusal(error.kind, error.detail)
         except Exception as error:  # noqa: BLE001 - a handler's failure must not end the stream
             log_event(Event.PEER_HANDLER_FAILED, "error", tag=message.tag, reason=repr(error))
-            reply = Refusal(ErrorKind.INTERNAL, "the peer failed to serve the message")
+            reply = Refusal(ErrorKind.INTERNAL, "internal error in the handler of the message")
         if reply is not None:
             self._reply(link, frame, reply)
 
@@ -309,17 +318,17 @@
 
     def _sweep(self) -> None:
         while True:
-            gevent.sleep(SWEEP_MS / MS_PER_SECOND)
+            gevent.sleep(SWEEP_INTERVAL_MS / MS_PER_SECOND)
             now_ms = self._clock.now_ms()
-            asked = {question.link for question in self._questions.values()}
+            busy = {pending.link for pending in self._pending.values()}
             for link in list(self._all_links):
-                if link not in asked and link.is_idle(now_ms):
+                if link not in busy and link.is_idle(now_ms):
                     link.close()
             self._backoffs.forget_old()
 
 
 def _refuse(_: str, message: Any) -> Refusal:
-    return Refusal(ErrorKind.BAD_REQUEST, f"no handler for {message.tag!r}")
+    return Refusal(ErrorKind.BAD_REQUEST, f"no handler for messages with tag {message.tag!r}")
 
 
 _UNHANDLED = _Registration(_refuse, quick=True)
--- a/hemlockswitch/connection/platform.py
+++ b/hemlockswitch/connection/platform.py
@@ -1,4 +1,4 @@
-"""The client of the platform: object service, VM list and cloud API."""
+"""Client of the platform: object service, VM list and cloud API."""
 
 from http import HTTPStatus
 from typing import Any, Protocol, TypeVar
@@ -51,24 +51,23 @@
 
 
 class PlatformClient:
-    """Calls of the platform, each with a time-out, a role and a bounded answer.
+    """Client of the platform's services, with limits on the duration and the size of each answer.
 
     Explanation
     ===========
 
-    Reads raise `PlatformError` of kind ``platform_unavailable`` when the service does not give a
-    usable answer. Writes return `Written`, `Conflict` or `Unknown` and raise only when they
-    certainly took no effect. No call is repeated here. While a service fails, its calls are
-    refused at once until a jittered pause is over; the object service and the cloud API are
-    judged apart.
+    Reads raise `PlatformError` of kind ``platform_unavailable`` if the service gives no usable
+    answer. Writes return `Written`, `Conflict` or `Unknown` and raise only if they certainly had no
+    effect. No call is repeated here. After a failure of a service its calls are refused immediately
+    until a pause with jitter has passed; the object service and the cloud API have separate pauses.
 
     Parameters
     ==========
 
     address : ``ip:port`` of the platform.
-    role, daemon : sent with every call; the platform counts by them.
-    timeout_ms : bound of one call; a watch gets its waiting time on top.
-    clock : the time.
+    role, daemon : sent with every call; the platform counts calls by them.
+    timeout_ms : time-out of one call; for a watch, its waiting time is added.
+    clock : the clock of the back-offs and of the calls.
     """
 
     def __init__(
@@ -94,20 +93,20 @@
 
     @classmethod
     def from_settings(cls, settings: PlatformUser, role: str) -> "PlatformClient":
-        """Return the client of a process with these settings."""
+        """Return the client for a process with these settings."""
         return cls(settings.platform, role, settings.name)
 
     @property
     def last_outage(self) -> Outage | None:
-        """The last time in which every call failed, once it was over."""
+        """The most recent outage of the object service that has ended."""
         return self._object_backoff.last_outage
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._calls.close()
 
     def read(self, kind: str, name: str) -> StoredObject | None:
-        """Return an object, or None where there is none."""
+        """Return an object, or None if it does not exist."""
         answer = self._read(f"/objects/{quote(kind)}/{quote(name)}")
         return None if answer is None else _parse(ObjectBody, answer).to_object()
 
@@ -117,46 +116,47 @@
         return _parse(PageBody, _require(answer)).to_page()
 
     def list_stale(self, kind: str) -> ObjectPage:
-        """Return the objects of a kind; this service has no cheaper, older answer to give."""
+        """Return the objects of a kind; this service offers no cheaper stale read."""
         return self.list(kind)
 
     def watch(self, kind: str, since: int, wait_ms: int, prefix: str = "") -> ObjectPage:
-        """Return what changed after version `since`, waiting up to `wait_ms` for the first."""
+        """Return the changes after version `since`, waiting up to `wait_ms` for the first."""
         query = urlencode({"since": since, "wait_ms": wait_ms, "prefix": prefix})
         answer = self._read(f"/watch/{quote(kind)}?{query}", wait_ms)
         return _parse(PageBody, _require(answer)).to_page()
 
     def create(self, kind: str, name: str, value: Any) -> WriteOutcome:
-        """Write an object that must not exist yet; `value` is JSON-ready or bytes of JSON."""
+        """Create an object that must not exist; `value` is JSON-serializable or encoded JSON."""
         return self._write("PUT", kind, name, encode_value(value), {"If-None-Match": "*"})
 
     def update(self, kind: str, name: str, value: Any, version: int) -> WriteOutcome:
-        """Write an object whose version must be `version`; `value` as for `create`."""
+        """Replace an object if its version is `version`; `value` as for `create`."""
         return self._write("PUT", kind, name, encode_value(value), {"If-Match": str(version)})
 
     def delete(self, kind: str, name: str, version: int) -> WriteOutcome:
-        """Delete an object whose version must be `version`; deleting an absent one conflicts."""
+        """Delete an object if its version is `version`; deleting an absent one is a conflict."""
         return self._write("DELETE", kind, name, b"", {"If-Match": str(version)})
 
     def list_vms(self, zone: str = "") -> VmList:
-        """Return the VM list of a zone, or of all zones; it lags."""
+        """Return the VM list of a zone, or of all zones; the list may be outdated."""
         answer = self._read_cloud(f"/vms?{urlencode({'zone': zone})}")
         return _parse(VmListBody, answer).to_list()
 
     def watch_notices(self, zone: str, since: int, wait_ms: int) -> NoticePage:
-        """Return the zone's reclaim notices after number `since`, waiting for the first."""
+        """Return the zone's reclaim notices after number `since`, waiting up to `wait_ms` for one."""
         query = urlencode({"zone": zone, "since": since, "wait_ms": wait_ms})
         answer = self._read_cloud(f"/cloud/notices?{query}", wait_ms)
         return _parse(NoticePageBody, answer).to_page()
 
     def start_vm(self, zone: str, serves: str, machine_class: str, token: str) -> ListedVm:
-        """Start a VM; the same token never starts a second one.
+        """Start a VM; a token starts at most one VM.
 
         Raises
         ======
 
-        PlatformError : refused for want of capacity (``overloaded``, with the time to come
-            back), or no usable answer (``platform_unavailable``): ask again with the same token.
+        PlatformError : refused for lack of capacity (``overloaded``, with a retry delay), or no
+            usable answer (``platform_unavailable``), after which the call may be repeated with the
+            same token.
         """
         wanted = {"zone": zone, "serves": serves, "machine_class": machine_class, "token": token}
         answer = self._call_cloud("POST", "/cloud/vms", encode_value(wanted))
@@ -167,7 +167,7 @@
         return _parse(VmBody, answer).to_vm()
 
     def stop_vm(self, name: str) -> bool:
-        """Stop a VM; returns whether the platform knew it. Stopping twice is one stop."""
+        """Stop a VM and return whether it exists; stopping is idempotent."""
         answer = self._call_cloud("DELETE", f"/cloud/vms/{quote(name)}", b"")
         return answer.status != HTTPStatus.NOT_FOUND
 
@@ -184,7 +184,7 @@
     def _call_safely(
         self, backoff: Backoff, method: str, path: str, body: bytes, wait_ms: float = 0
     ) -> Answer:
-        """Make a call that may be repeated by whoever asked: a lost answer is just a failure."""
+        """Make an idempotent call; a lost answer is raised as an ordinary failure."""
         try:
             return self._calls.call(backoff, method, path, body, {}, wait_ms)
         except AnswerLostError as error:
@@ -194,7 +194,10 @@
         self, method: str, kind: str, name: str, body: bytes, condition: dict[str, str]
     ) -> WriteOutcome:
         if len(body) > MAX_VALUE_BYTES:
-            raise PlatformError(ErrorKind.BODY_TOO_LARGE, f"{kind}/{name}: {len(body)} bytes")
+            raise PlatformError(
+                ErrorKind.BODY_TOO_LARGE,
+                f"value of object {kind}/{name} is too large: {len(body)} bytes",
+            )
         path = f"/objects/{quote(kind)}/{quote(name)}"
         try:
             answer = self._calls.call(self._object_backoff, method, path, body, condition)
@@ -205,23 +208,25 @@
         if answer.status == HTTPStatus.PRECONDITION_FAILED:
             return Conflict(_parse(VersionBody, answer).version)
         if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            return Unknown(f"status {answer.status}")
+            return Unknown(f"the object service answered with status {answer.status}")
         return _parse_written(answer)
 
 
 def _parse(body_type: type[Body], answer: Answer) -> Body:
-    """Return the validated body of a good answer."""
+    """Return the validated body of a successful answer or of a conflict."""
     if answer.status >= HTTPStatus.BAD_REQUEST and answer.status != HTTPStatus.PRECONDITION_FAILED:
-        raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, f"status {answer.status}")
+        raise PlatformError(
+            ErrorKind.PLATFORM_UNAVAILABLE, f"the platform answered with status {answer.status}"
+        )
     try:
         return body_type.model_validate_json(answer.body)
     except ValidationError as error:
-        detail = f"an answer that does not fit: {error.error_count()} mistakes"
+        detail = f"invalid answer of the platform: {error.error_count()} validation errors"
         raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, detail) from error
 
 
 def _find_refusal(answer: Answer) -> RefusalBody | None:
-    """Return the cloud API's refusal of a start, if the answer is one."""
+    """Return the body of the answer if it is the cloud API's refusal of a start."""
     if answer.status != HTTPStatus.SERVICE_UNAVAILABLE:
         return None
     try:
@@ -233,14 +238,18 @@
 
 def _parse_written(answer: Answer) -> WriteOutcome:
     if answer.status >= HTTPStatus.BAD_REQUEST:
-        raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, f"status {answer.status}")
+        raise PlatformError(
+            ErrorKind.PLATFORM_UNAVAILABLE, f"the platform answered with status {answer.status}"
+        )
     try:
         return Written(VersionBody.model_validate_json(answer.body).version)
     except ValidationError:
-        return Unknown("an answer that does not fit")
+        return Unknown("invalid answer of the object service to a write")
 
 
 def _require(answer: Answer | None) -> Answer:
     if answer is None:
-        raise PlatformError(ErrorKind.PLATFORM_UNAVAILABLE, "the service is not there")
+        raise PlatformError(
+            ErrorKind.PLATFORM_UNAVAILABLE, "the object service answered with status 404"
+        )
     return answer
--- a/hemlockswitch/connection/platform_calls.py
+++ b/hemlockswitch/connection/platform_calls.py
@@ -1,4 +1,4 @@
-"""One call of the platform: bounded in time and size, sent once, and left alone while it fails."""
+"""Calls of the platform, sent at most once, with limits on time and size and with back-off."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,39 +14,40 @@
 from hemlockswitch.core.errors import ErrorKind, PlatformError
 
 WATCH_MARGIN_MS = 2_000
-"""How much later than asked for a watch may end; a short one by its own time at the most."""
+"""A watch may end this much later than requested, or later by its waiting time if that is shorter."""
 MAX_ANSWER_BYTES = 16 * 1_048_576
-MOST_IDLE_MS = 60_000.0
-"""Any kept connection will do; the pool bounds its age."""
+MAX_IDLE_MS = 60_000.0
+"""No restriction in practice: the pool itself limits the idle time of its connections."""
 
 
 @dataclass(frozen=True)
 class Answer:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes
 
 
 class NotSentError(Exception):
-    """A call did not leave: no connection could be made."""
+    """The call was not sent because no connection could be opened."""
 
 
 class AnswerLostError(Exception):
-    """A call was sent and no whole answer came."""
+    """The call was sent and no complete answer was received."""
 
 
 class PlatformCalls:
-    """Connections to the platform, and the calls on them.
+    """Calls of the platform on pooled connections.
 
     Parameters
     ==========
 
     address : ``ip:port`` of the platform.
     headers : sent with every call.
-    timeout_ms : bound of one call; a watch gets its waiting time on top.
-    clock : the time.
-    is_refusal : tells an answer in the 500s that shows a service which works, and only refuses.
+    timeout_ms : time-out of one call; for a watch, its waiting time is added.
+    clock : the clock for idle times and for the starts of calls.
+    is_refusal : returns whether an answer with status 500 or above is a refusal by a service that
+        works, and therefore no failure.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
         self._pool = BackendPool(clock)
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._pool.forget(self._address)
 
     def call(
@@ -77,33 +78,33 @@
         headers: dict[str, str],
         wait_ms: float = 0,
     ) -> Answer:
-        """Send one call unless the service is being left alone, and judge its health.
+        """Send one call unless the back-off is active, and record its success or failure.
 
         Raises
         ======
 
-        PlatformError : the service cannot be used now, or refused the call; it was not carried out.
-        AnswerLostError : the call was sent and may have been carried out.
+        PlatformError : the service is unavailable or refused the call, which was not executed.
+        AnswerLostError : the call was sent and may have been executed.
         """
         if backoff.get_pause_ms() > 0:
-            raise make_unavailable("the platform failed shortly before", backoff)
+            raise make_unavailable("calls are paused after a failure of the platform", backoff)
         began_ms = self._clock.now_ms()
         try:
             answer = self._exchange(method, path, body, headers, wait_ms)
         except NotSentError as error:
             backoff.record_failure(began_ms)
-            raise make_unavailable(f"no connection: {error}", backoff) from error
+            raise make_unavailable(f"cannot connect to the platform: {error}", backoff) from error
         except AnswerLostError:
             backoff.record_failure(began_ms)
             raise
-        return self._judge(answer, backoff, began_ms)
+        return self._record_outcome(answer, backoff, began_ms)
 
-    def _judge(self, answer: Answer, backoff: Backoff, began_ms: float) -> Answer:
+    def _record_outcome(self, answer: Answer, backoff: Backoff, began_ms: float) -> Answer:
         if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
             backoff.record_failure(began_ms)
-            raise make_unavailable("over the platform's rate", backoff)
+            raise make_unavailable("the platform's rate limit is exceeded", backoff)
         if answer.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
-            raise PlatformError(ErrorKind.BODY_TOO_LARGE, "the value is too large")
+            raise PlatformError(ErrorKind.BODY_TOO_LARGE, "the value is too large for the platform")
         if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR and not self._is_refusal(answer):
             backoff.record_failure(began_ms)
         else:
@@ -124,9 +125,9 @@
         except gevent.Timeout as error:
             if error is not timer:
                 raise
-            raise AnswerLostError(f"no answer in {limit_ms:.0f} ms") from error
+            raise AnswerLostError(f"no complete answer within {limit_ms:.0f} ms") from error
         except ExchangeError as error:
-            raise AnswerLostError(f"the connection broke: {error.detail}") from error
+            raise AnswerLostError(f"the connection failed: {error.detail}") from error
         finally:
             timer.close()
             self._pool.finish(exchange)
@@ -137,7 +138,7 @@
                 self._address,
                 method,
                 lambda _: True,
-                most_idle_ms=MOST_IDLE_MS,
+                most_idle_ms=MAX_IDLE_MS,
                 timeout_ms=self._timeout_ms,
             )
         except ExchangeError as error:
@@ -152,7 +153,7 @@
 
 
 def make_unavailable(detail: str, backoff: Backoff) -> PlatformError:
-    """Return the error of a service that cannot be used now, with the time to come back."""
+    """Return the error for an unavailable service, with the retry delay of `backoff`."""
     return PlatformError(
         ErrorKind.PLATFORM_UNAVAILABLE,
         detail,
--- a/hemlockswitch/connection/platform_models.py
+++ b/hemlockswitch/connection/platform_models.py
@@ -1,4 +1,4 @@
-"""What the platform answers: pydantic models at the border, data classes inside."""
+"""Answers of the platform: pydantic models for validation, and the data classes made from them."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class ListedVm:
-    """One VM of the VM list."""
+    """One VM in the VM list."""
 
     name: str
     zone: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class VmList:
-    """The VM list as the platform showed it."""
+    """The VM list as returned by the platform."""
 
     vms: tuple[ListedVm, ...]
     version: int
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class ReclaimNotice:
-    """One reclaim notice."""
+    """An announcement that the platform will reclaim a VM."""
 
     number: int
     vm: str
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True)
 class NoticePage:
-    """Reclaim notices after a number, and the number to go on from."""
+    """Reclaim notices after a number, and the number from which to continue."""
 
     notices: tuple[ReclaimNotice, ...]
     number: int
 
 
 class _Body(BaseModel):
-    """Base of the answers; fields that this dialect does not use are passed over."""
+    """Base of the answers; unrecognized fields are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -65,18 +65,18 @@
     deleted: bool = False
 
     def to_object(self) -> StoredObject:
-        """Return the inner form."""
+        """Convert to a `StoredObject`."""
         return StoredObject(self.kind, self.name, self.version, self.value, self.deleted)
 
 
 class PageBody(_Body):
-    """A list or a watch."""
+    """The answer to a list or a watch."""
 
     items: tuple[ObjectBody, ...]
     version: int = Field(ge=0)
 
     def to_page(self) -> ObjectPage:
-        """Return the inner form."""
+        """Convert to an `ObjectPage`."""
         return ObjectPage(tuple(item.to_object() for item in self.items), self.version)
 
 
@@ -100,7 +100,7 @@
     version: int = 0
 
     def to_vm(self) -> ListedVm:
-        """Return the inner form."""
+        """Convert to a `ListedVm`."""
         return ListedVm(**self.model_dump())
 
 
@@ -111,12 +111,12 @@
     version: int = Field(ge=0)
 
     def to_list(self) -> VmList:
-        """Return the inner form."""
+        """Convert to a `VmList`."""
         return VmList(tuple(vm.to_vm() for vm in self.vms), self.version)
 
 
 class NoticeBody(_Body):
-    """One notice."""
+    """One reclaim notice."""
 
     number: int
     vm: str
@@ -125,19 +125,19 @@
 
 
 class NoticePageBody(_Body):
-    """Notices."""
+    """The answer to a watch of reclaim notices."""
 
     notices: tuple[NoticeBody, ...]
     number: int
 
     def to_page(self) -> NoticePage:
-        """Return the inner form."""
+        """Convert to a `NoticePage`."""
         notices = tuple(ReclaimNotice(**notice.model_dump()) for notice in self.notices)
         return NoticePage(notices, self.number)
 
 
 class RefusalBody(_Body):
-    """A refused start."""
+    """The answer to a refused start of a VM."""
 
     error: str = ""
     retry_after_ms: int = Field(default=1_000, ge=0)
--- a/hemlockswitch/connection/sockets.py
+++ b/hemlockswitch/connection/sockets.py
@@ -1,7 +1,7 @@
-"""TCP sockets between processes: connected by IP, and noticed soon when the peer is gone.
+"""TCP sockets between processes, connected by IP, with fast detection of lost peers.
 
-A partition or a lost VM sends no reset: only keep-alive probes and a bound on unacknowledged data
-show it. Without them a waiting watch or a stream would hang until its own time-out.
+A partition or a lost VM sends no reset; only keep-alive probes and a limit on unacknowledged data
+reveal it. Without them a waiting watch or a stream would hang until its own time-out.
 """
 
 import contextlib
@@ -15,14 +15,14 @@
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-"""With these a silent peer is found in 3 s, the time in which a daemon has to settle after a
-disturbance on the smaller sites; one probe more would be too late."""
+"""These values detect an unresponsive peer within 3 s, the time in which a daemon must recover from
+a disturbance on the smaller sites; one more probe would exceed it."""
 UNACKNOWLEDGED_MS = 3_000
-"""The same time for data that was sent and not acknowledged."""
+"""Time-out for sent data that is not acknowledged, equal to the detection time above."""
 
 
 def set_liveness_options(connection: socket.socket) -> None:
-    """Make the kernel notice a peer that is gone, and send small messages at once."""
+    """Make the kernel detect a lost peer and send small messages without delay."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -32,12 +32,12 @@
 
 
 def connect(address: str, timeout_ms: float) -> socket.socket:
-    """Connect to ``ip:port``; the socket has no time-out of its own afterwards.
+    """Connect to ``ip:port``; the returned socket has no time-out.
 
     Raises
     ======
 
-    OSError : no connection in `timeout_ms`.
+    OSError : the connection failed or was not established within `timeout_ms`.
     """
     connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     connection.settimeout(timeout_ms / MS_PER_SECOND)
@@ -52,7 +52,7 @@
 
 
 def refuses_connection(address: str, timeout_ms: float) -> bool:
-    """Return whether nothing listens at ``ip:port``; an address that does not answer may listen."""
+    """Return whether connections to ``ip:port`` are refused; an unresponsive address is not refusing."""
     try:
         connect(address, timeout_ms).close()
     except ConnectionRefusedError:
@@ -63,17 +63,17 @@
 
 
 def reset_on_close(connection: socket.socket) -> None:
-    """Make every close of the connection a reset, whoever closes it.
+    """Make every close of the connection a reset.
 
-    A plain close lets the kernel go on sending: a request that a partition held up would arrive
-    seconds later, when its sender no longer stands by it.
+    After a plain close the kernel continues to send: a request delayed by a partition would be
+    delivered seconds later, after its sender has abandoned it.
     """
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 def abort(connection: socket.socket) -> None:
-    """Close with a reset, so that bytes which were not delivered yet never arrive."""
-    # An error means that it is closed already: nothing is left to hold back.
+    """Close with a reset, so that undelivered bytes are discarded."""
+    # An error means that the connection is already closed.
     with contextlib.suppress(OSError):
         reset_on_close(connection)
     connection.close()
--- a/hemlockswitch/connection/status_page.py
+++ b/hemlockswitch/connection/status_page.py
@@ -1,4 +1,4 @@
-"""What a daemon says of itself, put together from one part for each area."""
+"""The status of a daemon, assembled from named parts."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class StatusPage:
-    """The daemon's state as JSON-ready values.
+    """The daemon's status as JSON-serializable values.
 
     Examples
     ========
@@ -24,9 +24,9 @@
         self._parts: dict[str, StatusPart] = {}
 
     def add(self, name: str, part: StatusPart) -> None:
-        """Show the JSON-ready result of `part` under `name`; never a secret."""
+        """Include the JSON-serializable result of `part` under `name`; it must contain no secret."""
         self._parts[name] = part
 
     def describe(self) -> dict[str, Any]:
-        """Return all parts as they are now."""
+        """Return the current values of all parts."""
         return {name: part() for name, part in self._parts.items()}
--- a/hemlockswitch/connection/stored_objects.py
+++ b/hemlockswitch/connection/stored_objects.py
@@ -1,4 +1,4 @@
-"""Objects of an object service, and what became of a write: the types that every client of one uses."""
+"""Types shared by all clients of an object service: objects, pages and outcomes of writes."""
 
 import json
 from dataclasses import dataclass, field
@@ -8,13 +8,14 @@
 
 @dataclass(frozen=True)
 class StoredObject:
-    """One object of the object service at one version; a watch also shows deleted ones.
+    """One object of the object service at one version; a watch also returns deleted objects.
 
     Parameters
     ==========
 
-    status : what was written beside the value, by whom the object is for; None if nothing was.
-    created : the service's version at the object's creation; 0 where it is not told.
+    status : the status, written separately from the value by the process that acts on the object;
+        None if there is none.
+    created : the service's version at the object's creation; 0 if it is not reported.
     """
 
     kind: str
@@ -27,7 +28,7 @@
 
 
 class PageSource(StrEnum):
-    """How a page came here."""
+    """How a page was obtained."""
 
     LIST = "list"
     WATCH = "watch"
@@ -36,15 +37,15 @@
 
 @dataclass(frozen=True)
 class ObjectPage:
-    """Objects that a list or a watch answered, and the service's version then.
+    """Objects returned by a list or a watch, and the service's version at that time.
 
     Parameters
     ==========
 
-    is_whole : whether these are all objects of the kind, and not changes.
-    source : how it came here.
-    confirmed_ms : a moment of this process's clock; whoever has taken the page knows all that was written
-        before. None if no such moment is known.
+    is_whole : whether the page contains all objects of the kind, as opposed to changes.
+    source : how the page was obtained.
+    confirmed_ms : a time of this process's clock; a view that has applied the page includes all
+        writes before that time. None if no such time can be stated.
     """
 
     items: tuple[StoredObject, ...]
@@ -56,21 +57,21 @@
 
 @dataclass(frozen=True)
 class Written:
-    """A write took effect."""
+    """The write took effect."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class Conflict:
-    """A write's condition did not hold; `version` is the object's current one, 0 if absent."""
+    """The write's condition was not met; `version` is the object's current one, 0 if absent."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class Unknown:
-    """A write was sent and its answer did not come: it may have taken effect, or still may."""
+    """The write was sent and no answer was received; it may have taken effect or may still do so."""
 
     detail: str
 
@@ -79,33 +80,33 @@
 
 
 class ConditionalStore(Protocol):
-    """An object service whose writes have a condition; `PlatformClient` says what they promise.
+    """An object service with conditional writes; `PlatformClient` describes their guarantees.
 
-    Each call may raise `PlatformError` when the service does not answer.
+    Each call may raise `PlatformError` if the service does not answer.
     """
 
     def read(self, kind: str, name: str) -> StoredObject | None:
-        """Return an object, or None where there is none."""
+        """Return an object, or None if it does not exist."""
 
     def create(self, kind: str, name: str, value: Any) -> WriteOutcome:
-        """Write an object that must not exist yet."""
+        """Create an object that must not exist."""
 
     def update(self, kind: str, name: str, value: Any, version: int) -> WriteOutcome:
-        """Write an object whose version must be `version`."""
+        """Replace an object if its version is `version`."""
 
     def delete(self, kind: str, name: str, version: int) -> WriteOutcome:
-        """Delete an object whose version must be `version`."""
+        """Delete an object if its version is `version`."""
 
 
 class ListedStore(ConditionalStore, Protocol):
-    """An object service that also lists, at less cost, what it held some seconds ago."""
+    """An object service that also offers stale lists at a lower cost."""
 
     def list_stale(self, kind: str) -> ObjectPage:
-        """Return the objects of a kind as they were at most some seconds ago."""
+        """Return the objects of a kind, at most some seconds outdated."""
 
 
 def encode_value(value: Any) -> bytes:
-    """Return a value's JSON text; bytes are JSON text already."""
+    """Encode a value as JSON; bytes are taken to be encoded already."""
     if isinstance(value, bytes):
         return value
     return json.dumps(value, separators=(",", ":")).encode()
