--- a/hemlockswitch/connection/accounts.py
+++ b/hemlockswitch/connection/accounts.py
@@ -56,7 +56,7 @@
         RequestError : `UNAUTHORIZED`, for a missing key as for an unknown one.
         """
         found: ClientAccount | None = None
-        given = hash_key(_take_key(authorization)).encode()
+        given = hash_key(_extract_key(authorization)).encode()
         for key_hash, account in self._accounts:
             if hmac.compare_digest(key_hash, given):
                 found = account
@@ -65,7 +65,7 @@
         return found
 
 
-def _take_key(authorization: str | None) -> str:
+def _extract_key(authorization: str | None) -> str:
     """Return the key in a bearer header, or an empty string."""
     if authorization is None or not authorization.lower().startswith(SCHEME):
         return ""
--- a/hemlockswitch/connection/address_backoffs.py
+++ b/hemlockswitch/connection/address_backoffs.py
@@ -67,7 +67,7 @@
         """End the back-off of `address`."""
         self._pauses.pop(address, None)
 
-    def forget_old(self) -> None:
+    def discard_expired(self) -> None:
         """Discard addresses whose pause ended more than `DISCARD_AFTER_MS` ago."""
         now_ms = self._clock.now_ms()
         for address, pause in list(self._pauses.items()):
--- a/hemlockswitch/connection/backend_pool.py
+++ b/hemlockswitch/connection/backend_pool.py
@@ -30,8 +30,8 @@
     """A pooled connection without an exchange."""
 
     connection: socket.socket
-    since_ms: float
-    until_ms: float
+    idle_since_ms: float
+    expires_ms: float
 
 
 class PooledExchange:
@@ -75,7 +75,7 @@
             and answer.done
             and answer.keep_alive
             and not answer.ends_with_connection
-            and not self._parser.is_spoiled
+            and not self._parser.must_close
             and not self._parser.answers
         )
 
@@ -276,7 +276,7 @@
         now_ms = self._clock.now_ms()
         for address in list(self._idle):
             idle = self._idle[address]
-            while idle and idle[0].until_ms <= now_ms:
+            while idle and idle[0].expires_ms <= now_ms:
                 idle.popleft().connection.close()
             if not idle:
                 del self._idle[address]
@@ -286,7 +286,7 @@
         now_ms = self._clock.now_ms()
         while idle:
             pooled = idle.pop()
-            usable = now_ms - pooled.since_ms <= most_idle_ms and now_ms < pooled.until_ms
+            usable = now_ms - pooled.idle_since_ms <= most_idle_ms and now_ms < pooled.expires_ms
             if usable and not _is_readable(pooled.connection):
                 return pooled.connection
             pooled.connection.close()
--- a/hemlockswitch/connection/callers.py
+++ b/hemlockswitch/connection/callers.py
@@ -10,7 +10,7 @@
     TARGET_KEY,
     CallerGoneError,
 )
-from hemlockswitch.connection.intake import CallerAnswer, CallerRequest, Intake
+from hemlockswitch.connection.intake import CallerAnswer, CallerRequest, RequestReader
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock
 from hemlockswitch.core.errors import ErrorKind, HemlockError, RequestError
 from hemlockswitch.core.events import Event
@@ -71,11 +71,11 @@
     app.add_error_handler(Exception, _answer_unexpected)
     app.add_error_handler(CallerGoneError, _reraise)
     app.add_error_handler(falcon.HTTPError, _answer_http_error)
-    intake = Intake(service, clock)
+    reader = RequestReader(service, clock)
     app.add_route("/healthz", _Health(service))
-    app.add_route("/v1/chat/completions", _Completions(service, intake))
-    app.add_route("/v1/requests/{request_id}", _Requests(service, intake))
-    app.add_sink(_ServiceSink(service, intake), prefix=r"/services/(?P<service>[^/]+)")
+    app.add_route("/v1/chat/completions", _Completions(service, reader))
+    app.add_route("/v1/requests/{request_id}", _Requests(service, reader))
+    app.add_sink(_ServiceSink(service, reader), prefix=r"/services/(?P<service>[^/]+)")
     return app
 
 
@@ -101,22 +101,22 @@
 
 
 class _Completions:
-    def __init__(self, service: CallerService, intake: Intake) -> None:
+    def __init__(self, service: CallerService, reader: RequestReader) -> None:
         self._service = service
-        self._intake = intake
+        self._reader = reader
 
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
-        request = self._intake.read(req)
+        request = self._reader.read(req)
         _send(resp, self._service.complete(request), request)
 
 
 class _Requests:
-    def __init__(self, service: CallerService, intake: Intake) -> None:
+    def __init__(self, service: CallerService, reader: RequestReader) -> None:
         self._service = service
-        self._intake = intake
+        self._reader = reader
 
     def on_get(self, req: falcon.Request, resp: falcon.Response, request_id: str) -> None:
-        request = self._intake.read(req)
+        request = self._reader.read(req)
         _send(resp, self._service.resume(request, request_id), request)
         resp.set_header("X-Request-Id", request_id)
 
@@ -124,13 +124,13 @@
 class _ServiceSink:
     """Accepts every method and forwards the path undecoded, as the caller sent it."""
 
-    def __init__(self, service: CallerService, intake: Intake) -> None:
+    def __init__(self, service: CallerService, reader: RequestReader) -> None:
         self._service = service
-        self._intake = intake
+        self._reader = reader
 
     def __call__(self, req: falcon.Request, resp: falcon.Response, **parts: str) -> None:
         service = parts["service"]
-        request = self._intake.read(req)
+        request = self._reader.read(req)
         target = req.env.get(TARGET_KEY, req.path).partition("?")[0]
         path = target.removeprefix(f"{SERVICES_PREFIX}{service}") or "/"
         _send(resp, self._service.call_service(request, service, path), request)
--- a/hemlockswitch/connection/forward_server.py
+++ b/hemlockswitch/connection/forward_server.py
@@ -176,10 +176,10 @@
             return False
         finally:
             self._server.active -= 1
-            self._unwatch()
-        return reply.ended and not reply.closes and not self._closes_now()
+            self._stop_watching()
+        return reply.ended and not reply.closes and not self._should_close()
 
-    def _closes_now(self) -> bool:
+    def _should_close(self) -> bool:
         """Return whether to close after an answer that did not announce the close.
 
         The head of the answer was sent before the process began to stop; a further request on the
@@ -205,7 +205,7 @@
                     phase = self._find_phase()
                     timer.close()
                     timer = _start_timer(phase, bounds)
-                self._invite_body()
+                self._send_continue()
         except gevent.Timeout as expired:
             if expired is not timer:
                 raise
@@ -223,7 +223,7 @@
             return ReadPhase.BODY
         return ReadPhase.IDLE if self._parser.is_idle else ReadPhase.HEAD
 
-    def _invite_body(self) -> None:
+    def _send_continue(self) -> None:
         """Answer ``Expect: 100-continue`` once the head is complete."""
         if self._parser.wants_continue and self._parser.in_body:
             self._parser.wants_continue = False
@@ -245,7 +245,7 @@
         self._watcher = loop.io(self._connection.fileno(), READ_EVENT)
         self._watcher.start(self._read_early)
 
-    def _unwatch(self) -> None:
+    def _stop_watching(self) -> None:
         if self._watcher is not None:
             self._watcher.stop()
             self._watcher.close()
--- a/hemlockswitch/connection/frames.py
+++ b/hemlockswitch/connection/frames.py
@@ -16,7 +16,7 @@
     """The purpose of a frame."""
 
     ONE_WAY = 0
-    ASK = 1
+    REQUEST = 1
     REPLY = 2
 
 
@@ -51,7 +51,7 @@
     ========
 
     >>> decoder = FrameDecoder()
-    >>> wire = Frame(FrameKind.ASK, 7, b"abc").encode()
+    >>> wire = Frame(FrameKind.REQUEST, 7, b"abc").encode()
     >>> [frame.number for frame in decoder.feed(wire[:5])]
     []
     >>> [frame.number for frame in decoder.feed(wire[5:])]
--- a/hemlockswitch/connection/intake.py
+++ b/hemlockswitch/connection/intake.py
@@ -67,7 +67,7 @@
     content_type: str = "application/json"
 
 
-class Gate(Protocol):
+class RequestGate(Protocol):
     """The checks that are made before a body is read."""
 
     def check_ready(self) -> None:
@@ -80,7 +80,7 @@
         """Return the maximum size of a request body."""
 
 
-class Intake:
+class RequestReader:
     """Converts falcon's requests to `CallerRequest` objects.
 
     Explanation
@@ -97,7 +97,7 @@
     max_bytes : limit of the total size of the bodies being read.
     """
 
-    def __init__(self, gate: Gate, clock: Clock, max_bytes: int = MAX_READING_BYTES) -> None:
+    def __init__(self, gate: RequestGate, clock: Clock, max_bytes: int = MAX_READING_BYTES) -> None:
         self._gate = gate
         self._clock = clock
         self._max_bytes = max_bytes
--- a/hemlockswitch/connection/message_parsers.py
+++ b/hemlockswitch/connection/message_parsers.py
@@ -176,13 +176,13 @@
 
     A faulty backend server may send a second answer, or bytes that are not HTTP. `answers` contains
     all parsed answers, oldest first, so that the exchange can drop an answer to another request and
-    continue with the next one. Invalid bytes after a complete answer set `is_spoiled`: the
+    continue with the next one. Invalid bytes after a complete answer set `must_close`: the
     connection must not be reused, but the complete answer is valid.
     """
 
     def __init__(self, method: str) -> None:
         self.answers: deque[ParsedAnswer] = deque()
-        self.is_spoiled = False
+        self.must_close = False
         self._without_body = method == "HEAD"
         self._current = ParsedAnswer()
         self._parser = httptools.HttpResponseParser(self)
@@ -198,7 +198,7 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.is_spoiled = True
+            self.must_close = True
             if not self._has_complete_answer():
                 raise ValueError(f"not an HTTP answer: {error}") from error
 
@@ -237,7 +237,7 @@
         bodiless = current.status in (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
         if self._without_body or bodiless:
             current.done = True
-            self.is_spoiled = self._without_body
+            self.must_close = self._without_body
 
     def on_body(self, piece: bytes) -> None:
         """Append a piece of the body."""
--- a/hemlockswitch/connection/orders.py
+++ b/hemlockswitch/connection/orders.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True)
-class OrderDone:
+class OrderAccepted:
     """The engine accepted the order."""
 
 
@@ -165,7 +165,7 @@
 
     def send_order(
         self, address: str, fencing: int, wanted: WantedState, permit: Callable[[], object]
-    ) -> OrderDone | OrderStale:
+    ) -> OrderAccepted | OrderStale:
         """Order the engine at `address` to enter the state `wanted`.
 
         Parameters
@@ -184,7 +184,7 @@
         body = _PermittedBody(content, _convert_refusal(permit))
         status, answer = self._call(address, "POST", "/v1/orders", body)
         if status == HTTPStatus.OK:
-            return OrderDone()
+            return OrderAccepted()
         if status == HTTPStatus.CONFLICT:
             return OrderStale(_read_highest(answer))
         raise BackendError(
--- a/hemlockswitch/connection/peers.py
+++ b/hemlockswitch/connection/peers.py
@@ -188,7 +188,7 @@
         self._pending[number] = pending
         sent_ms = self._clock.now_ms()
         try:
-            link.put(Frame(FrameKind.ASK, number, encode_message(message)))
+            link.put(Frame(FrameKind.REQUEST, number, encode_message(message)))
             reply = pending.result.get(timeout=timeout_ms / MS_PER_SECOND)
         except gevent.Timeout as error:
             # A stream on which nothing was received may be broken; the next use opens a new one.
@@ -309,7 +309,7 @@
             self._reply(link, frame, reply)
 
     def _reply(self, link: Link, frame: Frame, reply: Any) -> None:
-        if frame.kind is not FrameKind.ASK or link.closed:
+        if frame.kind is not FrameKind.REQUEST or link.closed:
             return
         try:
             link.put(Frame(FrameKind.REPLY, frame.number, encode_message(reply)))
@@ -324,7 +324,7 @@
             for link in list(self._all_links):
                 if link not in busy and link.is_idle(now_ms):
                     link.close()
-            self._backoffs.forget_old()
+            self._backoffs.discard_expired()
 
 
 def _refuse(_: str, message: Any) -> Refusal:
--- a/hemlockswitch/connection/platform.py
+++ b/hemlockswitch/connection/platform.py
@@ -113,7 +113,7 @@
     def list(self, kind: str, prefix: str = "") -> ObjectPage:
         """Return the objects of a kind whose names start with `prefix`."""
         answer = self._read(f"/objects/{quote(kind)}?{urlencode({'prefix': prefix})}")
-        return _parse(PageBody, _require(answer)).to_page()
+        return _parse(PageBody, _require_found(answer)).to_page()
 
     def list_stale(self, kind: str) -> ObjectPage:
         """Return the objects of a kind; this service offers no cheaper stale read."""
@@ -123,7 +123,7 @@
         """Return the changes after version `since`, waiting up to `wait_ms` for the first."""
         query = urlencode({"since": since, "wait_ms": wait_ms, "prefix": prefix})
         answer = self._read(f"/watch/{quote(kind)}?{query}", wait_ms)
-        return _parse(PageBody, _require(answer)).to_page()
+        return _parse(PageBody, _require_found(answer)).to_page()
 
     def create(self, kind: str, name: str, value: Any) -> WriteOutcome:
         """Create an object that must not exist; `value` is JSON-serializable or encoded JSON."""
@@ -172,16 +172,16 @@
         return answer.status != HTTPStatus.NOT_FOUND
 
     def _read(self, path: str, wait_ms: float = 0) -> Answer | None:
-        answer = self._call_safely(self._object_backoff, "GET", path, b"", wait_ms)
+        answer = self._call_idempotent(self._object_backoff, "GET", path, b"", wait_ms)
         return None if answer.status == HTTPStatus.NOT_FOUND else answer
 
     def _read_cloud(self, path: str, wait_ms: float = 0) -> Answer:
-        return self._call_safely(self._cloud_backoff, "GET", path, b"", wait_ms)
+        return self._call_idempotent(self._cloud_backoff, "GET", path, b"", wait_ms)
 
     def _call_cloud(self, method: str, path: str, body: bytes) -> Answer:
-        return self._call_safely(self._cloud_backoff, method, path, body)
+        return self._call_idempotent(self._cloud_backoff, method, path, body)
 
-    def _call_safely(
+    def _call_idempotent(
         self, backoff: Backoff, method: str, path: str, body: bytes, wait_ms: float = 0
     ) -> Answer:
         """Make an idempotent call; a lost answer is raised as an ordinary failure."""
@@ -247,7 +247,7 @@
         return Unknown("invalid answer of the object service to a write")
 
 
-def _require(answer: Answer | None) -> Answer:
+def _require_found(answer: Answer | None) -> Answer:
     if answer is None:
         raise PlatformError(
             ErrorKind.PLATFORM_UNAVAILABLE, "the object service answered with status 404"
--- a/hemlockswitch/connection/platform_calls.py
+++ b/hemlockswitch/connection/platform_calls.py
@@ -88,25 +88,25 @@
         """
         if backoff.get_pause_ms() > 0:
             raise make_unavailable("calls are paused after a failure of the platform", backoff)
-        began_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         try:
             answer = self._exchange(method, path, body, headers, wait_ms)
         except NotSentError as error:
-            backoff.record_failure(began_ms)
+            backoff.record_failure(started_ms)
             raise make_unavailable(f"cannot connect to the platform: {error}", backoff) from error
         except AnswerLostError:
-            backoff.record_failure(began_ms)
+            backoff.record_failure(started_ms)
             raise
-        return self._record_outcome(answer, backoff, began_ms)
+        return self._record_outcome(answer, backoff, started_ms)
 
-    def _record_outcome(self, answer: Answer, backoff: Backoff, began_ms: float) -> Answer:
+    def _record_outcome(self, answer: Answer, backoff: Backoff, started_ms: float) -> Answer:
         if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
-            backoff.record_failure(began_ms)
+            backoff.record_failure(started_ms)
             raise make_unavailable("the platform's rate limit is exceeded", backoff)
         if answer.status == HTTPStatus.REQUEST_ENTITY_TOO_LARGE:
             raise PlatformError(ErrorKind.BODY_TOO_LARGE, "the value is too large for the platform")
         if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR and not self._is_refusal(answer):
-            backoff.record_failure(began_ms)
+            backoff.record_failure(started_ms)
         else:
             backoff.record_success()
         return answer
--- a/tests/test_message_parsers.py
+++ b/tests/test_message_parsers.py
@@ -96,9 +96,9 @@
     assert [answer.take_body() for answer in parser.answers] == [b"a", b"b"]
 
 
-def test_garbage_after_a_complete_answer_spoils_only_the_connection():
+def test_garbage_after_a_complete_answer_only_prevents_reuse_of_the_connection():
     parser = feed_answer(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na#garbage")
-    assert parser.is_spoiled
+    assert parser.must_close
     assert parser.answers[0].done
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,8 +7,8 @@
 
 from hemlockswitch.connection.orders import (
     EngineState,
+    OrderAccepted,
     OrderClient,
-    OrderDone,
     OrderNotPermittedError,
     OrderStale,
     WantedState,
@@ -46,7 +46,7 @@
 
 def test_order_contains_the_complete_state(engine):
     answer = OrderClient().send_order(engine.address, 7, DRAINED, lambda: None)
-    assert answer == OrderDone()
+    assert answer == OrderAccepted()
     wanted = {"models": ["assistant-llm"], "role": "mixed", "state": "drained"}
     assert engine.orders == [{"fencing": 7, "wanted": wanted}]
 
