--- a/hemlockswitch/connection/callers.py
+++ b/hemlockswitch/connection/callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: bounded reading, one table of errors, answers with their ids."""
+"""The HTTP interface for callers: routes, error answers and request identifiers."""
 
 import math
 import traceback
@@ -10,7 +10,7 @@
     TARGET_KEY,
     CallerGoneError,
 )
-from hemlockswitch.connection.intake import CallerAnswer, CallerRequest, Intake
+from hemlockswitch.connection.intake import CallerAnswer, CallerRequest, RequestReader
 from hemlockswitch.core.clock import MS_PER_SECOND, Clock
 from hemlockswitch.core.errors import ErrorKind, HemlockError, RequestError
 from hemlockswitch.core.events import Event
@@ -22,29 +22,29 @@
 
 
 class CallerService(Protocol):
-    """What serves the callers' requests."""
+    """The service behind the HTTP interface."""
 
     def check_ready(self) -> None:
-        """Raise a `RequestError` when no new work is taken."""
+        """Raise a `RequestError` if no new requests are accepted."""
 
     def check_caller(self, authorization: str | None) -> None:
-        """Raise a `RequestError` unless the header names an account."""
+        """Raise a `RequestError` unless the header has a client account's key."""
 
     def limit_body_bytes(self) -> int:
-        """Return the largest body that may be read."""
+        """Return the maximum size of a request body."""
 
     def complete(self, request: CallerRequest) -> CallerAnswer:
         """Serve a model request."""
 
     def call_service(self, request: CallerRequest, service: str, path: str) -> CallerAnswer:
-        """Serve a call of a plain service."""
+        """Serve a call of a service that is not a model."""
 
     def resume(self, request: CallerRequest, resumed_id: str) -> CallerAnswer:
-        """Serve the rest of an earlier request."""
+        """Serve the remaining answer of an earlier request."""
 
 
 def describe_error(error: HemlockError, request_id: str) -> dict[str, Any]:
-    """Return the body of an error's answer.
+    """Return the JSON body of the answer for an error.
 
     Examples
     ========
@@ -69,13 +69,13 @@
     app: falcon.App = falcon.App()
     app.add_error_handler(HemlockError, _answer_error)
     app.add_error_handler(Exception, _answer_unexpected)
-    app.add_error_handler(CallerGoneError, _let_go)
+    app.add_error_handler(CallerGoneError, _reraise)
     app.add_error_handler(falcon.HTTPError, _answer_http_error)
-    intake = Intake(service, clock)
+    reader = RequestReader(service, clock)
     app.add_route("/healthz", _Health(service))
-    app.add_route("/v1/chat/completions", _Completions(service, intake))
-    app.add_route("/v1/requests/{request_id}", _Requests(service, intake))
-    app.add_sink(_ServiceSink(service, intake), prefix=r"/services/(?P<service>[^/]+)")
+    app.add_route("/v1/chat/completions", _Completions(service, reader))
+    app.add_route("/v1/requests/{request_id}", _Requests(service, reader))
+    app.add_sink(_ServiceSink(service, reader), prefix=r"/services/(?P<service>[^/]+)")
     return app
 
 
@@ -101,36 +101,36 @@
 
 
 class _Completions:
-    def __init__(self, service: CallerService, intake: Intake) -> None:
+    def __init__(self, service: CallerService, reader: RequestReader) -> None:
         self._service = service
-        self._intake = intake
+        self._reader = reader
 
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
-        request = self._intake.read(req)
+        request = self._reader.read(req)
         _send(resp, self._service.complete(request), request)
 
 
 class _Requests:
-    def __init__(self, service: CallerService, intake: Intake) -> None:
+    def __init__(self, service: CallerService, reader: RequestReader) -> None:
         self._service = service
-        self._intake = intake
+        self._reader = reader
 
     def on_get(self, req: falcon.Request, resp: falcon.Response, request_id: str) -> None:
-        request = self._intake.read(req)
+        request = self._reader.read(req)
         _send(resp, self._service.resume(request, request_id), request)
         resp.set_header("X-Request-Id", request_id)
 
 
 class _ServiceSink:
-    """Takes every method; the path goes on as the caller sent it, undecoded."""
+    """Accepts every method and forwards the path undecoded, as the caller sent it."""
 
-    def __init__(self, service: CallerService, intake: Intake) -> None:
+    def __init__(self, service: CallerService, reader: RequestReader) -> None:
         self._service = service
-        self._intake = intake
+        self._reader = reader
 
     def __call__(self, req: falcon.Request, resp: falcon.Response, **parts: str) -> None:
         service = parts["service"]
-        request = self._intake.read(req)
+        request = self._reader.read(req)
         target = req.env.get(TARGET_KEY, req.path).partition("?")[0]
         path = target.removeprefix(f"{SERVICES_PREFIX}{service}") or "/"
         _send(resp, self._service.call_service(request, service, path), request)
@@ -155,7 +155,7 @@
 def _answer_unexpected(
     req: falcon.Request, resp: falcon.Response, error: Exception, params: dict[str, Any]
 ) -> None:
-    """Answer a fault of this program; the details go to the log alone."""
+    """Answer an internal error; its details are only logged."""
     place = traceback.extract_tb(error.__traceback__)[-1]
     log_event(
         Event.TASK_FAILED,
@@ -164,21 +164,21 @@
         error=type(error).__name__,
         place=f"{place.filename}:{place.lineno}",
     )
-    fault = RequestError(ErrorKind.INTERNAL, "a fault inside the daemon")
+    fault = RequestError(ErrorKind.INTERNAL, "internal error of the daemon")
     _answer_error(req, resp, fault, params)
 
 
-def _let_go(
+def _reraise(
     req: falcon.Request, resp: falcon.Response, error: CallerGoneError, params: dict[str, Any]
 ) -> None:
-    """Leave it to the server to close; there is nobody to answer."""
+    """Let the server close the connection, since the caller has closed its end."""
     raise error
 
 
 def _answer_http_error(
     req: falcon.Request, resp: falcon.Response, error: falcon.HTTPError, params: dict[str, Any]
 ) -> None:
-    """Answer falcon's own refusals in the project's form; nothing was run."""
+    """Convert an error of falcon to the error format of this interface; nothing was run."""
     refusal = RequestError(ErrorKind.BAD_REQUEST, error.title or "refused")
     _answer_error(req, resp, refusal, params)
     resp.status = error.status
