--- a/hemlockswitch/core/__init__.py
+++ b/hemlockswitch/core/__init__.py
@@ -1,4 +1,4 @@
-"""What every layer shares: the clock, the errors, the numbered events and the identifiers."""
+"""Definitions shared by all layers: clock, errors, numbered log events and identifiers."""
 
 from hemlockswitch.core.clock import Clock, ManualClock, SystemClock
 from hemlockswitch.core.errors import ErrorKind, HemlockError, Ran
--- a/hemlockswitch/core/addresses.py
+++ b/hemlockswitch/core/addresses.py
@@ -21,7 +21,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Return whether a text is the address of a process that can be connected to.
+    """Return whether `text` is an ``ip:port`` address that can be connected to.
 
     Examples
     ========
--- a/hemlockswitch/core/clock.py
+++ b/hemlockswitch/core/clock.py
@@ -1,4 +1,4 @@
-"""The project's one clock type. All times and durations are milliseconds."""
+"""The clock interface and its implementations. All times and durations are in milliseconds."""
 
 import time
 from typing import Protocol
@@ -16,22 +16,22 @@
     Explanation
     ===========
 
-    Durations and deadlines inside a process use `now_ms`, which never goes back. `wall_ms` is
-    for what leaves the process (records, notices) and may step.
+    Durations and deadlines inside a process use `now_ms`, which never decreases. Data that leaves
+    the process (records, notices) uses `wall_ms`, which may jump when the system time is set.
     """
 
     def now_ms(self) -> float:
-        """Return monotonic milliseconds; only differences have a meaning."""
+        """Return monotonic milliseconds; only differences between readings are meaningful."""
 
     def wall_ms(self) -> int:
         """Return milliseconds since the Unix epoch."""
 
     def sleep_ms(self, duration_ms: float) -> None:
-        """Let other tasks run for `duration_ms` milliseconds."""
+        """Suspend the current task for `duration_ms` milliseconds; other tasks run meanwhile."""
 
 
 class SystemClock:
-    """The clock of the machine.
+    """The operating system's clock.
 
     Examples
     ========
@@ -55,7 +55,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to, for tests.
+    """A clock for tests that moves only when it is advanced.
 
     Examples
     ========
@@ -74,13 +74,13 @@
         self._now_ms += duration_ms
 
     def now_ms(self) -> float:
-        """Return the time set so far in milliseconds."""
+        """Return the current reading in milliseconds."""
         return self._now_ms
 
     def wall_ms(self) -> int:
-        """Return the same reading as `now_ms`, as a whole number."""
+        """Return the reading of `now_ms` as an integer."""
         return int(self._now_ms)
 
     def sleep_ms(self, duration_ms: float) -> None:
-        """Advance instead of waiting."""
+        """Advance the clock without waiting."""
         self.advance(duration_ms)
--- a/hemlockswitch/core/errors.py
+++ b/hemlockswitch/core/errors.py
@@ -1,4 +1,4 @@
-"""The exception tree, the closed list of error kinds, and the table from kind to answer."""
+"""The exception hierarchy, the closed list of error kinds, and the answer for each kind."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -13,7 +13,7 @@
 
 
 class ErrorKind(StrEnum):
-    """Every kind of error that an answer or a program can carry. The list is closed."""
+    """The closed list of error kinds that answers and exceptions carry."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHORIZED = "unauthorized"
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """What a caller is told for an error kind.
+    """The answer that a caller receives for an error kind.
 
     Parameters
     ==========
 
     status : HTTP status.
-    ran : whether the request ran.
-    retry_after_ms : default time after which to come back; 0 when coming back does not help.
+    ran : whether the backend server ran the request.
+    retry_after_ms : default retry delay; 0 when a retry does not help.
     """
 
     status: int
@@ -101,15 +101,16 @@
 
 
 class HemlockError(Exception):
-    """Root of the project's exceptions; each carries a kind of the closed list.
+    """Base class of the project's exceptions; each carries an `ErrorKind`.
 
     Parameters
     ==========
 
     kind : the error kind; its row in `ANSWERS` gives the answer.
-    detail : one sentence for the reader of the answer; never holds a secret.
-    ran : overrides the table where the place of the error knows better.
-    retry_after_ms : overrides the table's time to come back.
+    detail : one sentence for the caller; never contains a secret.
+    ran : overrides the value of `ANSWERS` where the code that raises the error has better
+        information.
+    retry_after_ms : overrides the retry delay of `ANSWERS`.
 
     Examples
     ========
@@ -139,10 +140,10 @@
 
 
 class RequestError(HemlockError):
-    """An error that answers one caller's request."""
+    """An error that is returned as the answer to one caller's request."""
 
     def restate(self, ran: Ran) -> "RequestError":
-        """Return the same error with what is known elsewhere of whether the request ran.
+        """Return a copy of this error with `ran` replaced.
 
         Examples
         ========
@@ -155,22 +156,25 @@
 
 
 class ConfigurationError(HemlockError):
-    """An operator file or a settings file that cannot be used."""
+    """An operator file or a settings file is invalid."""
 
 
 class PlatformError(HemlockError):
-    """The platform's service refused, failed or did not answer."""
+    """The platform's object service refused a call, failed or did not answer."""
 
 
 class HistoryGoneError(PlatformError):
-    """A watch asked for changes that the platform no longer keeps; the objects are to be listed."""
+    """A watch requested changes that the platform no longer stores.
+
+    The client must list the objects again.
+    """
 
     def __init__(self, since: int) -> None:
         super().__init__(ErrorKind.PLATFORM_UNAVAILABLE, f"no history since version {since}")
 
 
 class BackendError(HemlockError):
-    """A backend server refused, failed or did not answer."""
+    """A backend server refused a call, failed or did not answer."""
 
 
 class PeerError(HemlockError):
--- a/hemlockswitch/core/events.py
+++ b/hemlockswitch/core/events.py
@@ -1,8 +1,8 @@
-"""The numbered log events. docs/reference/events.md is the catalogue; a test compares them.
+"""The numbered log events. docs/reference/events.md describes each; a test compares the two.
 
-Each area owns a hundred: 1xx process, 2xx requests, 3xx routing and backend servers,
-4xx claims, 5xx membership and news, 6xx configuration, 7xx limits and handover, 8xx control,
-9xx stand-ins and load.
+Each area has a range of one hundred numbers: 1xx process, 2xx requests, 3xx routing and backend
+servers, 4xx claims, 5xx membership and gossip, 6xx configuration, 7xx limits and handover,
+8xx control, 9xx stand-ins and load.
 """
 
 from enum import Enum
--- a/hemlockswitch/core/identifiers.py
+++ b/hemlockswitch/core/identifiers.py
@@ -1,4 +1,4 @@
-"""Identifiers that the system makes, and the stable hash used wherever nodes must agree."""
+"""Random identifiers, and the stable hash for decisions on which all processes must agree."""
 
 import secrets
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 def hash_stable(text: str) -> int:
-    """Return a 64-bit hash that is the same in every process and version.
+    """Return a 64-bit hash that is identical in every process and release.
 
     Examples
     ========
@@ -26,13 +26,13 @@
 
 
 def rank_rendezvous(key: str, names: Iterable[str]) -> list[str]:
-    """Order `names` by highest random weight for `key`, best first.
+    """Order `names` by rendezvous hashing (highest random weight) for `key`, best first.
 
     Explanation
     ===========
 
-    Every process that knows the same names gets the same order, and a name that comes or goes
-    changes the order of no two others.
+    Processes with the same set of names compute the same order. Adding or removing a name does not
+    change the relative order of the remaining names.
 
     Examples
     ========
--- a/hemlockswitch/core/log_lines.py
+++ b/hemlockswitch/core/log_lines.py
@@ -1,7 +1,8 @@
-"""Log lines without a logging library: for a process whose start callers wait for.
+"""Log lines without a logging library, for processes that must start fast.
 
-The lines are those that `configure_logs` makes, with the same fields. Loading structlog takes about
-as long as loading all of the gateway's own modules; docs/explanation/start.md has the figures.
+The lines have the format and fields of those that `configure_logs` sets up. Importing structlog
+takes about as long as importing all of the gateway's own modules; docs/explanation/start.md has
+the figures.
 """
 
 from collections.abc import Mapping
@@ -15,20 +16,20 @@
 
 
 class TextOutput(Protocol):
-    """Where lines go."""
+    """Destination of log lines."""
 
     def write(self, text: str) -> int:
-        """Write a text."""
+        """Write `text`."""
 
 
 class LineWriter:
-    """Writes each event as one line of JSON; a `LogWriter`.
+    """A `LogWriter` that writes each event as one line of JSON.
 
     Parameters
     ==========
 
     process_name : the ``process`` field of each line.
-    level : the least level that is written: ``debug``, ``info`` or ``warning``.
+    level : the lowest level that is written: ``debug``, ``info`` or ``warning``.
     output : a text file; a `BoundedOutput` where logging must never block.
 
     Examples
@@ -48,7 +49,7 @@
         self._process_name = process_name
         self._least = LEVELS[level]
         self._output = output
-        # A value that is not JSON-ready must not cost the line.
+        # Values that JSON cannot represent are written as their `repr`, so the line is not lost.
         self._encoder = msgspec.json.Encoder(enc_hook=repr)
 
     def __call__(self, event: Event, level: str, fields: Mapping[str, object]) -> None:
--- a/hemlockswitch/core/log_output.py
+++ b/hemlockswitch/core/log_output.py
@@ -1,22 +1,22 @@
-"""Where log lines go: a file descriptor that is never waited on, with a bounded queue."""
+"""Non-blocking output of log lines through a bounded queue."""
 
 import os
 from collections import deque
 
 MOST_QUEUED_LINES = 2_000
-"""Lines kept while nobody reads: a few seconds of a busy daemon, under a megabyte."""
+"""Queue bound while the reader is slow: a few seconds of a busy daemon, under a megabyte."""
 
 
 class BoundedOutput:
-    """A text file whose `write` never blocks; the oldest lines are dropped when nobody reads.
+    """A text file whose `write` never blocks; when the queue is full, the oldest lines are dropped.
 
     Parameters
     ==========
 
-    descriptor : a file descriptor; it is made non-blocking.
-    most_lines : bound of the queue.
+    descriptor : a file descriptor; it is set to non-blocking mode.
+    most_lines : maximum number of queued lines.
 
-    `dropped` counts the lines that were lost.
+    `dropped` counts the lines that were dropped.
     """
 
     def __init__(self, descriptor: int, most_lines: int = MOST_QUEUED_LINES) -> None:
@@ -27,17 +27,17 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Queue `text` and write what the reader takes."""
+        """Queue `text` and write as much as the descriptor accepts."""
         self._queue.append(text.encode())
         self.flush()
         while len(self._queue) > self._most_lines:
-            # The first entry may be half written; dropping it would join two lines.
+            # The first entry may be partly written; dropping it would join two lines.
             del self._queue[1]
             self.dropped += 1
         return len(text)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much of the queue as the descriptor accepts without blocking."""
         while self._queue:
             data = self._queue[0]
             try:
@@ -45,7 +45,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                self._queue.clear()  # The reader is gone for good; there is nobody to tell.
+                self._queue.clear()  # The reader has closed the pipe; the error cannot be reported.
                 return
             if written < len(data):
                 self._queue[0] = data[written:]
--- a/hemlockswitch/core/logs.py
+++ b/hemlockswitch/core/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, each with an event number."""
+"""Structured logging: one JSON object per line, each with an event number."""
 
 import logging
 import sys
@@ -15,7 +15,7 @@
 }
 
 LogWriter = Callable[[Event, str, Mapping[str, object]], None]
-"""Writes one event with its level and its fields."""
+"""A function that writes one event with its level and its fields."""
 
 
 def configure_logs(process_name: str, level: str = "info", output: Any = None) -> None:
@@ -44,12 +44,13 @@
 
 
 def set_log_writer(writer: LogWriter) -> None:
-    """Hand all events to `writer` from now on."""
+    """Send all subsequent events to `writer`."""
     _process.write = writer
 
 
 def _write_by_structlog(event: Event, level: str, fields: Mapping[str, object]) -> None:
-    # Loading it takes longer than all else that a gateway needs before its first request.
+    # Imported here because the import takes longer than everything else that a gateway does before
+    # its first request.
     import structlog
 
     logger = structlog.get_logger()
@@ -57,7 +58,7 @@
 
 
 class _Process:
-    """How this process logs, and under which name."""
+    """The log writer and the name of this process."""
 
     name = ""
     write: LogWriter = staticmethod(_write_by_structlog)
@@ -72,8 +73,8 @@
     Parameters
     ==========
 
-    event : a member of the catalogue.
+    event : the event; gives the line its number and its label.
     level : ``debug``, ``info``, ``warning`` or ``error``.
-    fields : JSON-ready values; never a secret.
+    fields : values that JSON can represent; never a secret.
     """
     _process.write(event, level, fields)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""The error table is complete."""
+"""Every error kind has an answer; a kind without one would raise `KeyError` when it is raised."""
 
 from hemlockswitch.core.errors import ANSWERS, ErrorKind
 
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,11 +1,11 @@
-"""Log lines never wait for their reader, and take a bounded amount of memory."""
+"""Logging must not block a daemon or fill its memory when the log reader is slow or has exited."""
 
 import os
 
 from hemlockswitch.core.log_output import BoundedOutput
 
 
-def test_a_reader_that_does_not_read_costs_no_waiting_and_bounded_memory():
+def test_stalled_reader_neither_blocks_nor_grows_the_queue():
     reading, writing = os.pipe()
     output = BoundedOutput(writing, most_lines=50)
     for number in range(20_000):
@@ -16,7 +16,7 @@
     os.close(writing)
 
 
-def test_a_reader_that_comes_late_gets_whole_lines():
+def test_late_reader_receives_complete_lines():
     reading, writing = os.pipe()
     output = BoundedOutput(writing, most_lines=50)
     for number in range(20_000):
@@ -33,7 +33,7 @@
     os.close(writing)
 
 
-def test_a_reader_that_is_gone_is_no_error():
+def test_closed_reader_raises_no_error():
     reading, writing = os.pipe()
     output = BoundedOutput(writing)
     os.close(reading)
