--- a/hemlockswitch/core/addresses.py
+++ b/hemlockswitch/core/addresses.py
@@ -3,8 +3,8 @@
 import re
 
 ADDRESS_PATTERN = r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$"
-_HIGHEST_BYTE = 255
-_HIGHEST_PORT = 65_535
+_MAX_BYTE = 255
+_MAX_PORT = 65_535
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -32,4 +32,4 @@
     if re.fullmatch(ADDRESS_PATTERN, text, re.ASCII) is None:
         return False
     host, port = split_address(text)
-    return all(int(byte) <= _HIGHEST_BYTE for byte in host.split(".")) and 0 < port <= _HIGHEST_PORT
+    return all(int(byte) <= _MAX_BYTE for byte in host.split(".")) and 0 < port <= _MAX_PORT
--- a/hemlockswitch/core/log_lines.py
+++ b/hemlockswitch/core/log_lines.py
@@ -47,14 +47,14 @@
 
     def __init__(self, process_name: str, level: str, output: TextOutput) -> None:
         self._process_name = process_name
-        self._least = LEVELS[level]
+        self._min_level = LEVELS[level]
         self._output = output
         # Values that JSON cannot represent are written as their `repr`, so the line is not lost.
         self._encoder = msgspec.json.Encoder(enc_hook=repr)
 
     def __call__(self, event: Event, level: str, fields: Mapping[str, object]) -> None:
         """Write one event."""
-        if LEVELS[level] < self._least:
+        if LEVELS[level] < self._min_level:
             return
         line = {
             "number": event.number,
--- a/hemlockswitch/core/log_output.py
+++ b/hemlockswitch/core/log_output.py
@@ -3,7 +3,7 @@
 import os
 from collections import deque
 
-MOST_QUEUED_LINES = 2_000
+MAX_QUEUED_LINES = 2_000
 """Queue bound while the reader is slow: a few seconds of a busy daemon, under a megabyte."""
 
 
@@ -14,15 +14,15 @@
     ==========
 
     descriptor : a file descriptor; it is set to non-blocking mode.
-    most_lines : maximum number of queued lines.
+    max_lines : maximum number of queued lines.
 
     `dropped` counts the lines that were dropped.
     """
 
-    def __init__(self, descriptor: int, most_lines: int = MOST_QUEUED_LINES) -> None:
+    def __init__(self, descriptor: int, max_lines: int = MAX_QUEUED_LINES) -> None:
         self.dropped = 0
         self._descriptor = descriptor
-        self._most_lines = most_lines
+        self._max_lines = max_lines
         self._queue: deque[bytes] = deque()
         os.set_blocking(descriptor, False)
 
@@ -30,7 +30,7 @@
         """Queue `text` and write as much as the descriptor accepts."""
         self._queue.append(text.encode())
         self.flush()
-        while len(self._queue) > self._most_lines:
+        while len(self._queue) > self._max_lines:
             # The first entry may be partly written; dropping it would join two lines.
             del self._queue[1]
             self.dropped += 1
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -7,7 +7,7 @@
 
 def test_stalled_reader_neither_blocks_nor_grows_the_queue():
     reading, writing = os.pipe()
-    output = BoundedOutput(writing, most_lines=50)
+    output = BoundedOutput(writing, max_lines=50)
     for number in range(20_000):
         output.write(f"line {number}\n")
     assert output.dropped > 10_000
@@ -18,7 +18,7 @@
 
 def test_late_reader_receives_complete_lines():
     reading, writing = os.pipe()
-    output = BoundedOutput(writing, most_lines=50)
+    output = BoundedOutput(writing, max_lines=50)
     for number in range(20_000):
         output.write(f"line {number}\n")
     received = b""
