--- a/hemlockswitch/version/__init__.py
+++ b/hemlockswitch/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one revision of the configuration: models, checks, differences."""
+"""Configuration revisions: models, validation and differences."""
--- a/hemlockswitch/version/backend.py
+++ b/hemlockswitch/version/backend.py
@@ -1,4 +1,4 @@
-"""The backend server as every layer knows it: one copy of a model engine or a plain service."""
+"""The backend server record that all layers share."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class BackendState(StrEnum):
-    """What the platform says of the VM that a backend server runs on."""
+    """State of a backend server's VM as the platform reports it."""
 
     STARTING = "starting"
     LIVE = "live"
@@ -17,23 +17,24 @@
 
 @dataclass(frozen=True)
 class BackendServer:
-    """One copy of a model engine or a plain service on a VM of its own.
+    """One copy of a model engine or a plain service; each copy has a VM to itself.
 
     Parameters
     ==========
 
-    name : its own name; a restart may keep it.
+    name : unique name; a restarted process may reuse it.
     zone : the availability zone.
     address : ``ip:port`` for requests.
     serves : name of the model or service.
     machine_class : ``reclaimable`` or ``on_demand``.
     price_per_hour : price of the VM.
-    state : the newest state heard from the platform.
-    slots : requests that it serves at once; 0 where the platform does not say.
-    started_unix_ms : when its process started; 0 where the platform does not say.
-    version : of its software; empty where the platform does not say.
-    cold_left_ms : how much longer it is slow after its start, when this was written.
-    heartbeat : number of the heartbeat that told this, within the process; 0 where it is not told.
+    state : the latest state that the platform reported.
+    slots : number of requests that it serves concurrently; 0 if the platform does not report it.
+    started_unix_ms : start time of its process; 0 if the platform does not report it.
+    version : software version; empty if the platform does not report it.
+    cold_left_ms : remaining duration of the slow phase after its start, at the time of the record.
+    heartbeat : sequence number, within the process, of the heartbeat that carried this record; 0 if
+        the record has none.
 
     Examples
     ========
@@ -58,12 +59,12 @@
 
     @property
     def incarnation(self) -> str:
-        """The name of this one process: what is known of it does not hold for its next start."""
+        """Identifier of this process; data recorded about it does not apply after a restart."""
         return f"{self.name}@{self.started_unix_ms}" if self.started_unix_ms else self.name
 
     @classmethod
     def from_record(cls, record: Mapping[str, Any]) -> "BackendServer":
-        """Return the server of a ``vm/<name>`` news value (the VM list's own fields)."""
+        """Return the server for a ``vm/<name>`` gossip value, which has the fields of the VM list."""
         return cls(
             name=record["name"],
             zone=record["zone"],
--- a/hemlockswitch/version/checks.py
+++ b/hemlockswitch/version/checks.py
@@ -1,11 +1,11 @@
-"""Checks of a whole operator file, with the path and the reason of every mistake.
+"""Validation of an operator file, with the path and the reason of every mistake.
 
 Explanation
 ===========
 
-`parse_file` is the one way from an operator's text to an `OperatorFile`. It reports all mistakes
-at once: a file with a field of the wrong type still has its references and counts checked, on
-whatever of it can be read. Paths are those of the operator's own text, such as
+`parse_file` is the only function that turns an operator's text into an `OperatorFile`. It reports
+all mistakes at once: when a field has the wrong type, references and counts are still checked on
+the readable part of the file. Paths refer to the operator's text, for example
 ``models[0].min_copies``.
 """
 
@@ -22,10 +22,10 @@
 from hemlockswitch.version.models import Model, OperatorFile, Service
 
 MAX_VALUE_BYTES = 1_048_576
-"""The largest value that the platform's service stores."""
+"""Size limit of a stored value in the platform's object service."""
 
 REVISION_FIELDS_BYTES = 1_024
-"""Room in the stored value for the fields of a revision beside its file."""
+"""Space reserved in the stored value for the fields of a revision other than its file."""
 
 ACCOUNTS = "client_accounts"
 COPIED_KINDS: dict[str, type[Model] | type[Service]] = {"models": Model, "services": Service}
@@ -33,12 +33,12 @@
 
 
 class InvalidFileError(ConfigurationError):
-    """An operator file that cannot be applied.
+    """An operator file cannot be applied.
 
     Parameters
     ==========
 
-    mistakes : every mistake that was found.
+    mistakes : all mistakes found in the file.
     """
 
     def __init__(self, mistakes: list[Mistake]) -> None:
@@ -48,13 +48,13 @@
 
     @classmethod
     def from_reason(cls, reason: str) -> "InvalidFileError":
-        """Return the error for a file that is wrong as a whole."""
+        """Return an error that concerns the file as a whole and has no path."""
         return cls([Mistake("", reason)])
 
 
 @dataclass(frozen=True)
 class CheckedFile:
-    """A file without mistakes: the tree that is stored, and its model."""
+    """A valid file: the tree that is stored, and its model."""
 
     tree: dict[str, Any]
     file: OperatorFile
@@ -69,7 +69,7 @@
 
     @property
     def label(self) -> str:
-        """The path as operators read it."""
+        """The path in the notation for operators."""
         return format_path(self.path)
 
 
@@ -79,7 +79,7 @@
     Raises
     ======
 
-    InvalidFileError : with every mistake in the file.
+    InvalidFileError : the file has mistakes; the error lists all of them.
 
     Examples
     ========
@@ -89,7 +89,7 @@
     >>> parse_file('{"zones": ["a", "a"]}')
     Traceback (most recent call last):
     ...
-    hemlockswitch.version.checks.InvalidFileError: invalid_configuration: zones[1]: stands already ...
+    hemlockswitch.version.checks.InvalidFileError: invalid_configuration: zones[1]: already used at ...
     """
     try:
         document = read_document(text)
@@ -111,18 +111,18 @@
 
 
 def list_relation_mistakes(tree: dict[str, Any]) -> list[Mistake]:
-    """Return the mistakes that no single field shows: references, doubles and counts."""
+    """Return the mistakes that concern several fields: references, duplicates and counts."""
     return [mistake for check in _CHECKS for mistake in check(tree)]
 
 
 def _complete(tree: dict[str, Any]) -> CheckedFile:
-    """Write out the defaults and sort, so that the stored tree says all that is in force."""
+    """Fill in the defaults and sort, so that the stored tree is complete without the defaults."""
     file = OperatorFile.model_validate_json(encode_canonical(tree), strict=True)
     return CheckedFile(sort_file_tree(file.model_dump(mode="json")), file)
 
 
 def _list_entries(tree: dict[str, Any], field: str, kind: type) -> list[_Entry]:
-    """Return the elements of a list that have the wanted type; fields are checked elsewhere."""
+    """Return the elements of a list that have type `kind`; the model reports those of another type."""
     values = tree.get(field)
     if not isinstance(values, list):
         return []
@@ -131,7 +131,7 @@
 
 
 def _list_fields(tree: dict[str, Any], field: str, inner: str, kind: type) -> list[_Entry]:
-    """Return one field of each object in a list."""
+    """Return the field `inner` of each object in a list, where it has type `kind`."""
     return [
         _Entry((*item.path, inner), item.value[inner])
         for item in _list_entries(tree, field, dict)
@@ -147,12 +147,12 @@
     first: dict[Any, str] = {}
     for entry in entries:
         if entry.value in first:
-            yield Mistake(entry.label, f"stands already at {first[entry.value]}")
+            yield Mistake(entry.label, f"already used at {first[entry.value]}")
         first.setdefault(entry.value, entry.label)
 
 
 def _check_doubles(tree: dict[str, Any]) -> Iterator[Mistake]:
-    """Models and services share one set of names, because backend servers name either."""
+    """Models and services share one namespace, because a backend server's record names either."""
     yield from _find_doubles(_list_entries(tree, "zones", str))
     yield from _find_doubles(_list_names(tree, ACCOUNTS))
     yield from _find_doubles(_list_fields(tree, ACCOUNTS, "key_hash", str))
@@ -185,7 +185,7 @@
 
 
 def _check_operations(tree: dict[str, Any]) -> Iterator[Mistake]:
-    """Two operations with one path would leave open whether a call may be repeated."""
+    """Operations of a service must have distinct paths, else it is ambiguous if a call may repeat."""
     for service in _list_entries(tree, "services", dict):
         operations = _list_fields(service.value, "operations", "path", str)
         placed = [_Entry((*service.path, *entry.path), entry.value) for entry in operations]
@@ -202,7 +202,7 @@
 
 
 def _check_draining(tree: dict[str, Any]) -> Iterator[Mistake]:
-    """What drains is a backend server, by its VM name, and nothing that the file itself names."""
+    """Entries of ``draining`` are VM names of backend servers, never names defined in the file."""
     named = {entry.value: entry.label for entry in _list_names(tree, *COPIED_KINDS, ACCOUNTS)}
     named |= {entry.value: entry.label for entry in _list_entries(tree, "zones", str)}
     for entry in _list_entries(tree, "draining", str):
@@ -214,7 +214,7 @@
 def _check_size(tree: dict[str, Any]) -> Iterator[Mistake]:
     size_bytes = len(json.dumps(tree, separators=(",", ":"))) + REVISION_FIELDS_BYTES
     if size_bytes > MAX_VALUE_BYTES:
-        reason = f"{size_bytes} bytes as stored; the platform takes {MAX_VALUE_BYTES}"
+        reason = f"{size_bytes} bytes as stored; the platform's limit is {MAX_VALUE_BYTES}"
         yield Mistake("", reason)
 
 
--- a/hemlockswitch/version/differences.py
+++ b/hemlockswitch/version/differences.py
@@ -1,13 +1,14 @@
-"""The difference of two configurations as typed changes by path.
+"""The difference between two configurations as typed changes by path.
 
 Explanation
 ===========
 
 Both sides are JSON trees. An element of a list that is sorted by name (accounts, models, services,
-zones, draining) is addressed by its name, so a change of one is one change, whatever its place.
-Every other list is replaced as a whole. Applying the changes gives the exact other tree; the
-digest proves it. Unchanged parts are shared between the two trees and never changed in place, so
-that applying and comparing cost what the change does and not what the file does.
+zones, draining) is addressed by its name, so changing one element is one change, whatever its
+index. Every other list is replaced completely. Applying the changes gives exactly the other tree,
+which its digest verifies. Unchanged subtrees are shared between the two trees and never modified
+in place, so the cost of applying and comparing depends on the size of the change and not of the
+file.
 """
 
 import copy
@@ -21,12 +22,12 @@
 from hemlockswitch.version.documents import encode_canonical, find_sort_key
 
 Steps = tuple[str, ...]
-"""The keys, and in named lists the names, from the root of the tree to a place in it."""
+"""The object keys, and element names in named lists, from the root of the tree to a value."""
 
 
 @dataclass(frozen=True)
 class Put:
-    """The value at `path` becomes `value`, or comes to be there."""
+    """Set or insert `value` at `path`."""
 
     path: Steps
     value: Any
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Remove:
-    """What is at `path` goes away."""
+    """Remove the value at `path`."""
 
     path: Steps
 
@@ -69,7 +70,7 @@
 
 
 def _is_same(old: Any, new: Any) -> bool:
-    """Return whether two values are the same JSON text; 1, 1.0 and true are not."""
+    """Return whether two values have the same JSON text; 1, 1.0 and true all differ."""
     if type(old) is not type(new):
         return False
     if isinstance(old, list | dict):
@@ -79,17 +80,19 @@
 
 def _replace(path: Steps, new: Any) -> list[Change]:
     if not path:
-        raise ConfigurationError(ErrorKind.INVALID_CONFIGURATION, "the root is not an object")
+        raise ConfigurationError(
+            ErrorKind.INVALID_CONFIGURATION, "the root of both trees must be a JSON object"
+        )
     return [Put(path, new)]
 
 
 def apply_changes(tree: Any, changes: Sequence[Change]) -> Any:
-    """Return a new tree with the changes applied; `tree` stays as it is.
+    """Return a new tree with the changes applied; `tree` is not modified.
 
     Raises
     ======
 
-    ConfigurationError : a change names a place that the tree does not have.
+    ConfigurationError : the path of a change does not exist in the tree.
     """
     own: set[int] = set()
     changed = _take(tree, own)
@@ -98,14 +101,14 @@
             apply_change(change, _walk(changed, change.path[:-1], own))
         except (KeyError, IndexError, TypeError) as error:
             raise ConfigurationError(
-                ErrorKind.INVALID_CONFIGURATION, f"no place {format_steps(change.path)}"
+                ErrorKind.INVALID_CONFIGURATION, f"path {format_steps(change.path)} does not exist"
             ) from error
     return changed
 
 
 @singledispatch
 def apply_change(change: Change, parent: Any) -> None:
-    """Apply one change to the object or list that holds its place."""
+    """Apply one change to the object or list that contains its target."""
     raise TypeError(f"not a change: {change!r}")
 
 
@@ -133,7 +136,7 @@
 
 @singledispatch
 def describe_change(change: Change) -> str:
-    """Return a change in one line for an operator."""
+    """Return a change as one line of text for operators."""
     raise TypeError(f"not a change: {change!r}")
 
 
@@ -148,7 +151,7 @@
 
 
 def format_steps(path: Steps) -> str:
-    """Return a path in the way operators read it.
+    """Return a path in the notation for operators.
 
     Examples
     ========
@@ -160,7 +163,7 @@
 
 
 def pack_changes(changes: Sequence[Change]) -> list[list[Any]]:
-    """Return changes as lists that msgpack and JSON can carry: path, then the value if any."""
+    """Return changes as lists for msgpack and JSON: the path, then the value of a `Put`."""
     return [
         [list(change.path), change.value] if isinstance(change, Put) else [list(change.path)]
         for change in changes
@@ -168,18 +171,20 @@
 
 
 def unpack_changes(rows: Sequence[Sequence[Any]]) -> list[Change]:
-    """Return the changes that `pack_changes` wrote.
+    """Return the changes that `pack_changes` encoded.
 
     Raises
     ======
 
-    ConfigurationError : a row is not a change.
+    ConfigurationError : a row does not encode a change.
     """
     changes: list[Change] = []
     for row in rows:
         path = tuple(row[0]) if row and isinstance(row[0], list) else ()
         if not path or len(row) > 2 or not all(isinstance(step, str) for step in path):
-            raise ConfigurationError(ErrorKind.INVALID_CONFIGURATION, "not a change")
+            raise ConfigurationError(
+                ErrorKind.INVALID_CONFIGURATION, "row does not encode a change"
+            )
         changes.append(Put(path, row[1]) if len(row) == 2 else Remove(path))
     return changes
 
@@ -202,7 +207,7 @@
 
 
 def _walk(tree: Any, path: Steps, own: set[int]) -> Any:
-    """Return the place at `path`, copying what is on the way and still shared."""
+    """Return the value at `path`, copying each value along the path that is still shared."""
     for step in path:
         place = step if isinstance(tree, dict) else _find_place(tree, step)
         tree[place] = _take(tree[place], own)
@@ -211,7 +216,7 @@
 
 
 def _take(value: Any, own: set[int]) -> Any:
-    """Return `value` if it was made by this application, else a shallow copy of it."""
+    """Return `value` if its identity is in `own`, else a shallow copy, which is added to `own`."""
     if id(value) in own:
         return value
     taken = copy.copy(value)
--- a/hemlockswitch/version/documents.py
+++ b/hemlockswitch/version/documents.py
@@ -1,11 +1,11 @@
-"""JSON documents: strict reading, one canonical form, and its digest.
+"""JSON documents: strict parsing, the canonical form, and its digest.
 
 Explanation
 ===========
 
-The canonical form is made once, when a file is applied. From then on the JSON tree itself is
-stored, sent and compared, never a model's own dump, so that a process with newer defaults gives
-the same digest for a revision as the process that made it.
+The canonical form is computed once, when a file is applied. Afterwards the JSON tree is stored,
+sent and compared, never the dump of a model, so that a process with newer defaults computes the
+same digest for a revision as the process that created it.
 """
 
 import hashlib
@@ -16,25 +16,25 @@
 from hemlockswitch.version.mistakes import Mistake, Path, format_path
 
 SORTED_FIELDS = ("client_accounts", "draining", "models", "services", "zones")
-"""Lists of the operators' file whose order has no meaning."""
+"""Lists of the operator file whose order is not significant."""
 
 
 @dataclass(frozen=True)
 class Document:
-    """A JSON tree and the mistakes of its text that the tree does not show."""
+    """A JSON tree, and the mistakes of its text that the tree cannot represent."""
 
     tree: Any
     mistakes: tuple[Mistake, ...]
 
 
 class _Object(dict):
-    """A JSON object that remembers which keys stood in it twice."""
+    """A JSON object that records its duplicate keys."""
 
     doubled: tuple[str, ...] = ()
 
 
 def read_document(text: str) -> Document:
-    """Return the JSON tree of `text`, refusing what JSON leaves open.
+    """Return the JSON tree of `text`; NaN, infinities and unpaired surrogates are rejected.
 
     Raises
     ======
@@ -45,7 +45,7 @@
     ========
 
     >>> [str(mistake) for mistake in read_document('{"limits": {"a": 1, "a": 2}}').mistakes]
-    ['limits.a: the key stands twice in one object']
+    ['limits.a: duplicate key in one object']
     """
     try:
         tree = json.loads(text, object_pairs_hook=_make_object, parse_constant=_refuse_constant)
@@ -56,7 +56,7 @@
 
 
 def encode_canonical(tree: Any) -> str:
-    """Return the one canonical text of a JSON tree.
+    """Return the canonical text of a JSON tree.
 
     Examples
     ========
@@ -75,7 +75,7 @@
 
 
 def sort_file_tree(tree: dict[str, Any]) -> dict[str, Any]:
-    """Return a file's tree with the lists sorted whose order has no meaning."""
+    """Return an operator file's tree with the lists of `SORTED_FIELDS` sorted."""
     return {
         key: sorted(value, key=find_sort_key) if key in SORTED_FIELDS else value
         for key, value in tree.items()
@@ -83,7 +83,7 @@
 
 
 def find_sort_key(element: Any) -> str:
-    """Return the name of a named object, or the text itself."""
+    """Return the name of a named object, or a string element itself."""
     return element["name"] if isinstance(element, dict) else element
 
 
@@ -104,7 +104,7 @@
     if isinstance(tree, _Object):
         for doubled in tree.doubled:
             place = format_path((*path, doubled))
-            found.append(Mistake(place, "the key stands twice in one object"))
+            found.append(Mistake(place, "duplicate key in one object"))
     for key, child in _list_children(tree):
         found.extend(_list_doubled_keys(child, (*path, key)))
     return found
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,4 +1,8 @@
-"""A wrong file is refused with every path and reason at once."""
+"""An invalid operator file is rejected, and all its mistakes are reported at once.
+
+A mistake that is missed reaches every daemon as an invalid configuration. One that is reported
+without its path, or only after another is fixed, makes the operator search for it.
+"""
 
 import json
 from pathlib import Path
@@ -33,7 +37,7 @@
     return {mistake.path: mistake.reason for mistake in caught.value.mistakes}
 
 
-def test_a_file_without_mistakes_is_taken():
+def test_valid_file_is_accepted():
     assert parse_file(json.dumps(make_file())).file.models[0].min_copies == 1
 
 
@@ -74,7 +78,7 @@
         ),
     ],
 )
-def test_each_mistake_has_its_path_and_reason(changes, path, word):
+def test_mistake_is_reported_with_path_and_reason(changes, path, word):
     assert word in list_mistakes(**changes)[path]
 
 
@@ -88,39 +92,39 @@
     assert paths | {"draining[0]"} == set(found)
 
 
-def test_a_file_over_the_platforms_value_size_is_refused():
+def test_file_above_the_value_size_limit_is_rejected():
     names = [f"vm-{number:050}" for number in range(MAX_VALUE_BYTES // 50)]
     assert str(MAX_VALUE_BYTES) in list_mistakes(draining=names)[""]
 
 
-def test_a_key_that_stands_twice_is_a_mistake():
-    with pytest.raises(InvalidFileError, match="limits.queue_length: the key stands twice"):
+def test_duplicate_key_is_a_mistake():
+    with pytest.raises(InvalidFileError, match="limits.queue_length: duplicate key"):
         parse_file('{"zones": ["a"], "limits": {"queue_length": 1, "queue_length": 2}}')
 
 
 @pytest.mark.parametrize("text", ["", "{", "[1, NaN]", '["\\ud800"]', "[1e999]", "[" * 100_000])
-def test_what_is_not_json_is_refused(text):
+def test_invalid_json_is_rejected(text):
     with pytest.raises(InvalidFileError, match="not JSON"):
         parse_file(text)
 
 
-def test_the_order_of_named_lists_does_not_change_the_digest():
+def test_digest_does_not_depend_on_the_order_of_named_lists():
     one = parse_file(json.dumps(make_file(zones=["a", "b"])))
     other = parse_file(json.dumps(make_file(zones=["b", "a"])))
     assert digest_tree(one.tree) == digest_tree(other.tree)
 
 
-def test_a_mistake_never_repeats_the_value():
+def test_mistake_does_not_disclose_the_value():
     found = list_mistakes(client_accounts=[make_account(key_hash="the-plain-key")])
     assert "the-plain-key" not in str(found)
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda path: path.stem)
-def test_the_examples_have_no_mistakes(path):
+def test_example_files_are_valid(path):
     assert len(parse_file(path.read_text()).file.zones) == 4
 
 
-def test_an_account_may_call_only_what_it_uses():
+def test_account_may_call_only_listed_models_and_services():
     file = parse_file(json.dumps(make_file(client_accounts=[make_account(uses=["booking-app"])])))
     account = file.file.client_accounts[0]
     assert account.may_use("booking-app")
--- a/tests/test_differences.py
+++ b/tests/test_differences.py
@@ -1,4 +1,8 @@
-"""A difference applied gives the exact other file."""
+"""Applying the difference of two configurations gives exactly the second one.
+
+Daemons receive a new revision as a difference; a wrong one would give daemons different
+configurations under one revision number.
+"""
 
 import json
 import random
@@ -35,7 +39,7 @@
     }
 
 
-def test_every_difference_gives_the_exact_other_tree():
+def test_applied_difference_equals_the_new_tree():
     source = random.Random(4)
     for _ in range(300):
         old, new = make_random_tree(source), make_random_tree(source)
@@ -43,7 +47,7 @@
         assert digest_tree(apply_changes(old, changes)) == digest_tree(new)
 
 
-def test_one_changed_account_is_one_change():
+def test_change_of_one_account_is_a_single_change():
     old = {"accounts": [{"name": "a", "rate": 1}, {"name": "b", "rate": 1}]}
     new = {"accounts": [{"name": "a", "rate": 1}, {"name": "b", "rate": 2}]}
     assert compare_trees(old, new) == [Put(("accounts", "b", "rate"), 2)]
@@ -51,7 +55,7 @@
     assert describe_change(Remove(("accounts", "a"))) == "accounts/a removed"
 
 
-def test_the_tree_that_was_changed_stays_as_it_was_and_is_shared():
+def test_applying_changes_neither_modifies_nor_copies_unchanged_subtrees():
     old = {"accounts": [{"name": "a", "rate": 1}, {"name": "b", "rate": 1}]}
     kept = json.dumps(old)
     new = apply_changes(old, [Put(("accounts", "b", "rate"), 2), Put(("accounts", "b", "x"), 3)])
@@ -60,12 +64,12 @@
     assert new["accounts"][1] == {"name": "b", "rate": 2, "x": 3}
 
 
-def test_one_more_name_in_a_sorted_list_is_one_change():
+def test_insertion_into_a_sorted_list_is_a_single_change():
     changes = compare_trees({"draining": ["a", "c"]}, {"draining": ["a", "b", "c"]})
     assert changes == [Put(("draining", "b"), "b")]
 
 
-def test_whole_numbers_and_fractions_are_told_apart():
+def test_integer_and_float_of_equal_value_differ():
     assert compare_trees({"a": 1}, {"a": 1.0}) == [Put(("a",), 1.0)]
 
 
@@ -79,12 +83,12 @@
         Put(("l", "x"), {"name": "y"}),
     ],
 )
-def test_a_change_of_a_place_that_is_not_there_is_refused(change):
+def test_change_of_a_missing_path_is_rejected(change):
     with pytest.raises(ConfigurationError):
         apply_changes({"l": []}, [change])
 
 
 @pytest.mark.parametrize("rows", [[[]], [["a"]], [[[1]]], [[["a"], 1, 2]], [[[], 1]]])
-def test_rows_that_are_no_changes_are_refused(rows):
+def test_malformed_change_rows_are_rejected(rows):
     with pytest.raises(ConfigurationError):
         unpack_changes(rows)
