--- a/hemlockswitch/version/checks.py
+++ b/hemlockswitch/version/checks.py
@@ -100,7 +100,7 @@
     mistakes = list(document.mistakes)
     checked: CheckedFile | None = None
     try:
-        checked = _complete(document.tree)
+        checked = _fill_defaults(document.tree)
     except ValidationError as error:
         mistakes.extend(list_model_mistakes(error))
     mistakes.extend(list_relation_mistakes(document.tree))
@@ -115,7 +115,7 @@
     return [mistake for check in _CHECKS for mistake in check(tree)]
 
 
-def _complete(tree: dict[str, Any]) -> CheckedFile:
+def _fill_defaults(tree: dict[str, Any]) -> CheckedFile:
     """Fill in the defaults and sort, so that the stored tree is complete without the defaults."""
     file = OperatorFile.model_validate_json(encode_canonical(tree), strict=True)
     return CheckedFile(sort_file_tree(file.model_dump(mode="json")), file)
@@ -143,7 +143,7 @@
     return [entry for field in fields for entry in _list_fields(tree, field, "name", str)]
 
 
-def _find_doubles(entries: list[_Entry]) -> Iterator[Mistake]:
+def _find_duplicates(entries: list[_Entry]) -> Iterator[Mistake]:
     first: dict[Any, str] = {}
     for entry in entries:
         if entry.value in first:
@@ -151,22 +151,26 @@
         first.setdefault(entry.value, entry.label)
 
 
-def _check_doubles(tree: dict[str, Any]) -> Iterator[Mistake]:
+def _check_duplicates(tree: dict[str, Any]) -> Iterator[Mistake]:
     """Models and services share one namespace, because a backend server's record names either."""
-    yield from _find_doubles(_list_entries(tree, "zones", str))
-    yield from _find_doubles(_list_names(tree, ACCOUNTS))
-    yield from _find_doubles(_list_fields(tree, ACCOUNTS, "key_hash", str))
-    yield from _find_doubles(_list_names(tree, *COPIED_KINDS))
-    yield from _find_doubles(_list_entries(tree, "draining", str))
+    yield from _find_duplicates(_list_entries(tree, "zones", str))
+    yield from _find_duplicates(_list_names(tree, ACCOUNTS))
+    yield from _find_duplicates(_list_fields(tree, ACCOUNTS, "key_hash", str))
+    yield from _find_duplicates(_list_names(tree, *COPIED_KINDS))
+    yield from _find_duplicates(_list_entries(tree, "draining", str))
 
 
 def _check_copies(tree: dict[str, Any]) -> Iterator[Mistake]:
     for field, kind in COPIED_KINDS.items():
         for item in _list_entries(tree, field, dict):
-            licensed = _find_count(item, kind, "licensed_copies")
-            wanted = _find_count(item, kind, "min_copies")
-            if licensed is not None and wanted is not None and wanted > licensed:
-                reason = f"{wanted} copies cannot be met: the licence allows {licensed}"
+            licensed_copies = _find_count(item, kind, "licensed_copies")
+            min_copies = _find_count(item, kind, "min_copies")
+            if (
+                licensed_copies is not None
+                and min_copies is not None
+                and min_copies > licensed_copies
+            ):
+                reason = f"{min_copies} copies cannot be met: the licence allows {licensed_copies}"
                 yield Mistake(format_path((*item.path, "min_copies")), reason)
 
 
@@ -177,10 +181,10 @@
 
 def _check_tokens(tree: dict[str, Any]) -> Iterator[Mistake]:
     for item in _list_entries(tree, "models", dict):
-        most = _find_count(item, Model, "max_tokens")
+        max_tokens = _find_count(item, Model, "max_tokens")
         context = _find_count(item, Model, "context_tokens")
-        if most is not None and context is not None and most > context:
-            reason = f"{most} tokens do not fit the context of {context}"
+        if max_tokens is not None and context is not None and max_tokens > context:
+            reason = f"{max_tokens} tokens do not fit the context of {context}"
             yield Mistake(format_path((*item.path, "max_tokens")), reason)
 
 
@@ -188,15 +192,15 @@
     """Operations of a service must have distinct paths, else it is ambiguous if a call may repeat."""
     for service in _list_entries(tree, "services", dict):
         operations = _list_fields(service.value, "operations", "path", str)
-        placed = [_Entry((*service.path, *entry.path), entry.value) for entry in operations]
-        yield from _find_doubles(placed)
+        path_entries = [_Entry((*service.path, *entry.path), entry.value) for entry in operations]
+        yield from _find_duplicates(path_entries)
 
 
 def _check_uses(tree: dict[str, Any]) -> Iterator[Mistake]:
-    known = {entry.value for entry in _list_names(tree, *COPIED_KINDS)}
+    defined = {entry.value for entry in _list_names(tree, *COPIED_KINDS)}
     for account in _list_entries(tree, ACCOUNTS, dict):
         for use in _list_entries(account.value, "uses", str):
-            if use.value not in known:
+            if use.value not in defined:
                 path = format_path((*account.path, *use.path))
                 yield Mistake(path, f"no model or service is named {use.value!r}")
 
@@ -219,7 +223,7 @@
 
 
 _CHECKS: tuple[Callable[[dict[str, Any]], Iterator[Mistake]], ...] = (
-    _check_doubles,
+    _check_duplicates,
     _check_copies,
     _check_tokens,
     _check_operations,
--- a/hemlockswitch/version/differences.py
+++ b/hemlockswitch/version/differences.py
@@ -95,7 +95,7 @@
     ConfigurationError : the path of a change does not exist in the tree.
     """
     own: set[int] = set()
-    changed = _take(tree, own)
+    changed = _copy_once(tree, own)
     for change in changes:
         try:
             apply_change(change, _walk(changed, change.path[:-1], own))
@@ -131,7 +131,7 @@
     if isinstance(parent, dict):
         del parent[key]
     else:
-        del parent[_find_place(parent, key)]
+        del parent[_find_index(parent, key)]
 
 
 @singledispatch
@@ -209,13 +209,13 @@
 def _walk(tree: Any, path: Steps, own: set[int]) -> Any:
     """Return the value at `path`, copying each value along the path that is still shared."""
     for step in path:
-        place = step if isinstance(tree, dict) else _find_place(tree, step)
-        tree[place] = _take(tree[place], own)
+        place = step if isinstance(tree, dict) else _find_index(tree, step)
+        tree[place] = _copy_once(tree[place], own)
         tree = tree[place]
     return tree
 
 
-def _take(value: Any, own: set[int]) -> Any:
+def _copy_once(value: Any, own: set[int]) -> Any:
     """Return `value` if its identity is in `own`, else a shallow copy, which is added to `own`."""
     if id(value) in own:
         return value
@@ -224,7 +224,7 @@
     return taken
 
 
-def _find_place(elements: list[Any], name: str) -> int:
+def _find_index(elements: list[Any], name: str) -> int:
     place = bisect_left(elements, name, key=find_sort_key)
     if place == len(elements) or find_sort_key(elements[place]) != name:
         raise KeyError(name)
--- a/hemlockswitch/version/documents.py
+++ b/hemlockswitch/version/documents.py
@@ -30,7 +30,7 @@
 class _Object(dict):
     """A JSON object that records its duplicate keys."""
 
-    doubled: tuple[str, ...] = ()
+    duplicate_keys: tuple[str, ...] = ()
 
 
 def read_document(text: str) -> Document:
@@ -52,7 +52,7 @@
     except RecursionError as error:
         raise ValueError("nested too deeply") from error
     encode_canonical(tree).encode()
-    return Document(tree, tuple(_list_doubled_keys(tree, ())))
+    return Document(tree, tuple(_list_duplicate_keys(tree, ())))
 
 
 def encode_canonical(tree: Any) -> str:
@@ -91,7 +91,7 @@
     made = _Object(pairs)
     if len(made) < len(pairs):
         keys = [key for key, _ in pairs]
-        made.doubled = tuple(sorted({key for key in keys if keys.count(key) > 1}))
+        made.duplicate_keys = tuple(sorted({key for key in keys if keys.count(key) > 1}))
     return made
 
 
@@ -99,14 +99,14 @@
     raise ValueError(f"{name} is not a JSON number")
 
 
-def _list_doubled_keys(tree: Any, path: Path) -> list[Mistake]:
+def _list_duplicate_keys(tree: Any, path: Path) -> list[Mistake]:
     found: list[Mistake] = []
     if isinstance(tree, _Object):
-        for doubled in tree.doubled:
-            place = format_path((*path, doubled))
+        for key in tree.duplicate_keys:
+            place = format_path((*path, key))
             found.append(Mistake(place, "duplicate key in one object"))
     for key, child in _list_children(tree):
-        found.extend(_list_doubled_keys(child, (*path, key)))
+        found.extend(_list_duplicate_keys(child, (*path, key)))
     return found
 
 
