--- a/hemlockswitch/version/documents.py
+++ b/hemlockswitch/version/documents.py
@@ -102,8 +102,8 @@
 def _list_duplicate_keys(tree: Any, path: Path) -> list[Mistake]:
     found: list[Mistake] = []
     if isinstance(tree, _Object):
-        for key in tree.duplicate_keys:
-            place = format_path((*path, key))
+        for duplicate_key in tree.duplicate_keys:
+            place = format_path((*path, duplicate_key))
             found.append(Mistake(place, "duplicate key in one object"))
     for key, child in _list_children(tree):
         found.extend(_list_duplicate_keys(child, (*path, key)))
--- a/hemlockswitch/version/gateway_settings.py
+++ b/hemlockswitch/version/gateway_settings.py
@@ -1,6 +1,6 @@
-"""The settings file of `hemlock-gateway`: JSON, checked with the path of the first mistake.
+"""The settings file of `hemlock-gateway`: JSON, validated up to the first mistake.
 
-The model is a `msgspec` structure and not one of pydantic, for the time that a start takes; see
+The model uses `msgspec` instead of pydantic to shorten the start of the gateway; see
 docs/explanation/start.md.
 """
 
@@ -20,27 +20,27 @@
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Settings of `hemlock-gateway`; those of every daemon are described at `ProgramSettings`.
+    """Settings of `hemlock-gateway`; see `ProgramSettings` for those that all daemons share.
 
     Parameters
     ==========
 
-    listen : where callers reach it.
-    ready_listen, ready_path : where the balancer asks whether it is ready.
-    cloud : the cloud API's address; no duties are taken when it is absent.
+    listen : address for callers.
+    ready_listen, ready_path : address and path of the readiness check of the load balancer.
+    cloud : address of the cloud API; without it, the gateway never takes the duties.
     zones : the availability zones of the site.
-    stop_grace_s : how long after a stop signal the process is ended by force.
-    repeat_ratio, repeat_extra, repeat_window_s : the fleet's budget of repeated sends, for each
-        service: in a window, `repeat_ratio` for each request and `repeat_extra` more.
-    limit_slack : by how much the use of an account may exceed its limit over all gateways, in the
-        limit's unit; bounds what accounts get anew when all gateways restart.
-    lease_term_ms : how long one renewal of the duties' lease lasts.
+    stop_grace_s : time from a stop signal until the process is killed.
+    repeat_ratio, repeat_extra, repeat_window_s : the retry budget of each service over all gateways:
+        in one window, `repeat_ratio` retries per request and `repeat_extra` more.
+    limit_slack : amount by which an account may exceed its limit over all gateways, in the unit of
+        the limit; bounds the allowance that accounts receive again when all gateways restart.
+    lease_term_ms : validity of one renewal of the lease on the duties.
     usage_window_s : length of a window of the usage reports.
-    rollout_share, rollout_slack : bound of the requests that a version gets before it is judged: this
-        part of a service's requests and this many more, over all gateways. Orders of roll-outs are
-        followed only where the share is given.
-    link_mbps : speed of this VM's network link; the gateways of a zone with the fastest ones watch and
-        pass changes on for the others. 0 where it is not known.
+    rollout_share, rollout_slack : bound of the requests sent to a new version before the verdict on
+        it: this share of the service's requests plus this number, over all gateways. Without a share,
+        rollout orders are not followed.
+    link_mbps : speed of this VM's network link, 0 if unknown; the gateways of a zone with the fastest
+        links watch the object service and relay its changes to their peers.
 
     Examples
     ========
@@ -80,23 +80,24 @@
 
     @classmethod
     def from_file(cls, path: Path | str) -> Self:
-        """Read and check a settings file.
+        """Read and validate a settings file.
 
         Raises
         ======
 
-        ConfigurationError : the file cannot be read or has a mistake; the detail names its path.
+        ConfigurationError : the file cannot be read, or has a mistake; the detail gives the path of
+            the first mistake.
         """
         return cls.from_json(read_settings_file(path))
 
     @classmethod
     def from_json(cls, content: bytes | str) -> Self:
-        """Check the JSON text of a settings file.
+        """Validate the JSON text of a settings file.
 
         Raises
         ======
 
-        ConfigurationError : it has a mistake; the detail names its path.
+        ConfigurationError : the text has a mistake; the detail gives the path of the first one.
         """
         try:
             return msgspec.json.decode(content, type=cls)
--- a/hemlockswitch/version/machine_class.py
+++ b/hemlockswitch/version/machine_class.py
@@ -4,7 +4,7 @@
 
 
 class MachineClass(StrEnum):
-    """How the cloud API offers a VM."""
+    """Whether the cloud may reclaim a VM."""
 
     RECLAIMABLE = "reclaimable"
     ON_DEMAND = "on_demand"
--- a/hemlockswitch/version/mistakes.py
+++ b/hemlockswitch/version/mistakes.py
@@ -1,4 +1,4 @@
-"""One mistake in an operator's file or a settings file, and how its path is written."""
+"""Mistakes in operator files and settings files, and the notation of their paths."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True)
 class Mistake:
-    """Where a file is wrong, and why.
+    """The location of a mistake in a file, and the reason.
 
     Parameters
     ==========
 
-    path : place in the file, such as ``models[0].min_copies``; empty for the file as a whole.
+    path : location in the file, such as ``models[0].min_copies``; empty for the file as a whole.
     reason : one sentence.
 
     Examples
@@ -32,7 +32,7 @@
 
 
 def format_path(path: Path) -> str:
-    """Return a path in the way operators read it.
+    """Return a path in the notation for operators.
 
     Examples
     ========
@@ -50,7 +50,7 @@
 
 
 def list_model_mistakes(error: ValidationError) -> list[Mistake]:
-    """Return the mistakes that a pydantic model found; they never hold the value itself."""
+    """Return the mistakes that a pydantic model found; they never contain the value itself."""
     rows = error.errors(include_url=False, include_input=False, include_context=False)
     return [
         Mistake(format_path(row["loc"]), row["msg"][:1].lower() + row["msg"][1:]) for row in rows
--- a/hemlockswitch/version/models.py
+++ b/hemlockswitch/version/models.py
@@ -1,4 +1,4 @@
-"""The operators' file: pydantic models that check one whole configuration."""
+"""The operator file: pydantic models of a complete configuration."""
 
 from typing import Annotated
 
@@ -11,13 +11,13 @@
 
 
 class _Checked(BaseModel):
-    """Base of the models: unknown fields are mistakes, values do not change."""
+    """Base of the models: unknown fields are rejected, instances are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class AccountLimits(_Checked):
-    """What one client account may use over the whole system."""
+    """Limits of one client account over the whole system."""
 
     requests_per_second: float = Field(gt=0)
     tokens_per_second: float = Field(gt=0)
@@ -25,22 +25,22 @@
 
 
 class ClientAccount(_Checked):
-    """A caller of the system, known by the SHA-256 of its key."""
+    """A caller of the system, identified by the SHA-256 of its key."""
 
     name: Name
     key_hash: KeyHash
     limits: AccountLimits
     priority: int = Field(default=1, ge=0, le=9)
     uses: tuple[Name, ...] = ()
-    """Names of the models and services that it may call; empty for all."""
+    """Names of the models and services that the account may call; empty for all."""
 
     def may_use(self, name: str) -> bool:
-        """Return whether the account may call a model or service."""
+        """Return whether the account may call the model or service `name`."""
         return not self.uses or name in self.uses
 
 
 class Model(_Checked):
-    """A language model that backend servers serve."""
+    """A language model, run by backend servers in licensed copies."""
 
     name: Name
     licensed_copies: int = Field(gt=0)
@@ -58,7 +58,7 @@
 
 
 class Operation(_Checked):
-    """One kind of call of a plain service: its path prefix and whether it may be repeated."""
+    """An operation of a plain service: its path prefix and whether calls may be repeated."""
 
     path: str = Field(pattern=r"^/[A-Za-z0-9_./-]*$")
     methods: tuple[str, ...] = ("GET", "POST", "PUT", "DELETE")
@@ -66,7 +66,7 @@
 
 
 class Service(_Checked):
-    """A plain service beside the model engines."""
+    """A plain service, which does not run a model engine."""
 
     name: Name
     operations: tuple[Operation, ...] = Field(min_length=1)
@@ -77,7 +77,7 @@
 
 
 class Limits(_Checked):
-    """Bounds that protect the entry daemons themselves."""
+    """Limits that protect the entry daemons from overload."""
 
     body_bytes: int = Field(default=1_048_576, gt=0)
     queue_length: int = Field(default=256, gt=0)
@@ -87,7 +87,7 @@
 
 
 class OperatorFile(_Checked):
-    """One whole configuration, applied as a whole."""
+    """A complete configuration; it is applied atomically."""
 
     zones: tuple[Name, ...] = Field(min_length=1)
     client_accounts: tuple[ClientAccount, ...] = ()
--- a/hemlockswitch/version/revisions.py
+++ b/hemlockswitch/version/revisions.py
@@ -1,4 +1,4 @@
-"""A revision: one whole configuration with its number, and how the platform stores it."""
+"""Revisions: numbered, complete configurations, and their format in the object service."""
 
 from dataclasses import dataclass, replace
 from typing import Any
@@ -14,17 +14,17 @@
 POINTER_KIND = "pointers"
 CURRENT_POINTER = "current"
 NO_REVISION = 0
-"""The number that stands for no configuration at all."""
+"""The number that represents the absence of a configuration."""
 
 
 class _Stored(BaseModel):
-    """Base of the values in the platform's service; unknown fields are of a newer program."""
+    """Base of stored values; unknown fields are ignored, since a newer program may write them."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
 class StoredRevision(_Stored):
-    """The value of ``revisions/<number>``; it is written once and never changed."""
+    """The value of ``revisions/<number>``, which is written once and never changed."""
 
     number: int = Field(gt=NO_REVISION)
     digest: KeyHash
@@ -35,7 +35,7 @@
 
 
 class StoredPointer(_Stored):
-    """The value of ``pointers/current``: the revision that is to be in force."""
+    """The value of ``pointers/current``: the revision that all daemons should apply."""
 
     number: int = Field(gt=NO_REVISION)
     digest: KeyHash
@@ -44,17 +44,18 @@
 
 @dataclass(frozen=True)
 class Revision:
-    """One whole configuration as it was applied.
+    """A complete configuration as it was applied.
 
     Parameters
     ==========
 
-    number : rises with each apply; numbers may be missing, none is used twice.
-    digest : of the canonical form of `tree`.
-    apply_id : made by the apply that wrote it, so that the apply recognises its own write.
-    previous : the number of the revision that the operator saw; 0 for the first.
-    applied_wall_ms : when the operator's command made it.
-    tree : the file's JSON tree; what is stored, sent and compared.
+    number : increases with each apply; numbers may be skipped but are never reused.
+    digest : digest of the canonical form of `tree`.
+    apply_id : random identifier of the apply that wrote it, which lets the apply recognise its own
+        write.
+    previous : number of the revision that this one replaces; 0 for the first.
+    applied_wall_ms : wall-clock time at which the operator's command created it.
+    tree : the file's JSON tree, which is stored, sent and compared.
     file : the file's model.
     """
 
@@ -70,18 +71,18 @@
     def from_checked(
         cls, checked: CheckedFile, number: int, apply_id: str, previous: int, applied_wall_ms: int
     ) -> "Revision":
-        """Make the revision that an apply proposes."""
+        """Create the revision that an apply proposes."""
         digest = digest_tree(checked.tree)
         return cls(number, digest, apply_id, previous, applied_wall_ms, checked.tree, checked.file)
 
     @classmethod
     def from_value(cls, value: Any) -> "Revision":
-        """Read a stored or received revision.
+        """Decode a stored or received revision.
 
         Raises
         ======
 
-        ConfigurationError : it is not a revision, or its content is not what its digest says.
+        ConfigurationError : the value is not a revision, or its file does not match its digest.
         """
         try:
             stored = StoredRevision.model_validate(value)
@@ -101,7 +102,7 @@
         )
 
     def to_value(self) -> dict[str, Any]:
-        """Return the value to store."""
+        """Return the value in the format of `StoredRevision`."""
         return self.to_head() | {"file": self.tree}
 
     def to_head(self) -> dict[str, Any]:
@@ -115,11 +116,11 @@
         }
 
     def to_pointer(self) -> dict[str, Any]:
-        """Return the value of the pointer that puts this revision in force."""
+        """Return the pointer value that makes this revision the active one."""
         return {"number": self.number, "digest": self.digest, "apply_id": self.apply_id}
 
     def renumber(self, number: int) -> "Revision":
-        """Return the same proposal under another number."""
+        """Return a copy with another number."""
         return replace(self, number=number)
 
 
--- a/hemlockswitch/version/rollout.py
+++ b/hemlockswitch/version/rollout.py
@@ -1,14 +1,14 @@
-"""An operator's order to move a service to another version of its backend servers' software."""
+"""Rollout orders: an operator's order to move a service to another software version."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 OrderIdentity = tuple[str, str, int]
-"""Service, target and creation: what tells an order from every other one."""
+"""Service, target and creation version, which together identify an order."""
 
 
 class RolloutState(StrEnum):
-    """What became of an order; the last two are final."""
+    """State of an order; the last two are final."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True)
 class RolloutOrder:
-    """One order, as it lies in the object service.
+    """A rollout order as stored in the object service.
 
     Parameters
     ==========
 
-    service : the service whose traffic is to move.
-    target : the version to move to.
-    time_limit_ms : how long after the order the move must be over.
-    created : the object service's version when the order was written; a new order has another one.
-    state : what became of it; None before anybody has taken it up.
-    version : of the stored object, for a conditional write of its state.
+    service : the service whose traffic moves.
+    target : the software version that the traffic moves to.
+    time_limit_ms : time from the order until the rollout must be complete.
+    created : the object service's version at which the order was written; differs for each order.
+    state : current state; None until a gateway starts the rollout.
+    version : version of the stored object, for a conditional write of the state.
 
     Examples
     ========
@@ -48,10 +48,10 @@
 
     @property
     def identity(self) -> OrderIdentity:
-        """What tells this order from every other one."""
+        """The fields that identify this order."""
         return self.service, self.target, self.created
 
     @property
     def is_final(self) -> bool:
-        """Whether the order is closed."""
+        """Whether the order is completed or rolled back."""
         return self.state in (RolloutState.COMPLETED, RolloutState.ROLLED_BACK)
--- a/hemlockswitch/version/serving_table.py
+++ b/hemlockswitch/version/serving_table.py
@@ -1,7 +1,7 @@
-"""What one configuration revision says of forwarded requests: routes, services and accounts.
+"""Routes, services and accounts for forwarded requests in one configuration revision.
 
-A `ServingTable` is immutable and holds the lookups that every request needs. It is built at the
-border (see `hemlockswitch.platform.manifest`) and has no reference to any wire format.
+A `ServingTable` is immutable and provides the lookups that every request needs. It is built by the
+platform adapter (see `hemlockswitch.platform.manifest`) and does not depend on any wire format.
 """
 
 from collections import defaultdict
@@ -15,7 +15,7 @@
 
 
 class RequestKind(StrEnum):
-    """What may be repeated of a request."""
+    """Kind of a request, which decides whether it may be sent again."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class ServiceWeight:
-    """The part of a route's requests that goes to one service."""
+    """The share of a route's requests that one service receives."""
 
     service: str
     weight: int
@@ -32,18 +32,19 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Requests of one host and path prefix, and how they may be handled.
+    """Rules for the requests of one host and path prefix.
 
     Parameters
     ==========
 
-    timeout_ms : the longest time that a request may be kept waiting for its last byte.
-    objective_ms : the latency objective; for a stream it ends with the first event.
+    timeout_ms : maximum time until the last byte of the answer.
+    objective_ms : the latency objective; for a stream, the time until the first event.
     priority : 0 is the most urgent.
     targets : the services that may run the requests, with their weights.
-    max_attempts : on how many backend servers one request may be tried.
+    max_attempts : maximum number of backend servers that one request may be sent to.
     is_public : whether requests need no key.
-    is_resumable : whether a stream may go on elsewhere after its last event.
+    is_resumable : whether another backend server may continue a broken stream after the last event
+        that was relayed.
     """
 
     name: str
@@ -61,18 +62,19 @@
     def __post_init__(self) -> None:
         if not self.targets or self.timeout_ms <= 0 or self.max_attempts < 1:
             raise ConfigurationError(
-                ErrorKind.INVALID_CONFIGURATION, f"route {self.name}: targets, timeout or attempts"
+                ErrorKind.INVALID_CONFIGURATION,
+                f"route {self.name}: needs a target, timeout > 0 and max_attempts >= 1",
             )
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request that may have run can be sent again."""
+        """Whether a request that may already have run can be sent again."""
         return self.kind is RequestKind.IDEMPOTENT or (
             self.kind is RequestKind.STREAM and self.is_resumable
         )
 
     def choose_service(self, request_id: str) -> str:
-        """Return the service of a request, by the weights; the same for the same identifier."""
+        """Return a service by the weights; the choice depends only on the request's identifier."""
         total = sum(target.weight for target in self.targets)
         if total <= 0:
             return self.targets[0].service
@@ -86,15 +88,15 @@
 
 @dataclass(frozen=True)
 class ScalingBounds:
-    """How many copies of a service may be ordered, and what they cost.
+    """Bounds on the number of copies of a service, and their cost.
 
     Parameters
     ==========
 
     min_copies, max_copies : bounds in each availability zone, over both machine classes.
-    boot_ms : time from an order to the first request.
-    reclaimable_price : price of a reclaimable copy as a part of the price of another one.
-    zone_prices : price of a copy's second in each zone.
+    boot_ms : time from the order of a copy to its first request.
+    reclaimable_price : price of a reclaimable copy as a fraction of the price of an on-demand one.
+    zone_prices : price per second of a copy in each zone.
     """
 
     min_copies: int
@@ -106,13 +108,13 @@
 
 @dataclass(frozen=True)
 class EngineTraits:
-    """What is known of the model engines of a service.
+    """Capacity of the model engines of a service.
 
     Parameters
     ==========
 
-    slots : requests in one batch.
-    kv_capacity_tokens : tokens that running requests and cached prompt parts share.
+    slots : maximum number of requests in one batch.
+    kv_capacity_tokens : KV cache size in tokens, shared by running requests and cached prompt parts.
     """
 
     slots: int
@@ -121,7 +123,7 @@
 
 @dataclass(frozen=True)
 class ForwardedService:
-    """A service whose backend servers get forwarded requests."""
+    """A service to whose backend servers requests are forwarded."""
 
     name: str
     max_connections: int
@@ -131,7 +133,7 @@
 
 @dataclass(frozen=True)
 class CallerBounds:
-    """What a caller may send and how long it may take."""
+    """Limits on the size of a caller's request and on the time to send it."""
 
     max_head_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -141,15 +143,15 @@
 
 @dataclass(frozen=True)
 class ForwardedAccount:
-    """A client account of forwarded requests and its limit over all daemons.
+    """A client account for forwarded requests, with its limit over all daemons.
 
     Parameters
     ==========
 
-    priority : replaces the route's priority; None where the account has none.
-    counts_tokens : whether the limit is in tokens or in requests.
-    plain_tokens : what a request without token counts costs.
-    rate_per_s, burst : the limit; a rate of 0 means none.
+    priority : overrides the route's priority; None if the account has none.
+    counts_tokens : whether the limit counts tokens; otherwise it counts requests.
+    plain_tokens : cost in tokens of a request without token counts.
+    rate_per_s, burst : the limit; a rate of 0 means no limit.
     """
 
     name: str
@@ -162,12 +164,12 @@
 
 @dataclass(frozen=True)
 class ServingTable:
-    """One configuration revision as forwarding needs it.
+    """The lookup tables of one configuration revision for forwarding.
 
     Parameters
     ==========
 
-    has_accounts : whether requests need a key at all; it holds also while no key is left.
+    has_accounts : whether requests need a key; may be true although no key is valid any more.
 
     Examples
     ========
@@ -202,10 +204,10 @@
         object.__setattr__(self, "_streams", dict(streams))
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix that begins `path`.
+        """Return the route of `host` with the longest prefix of `path`.
 
-        Every prefix ends with a slash, so only the path's own beginnings up to a slash are looked
-        up, however many routes there are.
+        Every route's prefix ends with a slash, so only the prefixes of `path` that end with a slash
+        are looked up; the cost does not depend on the number of routes.
         """
         routes = self._by_host.get(host.lower(), {})
         end = path.rfind("/")
@@ -217,9 +219,9 @@
         return None
 
     def find_strictest_objective_ms(self, service: str, priority: int) -> float:
-        """Return the least objective of a service's streams that are at least as urgent.
+        """Return the smallest objective of a service's stream routes that are at least as urgent.
 
-        It is 0 where there is none.
+        Returns 0 if there is no such route.
         """
         routes = self._streams.get(service, ())
         objectives = [one.objective_ms for one in routes if one.priority <= priority]
--- a/hemlockswitch/version/settings.py
+++ b/hemlockswitch/version/settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the programs: JSON, checked by pydantic with the path of each mistake."""
+"""Settings files of the programs: JSON, validated by pydantic with the path of each mistake."""
 
 from pathlib import Path
 from typing import Annotated, Literal, Self
@@ -14,21 +14,21 @@
 
 
 class ProgramSettings(BaseModel):
-    """What every program of an entry VM needs to know.
+    """Settings that the entry daemon and the controller share.
 
     Parameters
     ==========
 
-    name : the process's name, one of its own in the whole system.
-    zone : its availability zone.
-    region : groups zones that are near one another; empty when there is one region.
-    cluster : the system's name; processes of another are refused.
-    peer_listen : where the system's other processes reach it; port 0 takes any free port.
-    peer_advertise : the address that they use, when it is not the one listened on.
-    probe_period_ms : how often the processes probe one another; the time in which a lost one is
-        found is four times as long.
-    platform : the platform's address.
-    seeds : peer addresses of processes to join through.
+    name : name of the process, unique in the whole system.
+    zone : availability zone of the process.
+    region : groups zones with low latency between them; empty if there is only one region.
+    cluster : name of the system; connections from processes of another system are refused.
+    peer_listen : address for peers; port 0 selects a free port.
+    peer_advertise : address that peers connect to, if it differs from `peer_listen`.
+    probe_period_ms : time between the probes that a process sends to its peers; a lost process is
+        detected within four periods.
+    platform : address of the platform.
+    seeds : peer addresses of processes through which this one joins the cluster.
     log_level : ``debug``, ``info`` or ``warning``.
     """
 
@@ -48,19 +48,19 @@
 
     @classmethod
     def from_file(cls, path: Path | str) -> Self:
-        """Read and check a settings file.
+        """Read and validate a settings file.
 
         Raises
         ======
 
-        ConfigurationError : the file cannot be read or has mistakes; the detail names the path
+        ConfigurationError : the file cannot be read, or has mistakes; the detail gives the path
             of each.
         """
         return cls.from_json(read_settings_file(path))
 
     @classmethod
     def from_json(cls, content: bytes | str) -> Self:
-        """Check the JSON text of a settings file.
+        """Validate the JSON text of a settings file.
 
         Examples
         ========
@@ -84,11 +84,11 @@
     Parameters
     ==========
 
-    listen : where callers reach it.
-    control_listen : metrics and status; must not be reachable by callers.
-    traces : where spans go; ``off`` keeps them inside the process.
-    stop_grace_ms : how long a graceful stop waits for requests in progress.
-    caller_timeout_ms : how long a caller may take for one read or write.
+    listen : address for callers.
+    control_listen : address for metrics and status; must not be reachable by callers.
+    traces : destination of trace spans; with ``off`` they do not leave the process.
+    stop_grace_ms : maximum time that a graceful stop waits for requests in progress.
+    caller_timeout_ms : time-out of one read from or write to a caller.
     """
 
     listen: Address = "127.0.0.1:0"
@@ -98,16 +98,16 @@
 
 
 class LeaseSettings(BaseModel):
-    """The durations that all controllers of a zone share.
+    """Durations of the zone's lease; all controllers of a zone must use equal values.
 
     Parameters
     ==========
 
-    term_ms : how long one write of the lease lasts.
+    term_ms : validity of one write of the lease.
     renew_ms : time between two renewals.
-    stop_before_ms : no order is given in this last part of the term.
-    margin_ms : what a successor waits beyond the term.
-    look_ms : time between two looks at the lease, over all candidates of the zone together.
+    stop_before_ms : final part of the term, in which the holder sends no orders.
+    margin_ms : time that a successor waits after the end of the term.
+    look_ms : time between two reads of the lease, over all candidates of the zone together.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -126,18 +126,19 @@
 
 
 class CopySettings(BaseModel):
-    """How the controller plans copies.
+    """Settings for the planning of copies by the controller.
 
     Parameters
     ==========
 
-    pass_ms : time between two comparisons of what is wanted with what there is.
-    replace_ms : expected time from a reclaim to a serving replacement.
-    shrink_after_ms : how long the demand stays low before a copy is stopped.
-    gone_after_ms : how long a VM is missing from the VM list before it counts as gone.
-    parallel_starts : copies of one target that load their weights at once in a zone.
-    report_ms : an unchanged summary for the other zones is written again after this time.
-    risk_window_ms : how far back reclaim waves count for the expected rate.
+    pass_ms : time between two reconciliation passes, which compare the wanted with the actual copies.
+    replace_ms : expected time from a reclaim until a replacement serves requests.
+    shrink_after_ms : time for which the demand must be low before a copy is stopped.
+    gone_after_ms : time for which a VM must be absent from the VM list to count as removed.
+    parallel_starts : maximum number of copies of one target that load their weights at the same time
+        in a zone.
+    report_ms : interval at which an unchanged summary for the other zones is written again.
+    risk_window_ms : length of the history of reclaim waves that determines the expected rate.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -157,10 +158,10 @@
     Parameters
     ==========
 
-    lease : durations that all controllers of the zone share.
-    copies : how copies are planned.
-    order_timeout_ms : the whole time that one order may take.
-    candidates : how many controllers the zone has, about; spreads their looks at the lease.
+    lease : durations of the zone's lease.
+    copies : settings for the planning of copies.
+    order_timeout_ms : total time-out of one order.
+    candidates : approximate number of controllers of the zone; spreads their reads of the lease.
     """
 
     lease: LeaseSettings = LeaseSettings()
@@ -176,7 +177,7 @@
 
 
 def describe_mistakes(error: ValidationError) -> str:
-    """Return one line with the path and the reason of each mistake."""
+    """Return the paths and reasons of all mistakes as one line."""
     mistakes = error.errors(include_url=False, include_input=False)
     return "; ".join(
         f"{'.'.join(str(step) for step in mistake['loc']) or 'file'}: {mistake['msg']}"
--- a/hemlockswitch/version/settings_file.py
+++ b/hemlockswitch/version/settings_file.py
@@ -1,4 +1,4 @@
-"""The file that holds a program's settings, and what every program reads of it."""
+"""Access to the settings file of a program, and the interface of its settings."""
 
 from pathlib import Path
 from typing import Literal, Protocol, Self
@@ -7,23 +7,23 @@
 
 
 class FileSettings(Protocol):
-    """Checked settings of a program, whichever library checks them."""
+    """Validated settings of a program; independent of the validation library."""
 
     @property
     def name(self) -> str:
-        """The process's name."""
+        """The name of the process."""
 
     @property
     def log_level(self) -> Literal["debug", "info", "warning"]:
-        """How much is logged."""
+        """The lowest level that is logged."""
 
     @classmethod
     def from_file(cls, path: Path | str) -> Self:
-        """Read and check a settings file."""
+        """Read and validate a settings file."""
 
     @classmethod
     def from_json(cls, content: bytes | str) -> Self:
-        """Check the JSON text of a settings file."""
+        """Validate the JSON text of a settings file."""
 
 
 def read_settings_file(path: Path | str) -> bytes:
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy files fit the programs: the template makes settings that the gateway takes."""
+"""The deployment files match the programs; a mismatch would only show when a gateway starts."""
 
 import json
 import re
@@ -31,7 +31,7 @@
     "platform": {"address": "10.200.1.7:8225"},
     "cloud": {"address": "10.200.0.35:8225"},
 }
-"""The fields of the users' example that the template uses."""
+"""Values for the placeholders of the settings template."""
 
 
 def find_value(name):
@@ -51,7 +51,7 @@
 
 
 def render(text, given=GIVEN):
-    """Fill the template in, as far as it uses the placeholders' language."""
+    """Fill in the template; supports the parts of the placeholder syntax that it uses."""
 
     def repeat(match):
         entries = list(GIVEN[match[1]])
@@ -72,7 +72,7 @@
     return tomllib.loads((DEPLOY / "system.toml").read_text())["roles"]["gateway"]
 
 
-def test_the_template_makes_settings_that_the_gateway_takes():
+def test_template_renders_valid_gateway_settings():
     template = (DEPLOY.parent / read_role()["template"]).read_text()
     settings = GatewaySettings.from_json(render(template))
     assert settings.name == "front-abdoun-hall-1"
@@ -85,13 +85,13 @@
     assert (settings.rollout_share, settings.rollout_slack) == (0.1, 50)
 
 
-def test_a_platform_without_roll_outs_leaves_their_bound_out():
+def test_platform_without_rollouts_omits_their_bounds():
     template = (DEPLOY.parent / read_role()["template"]).read_text()
     settings = GatewaySettings.from_json(render(template, {**GIVEN, "bounds": {}}))
     assert settings.rollout_share is None
 
 
-def test_the_role_runs_a_module_that_exists():
+def test_module_of_the_role_exists():
     words = read_role()["run"].split()
     module = words[words.index("-m") + 1].replace(".", "/")
     assert (DEPLOY.parent / f"{module}.py").exists()
@@ -101,13 +101,13 @@
     return set(re.findall(r"^([a-z0-9_.-]+==\S+)", path.read_text(), flags=re.MULTILINE))
 
 
-def test_what_is_deployed_is_what_is_tested():
+def test_deployed_versions_equal_the_tested_versions():
     deployed = read_pins(DEPLOY / "requirements.lock")
     assert deployed
     assert deployed <= read_pins(DEPLOY.parent / "requirements.lock")
 
 
-def test_only_the_adapter_and_the_stand_ins_know_the_platforms_headers():
+def test_only_the_adapter_and_stand_ins_contain_platform_headers():
     package = DEPLOY.parent / "hemlockswitch"
     knowing = {
         path.relative_to(package).as_posix()
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The example operator files are whole and have the sizes that the brief gives."""
+"""The example operator files are valid and have the required numbers of zones and copies."""
 
 from pathlib import Path
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("name", ["qafza-bookings", "driftwood-ledger"])
-def test_example_is_valid_and_of_the_users_size(name):
+def test_example_is_valid_and_has_the_required_size(name):
     file = parse_file((EXAMPLES / f"{name}.json").read_text()).file
     assert len(file.zones) == ZONES
     assert len(file.client_accounts) == ACCOUNTS
--- a/tests/test_serving_table.py
+++ b/tests/test_serving_table.py
@@ -1,4 +1,4 @@
-"""Routes, services and accounts of one configuration revision."""
+"""Route lookup and the split of requests between services in a serving table."""
 
 from collections import Counter
 
@@ -23,26 +23,26 @@
     return ServingTable(1, routes, {}, CallerBounds(), {})
 
 
-def test_the_longest_prefix_wins_whatever_the_order():
+def test_longest_prefix_wins_regardless_of_order():
     table = make_table(make_route("short", "/a/"), make_route("long", "/a/b/"))
     assert table.find_route("a.example", "/a/b/c").name == "long"
     assert table.find_route("a.example", "/a/c").name == "short"
 
 
-def test_a_host_is_compared_without_case_and_a_path_with():
+def test_hosts_are_case_insensitive_and_paths_are_not():
     table = make_table(make_route("r", "/a/"))
     assert table.find_route("A.Example", "/a/x") is not None
     assert table.find_route("a.example", "/A/x") is None
 
 
-def test_a_split_follows_the_weights_and_stays_for_an_identifier():
+def test_split_follows_the_weights_and_is_stable_per_identifier():
     route = make_route("r", "/a/", targets=(("s", 90), ("t", 10)))
     chosen = Counter(route.choose_service(f"id-{number}") for number in range(2_000))
     assert 0.07 < chosen["t"] / 2_000 < 0.13
     assert route.choose_service("id-1") == route.choose_service("id-1")
 
 
-def test_a_service_with_weight_zero_gets_nothing():
+def test_service_with_weight_zero_receives_no_requests():
     route = make_route("r", "/a/", targets=(("s", 0), ("t", 5)))
     assert {route.choose_service(str(number)) for number in range(100)} == {"t"}
 
@@ -56,10 +56,10 @@
         (RequestKind.STREAM, True, True),
     ],
 )
-def test_what_may_be_repeated_follows_from_the_kind(kind, resumable, repeatable):
+def test_kind_decides_whether_a_request_is_repeatable(kind, resumable, repeatable):
     assert make_route("r", "/", kind, is_resumable=resumable).is_repeatable is repeatable
 
 
-def test_a_route_without_a_service_is_refused():
+def test_route_without_targets_is_rejected():
     with pytest.raises(ConfigurationError):
         make_route("r", "/", targets=())
