--- a/hemlockswitch/__init__.py
+++ b/hemlockswitch/__init__.py
@@ -1,3 +1,3 @@
-"""hemlockswitch: serve language models and plain services on reclaimable VMs."""
+"""hemlockswitch: serving of language models and plain services on reclaimable VMs."""
 
 __version__ = "0.1.0"
--- a/hemlockswitch/programs/__init__.py
+++ b/hemlockswitch/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The command lines. Nothing else imports these modules."""
+"""The command line programs. No other package imports these modules."""
--- a/hemlockswitch/programs/controller.py
+++ b/hemlockswitch/programs/controller.py
@@ -1,4 +1,4 @@
-"""``hemlock-controller``: keeps the wanted copies of its zone while it holds the zone's lease."""
+"""``hemlock-controller``: maintains the wanted copies of its zone while it holds the lease."""
 
 from gevent import monkey
 
@@ -12,13 +12,13 @@
 
 
 class ControllerCommand(DaemonCommand):
-    """Controls one availability zone."""
+    """Runs the controller of one availability zone."""
 
     name = "controller"
-    description = "keep the wanted copies of one availability zone"
+    description = "maintain the wanted copies of one availability zone"
     help = (
-        "Reads a JSON settings file and runs until SIGTERM or SIGINT, which give the zone's lease\n"
-        "back. Exit codes: 0 stopped gracefully, 2 the settings have mistakes."
+        "Reads a JSON settings file and runs until SIGTERM or SIGINT, then releases the lease of\n"
+        "the zone. Exit codes: 0 stopped gracefully, 2 the settings have mistakes."
     )
     settings_model = ControllerSettings
 
--- a/hemlockswitch/programs/ctl.py
+++ b/hemlockswitch/programs/ctl.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl`: the operators' command. It steers the system only by applying files."""
+"""`hemlock-ctl`: the command for operators, which changes the system only by applying files."""
 
 from gevent import monkey
 
@@ -31,7 +31,7 @@
 
 
 def make_application() -> Application:
-    """Return the command line with all its commands."""
+    """Return the application with all its commands."""
     application = Application("hemlock-ctl", hemlockswitch.__version__)
     application.set_display_name("hemlock-ctl")
     for command in COMMANDS:
--- a/hemlockswitch/programs/ctl_apply.py
+++ b/hemlockswitch/programs/ctl_apply.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl diff` and `apply`: compare a file with what is in force, and put it in force."""
+"""`hemlock-ctl diff` and `apply`: compare a file with the revision in force, and apply it."""
 
 from typing import Any
 
@@ -25,13 +25,13 @@
     name = "diff"
     description = "Show what a file would change in the revision in force."
     arguments = [argument("file", "The operator file, JSON.")]
-    help = """Prints the revision in force and each change by its path. Apply with --from and the
-number that this printed.
+    help = """Prints the number of the revision in force and each change with its path. Pass that
+number to apply with --from.
 
 Exit codes: 0 compared, 2 the file has mistakes, 4 the platform does not answer."""
 
     def run_command(self) -> int:
-        """Compare and write the changes."""
+        """Compare the file with the revision in force and write the changes."""
         checked = read_file(self.argument("file"))
         current = RevisionStore(self.client, self.clock, self.patience_ms).read_current()
         tree = {} if current.revision is None else current.revision.tree
@@ -47,36 +47,36 @@
 
 
 class ApplyCommand(PlatformCommand):
-    """Put a file in force as a whole."""
+    """Apply a file as a new revision."""
 
     name = "apply"
-    description = "Put an operator file in force, as a whole or not at all."
+    description = "Apply an operator file, completely or not at all."
     arguments = [argument("file", "The operator file, JSON.")]
     options = [
         *PLATFORM_OPTIONS,
         option(
             "from",
             None,
-            "Number of the revision that you saw, or 'latest'. Needed once there is one.",
+            "Revision that the file is based on, or 'latest'. Required unless none exists yet.",
             flag=False,
         ),
-        option("wait", None, "Seconds to wait until it is in force in every zone.", flag=False),
+        option("wait", None, "Seconds to wait until it is active in every zone.", flag=False),
     ]
-    help = """Checks the file, writes it as one new revision, and moves the pointer if the revision
-in force is still the one that you saw (--from). Otherwise nothing changes and the difference
-is shown. A write whose answer is lost is recognised by the apply's own id. Applying what is
-in force already writes nothing and succeeds.
+    help = """Validates the file, writes it as a new revision, and moves the pointer to it if the
+revision in force is still the one given with --from. Otherwise nothing is changed and the
+differences are shown. If the answer to a write is lost, the write is recognised by its apply id.
+Applying the file that is already in force writes nothing and succeeds.
 
-With --wait it returns as soon as every live daemon of every zone of the file has the revision,
-or when the time is over; it names the zones that do not answer and how old their last word is.
+With --wait, the command returns when every live daemon of every zone of the file has the revision,
+or at the time-out; it then names the zones that do not answer and the age of their last report.
 
 Exit codes: 0 applied (with --wait: and in force everywhere), 1 wrong use, 2 the file has
 mistakes, 3 another revision is in force, 4 the platform does not answer and nothing was
-changed, 5 it is not known whether it took effect (run the same command again), 6 applied, but
-not yet in force in every zone when the time was over."""
+changed, 5 unknown whether it took effect (run the same command again), 6 applied, but not in
+force in every zone within the time-out."""
 
     def run_command(self) -> int:
-        """Apply and, if asked, wait."""
+        """Apply the file and, with ``--wait``, wait until it is in force."""
         seen = self._read_seen()
         wait_ms = self.read_seconds("wait") * MS_PER_SECOND if self.option("wait") else None
         checked = read_file(self.argument("file"))
@@ -101,7 +101,7 @@
         if seen == LATEST:
             return None
         if not seen.isdigit():
-            raise InvalidFileError.from_reason("--from is neither a number nor 'latest'")
+            raise InvalidFileError.from_reason("--from must be a revision number or 'latest'")
         return int(seen)
 
     def _wait(self, checked: CheckedFile, applied: Applied, wait_ms: float) -> list[ZoneView]:
@@ -145,7 +145,7 @@
 
 
 def describe_view(view: ZoneView) -> dict[str, Any]:
-    """Return a zone's view for a program."""
+    """Return the view of a zone as JSON fields."""
     return {
         "zone": view.zone,
         "state": view.state.value,
@@ -157,7 +157,7 @@
 
 
 def format_view(view: ZoneView) -> str:
-    """Return a zone's view for people."""
+    """Return the view of a zone as one line of text."""
     if view.age_ms is None:
         return f"{view.zone}: does not answer; it never gave a word"
     age_s = view.age_ms / MS_PER_SECOND
--- a/hemlockswitch/programs/ctl_events.py
+++ b/hemlockswitch/programs/ctl_events.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl events`: what happens in the system, as it happens."""
+"""`hemlock-ctl events`: a live feed of changes in the system."""
 
 import json
 from datetime import UTC, datetime
@@ -12,22 +12,22 @@
 
 
 class EventsCommand(PlatformCommand):
-    """Follow the platform and write a line for each change."""
+    """Watch the platform and write a line for each change."""
 
     name = "events"
-    description = "Write what happens as it happens: revisions, leases, zones, backend servers."
+    description = "Write changes as they occur: revisions, leases, zones, backend servers."
     options = [
         *PLATFORM_OPTIONS,
-        option("seconds", None, "End after so many seconds; without it, on Ctrl-C.", flag=False),
+        option("seconds", None, "Seconds to run; without it, until Ctrl-C.", flag=False),
     ]
-    help = """Begins with the present state, then writes a line for each change, with --json one
-object a line. It holds three watches and reads the VM list every two seconds. The numbered events
-of the daemons' own logs are in docs/reference/events.md.
+    help = """Writes the current state, then a line for each change; with --json, one object per line.
+It uses three watches and reads the VM list every two seconds. The numbered events in the logs of
+the daemons are described in docs/reference/events.md.
 
 Exit codes: 0 ended."""
 
     def run_command(self) -> int:
-        """Follow until the time is over or Ctrl-C."""
+        """Write events until the given time has passed or Ctrl-C is pressed."""
         seconds = self.option("seconds")
         duration_ms = self.read_seconds("seconds") * MS_PER_SECOND if seconds else None
         try:
--- a/hemlockswitch/programs/ctl_files.py
+++ b/hemlockswitch/programs/ctl_files.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl check`: name every mistake in an operator file or a settings file."""
+"""`hemlock-ctl check`: report the mistakes in an operator file or a settings file."""
 
 import json
 from enum import IntEnum
@@ -23,7 +23,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's exit code says; documented in docs/reference/hemlock-ctl.md."""
+    """Exit codes of the commands; documented in docs/reference/hemlock-ctl.md."""
 
     DONE = 0
     WRONG_USE = 1
@@ -60,25 +60,25 @@
 
 
 class CheckCommand(Command):
-    """Name every mistake in a file, without a word to the platform."""
+    """Report every mistake in a file; the platform is not contacted."""
 
     name = "check"
-    description = "Name every mistake in an operator file or a settings file; nothing is applied."
+    description = "Report every mistake in an operator or settings file; nothing is applied."
     arguments = [argument("file", "The file, JSON.")]
     options = [
         JSON_OPTION,
         option(
             "kind",
             None,
-            "What the file is: operator, entry, controller or gateway.",
+            "Kind of the file: operator, entry, controller or gateway.",
             flag=False,
             default="operator",
         ),
     ]
-    help = """Reads the whole file and names every mistake at once, each with its path and reason;
-of a gateway's settings it names the first one.
+    help = """Reads the complete file and reports all mistakes at once, each with its path and reason.
+For the settings of a gateway only the first mistake is reported.
 
-Exit codes: 0 the file can be used, 2 it has mistakes."""
+Exit codes: 0 the file is valid, 2 it has mistakes."""
 
     def handle(self) -> int:
         """Run the command."""
@@ -100,7 +100,9 @@
         if kind == "gateway":
             return self._check_gateway(path)
         if kind not in SETTINGS:
-            raise InvalidFileError.from_reason(f"no kind of file is called {kind!r}")
+            raise InvalidFileError.from_reason(
+                f"--kind {kind!r} is not operator, entry, controller or gateway"
+            )
         try:
             SETTINGS[kind].model_validate_json(read_text(path))
         except ValidationError as error:
--- a/hemlockswitch/programs/ctl_gateways.py
+++ b/hemlockswitch/programs/ctl_gateways.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl gateways`: what gateways on the users' platform believe, from their status pages."""
+"""`hemlock-ctl gateways`: the local state of gateways, read from their status pages."""
 
 import json
 from dataclasses import asdict, dataclass
@@ -34,7 +34,7 @@
 
 
 class _StatusBody(BaseModel):
-    """A gateway's status page; what is not read here is passed over."""
+    """The fields of a gateway's status page that this command uses; all others are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -48,15 +48,15 @@
 
 @dataclass(frozen=True)
 class HeldContent:
-    """A content that a gateway holds back since servers ended under it.
+    """A content that a gateway has quarantined because backend servers crashed while serving it.
 
     Parameters
     ==========
 
-    ends : how many servers.
-    trials : how often it was tried since.
-    trial_in_ms : how long until it may be tried again; None if it was tried often enough.
-    changed_ms_ago : when the gateway learned of its last end or trial.
+    ends : number of crashed servers.
+    trials : number of trials since the crashes.
+    trial_in_ms : time until the next trial; None if there will be no further trial.
+    changed_ms_ago : time since the gateway recorded the last crash or trial.
     """
 
     fingerprint: str
@@ -68,16 +68,17 @@
 
 @dataclass(frozen=True)
 class GatewayStatus:
-    """What one gateway believes, or why it could not be asked.
+    """The local state of one gateway, or the reason why it could not be read.
 
     Parameters
     ==========
 
-    revision : the configuration in force there; None before the first.
-    hears : how many other gateways it hears.
-    servers : how many backend servers it knows.
-    held : the contents that it holds back.
-    error : empty if it answered.
+    revision : revision of the active configuration; None before the first.
+    watch_lost : whether the gateway has lost its watch on the object service.
+    hears : number of peers that the gateway receives reports from.
+    servers : number of backend servers that the gateway has recorded.
+    held : the contents that the gateway has quarantined.
+    error : empty if the gateway answered.
     """
 
     address: str
@@ -92,19 +93,19 @@
 
 
 class GatewaysCommand(StatusPagesCommand):
-    """Ask gateways what they believe."""
+    """Show the local state of gateways."""
 
     name = "gateways"
-    description = "Show what gateways believe: readiness, revision, gateways, servers, quarantine."
-    help = """Asks each address for its status page, all at the same time, and shows a line for each,
-and below it one for each content that it holds back since backend servers ended under it.
-Gateways that differ in revision or in the number of servers for longer than a few seconds are cut
-off from the store or from one another.
+    description = "Show the state of gateways: readiness, revision, gateways, servers, quarantine."
+    help = """Reads the status pages of all addresses concurrently and shows a line for each gateway,
+followed by a line for each content that it has quarantined because backend servers crashed while
+serving it. Gateways that differ in revision or in the number of servers for longer than a few
+seconds are cut off from the store or from one another.
 
 Exit codes: 0 every gateway answered, 2 an address or the time-out is wrong, 4 one did not answer."""
 
     def handle(self) -> int:
-        """Ask and show."""
+        """Read the status pages and write the result."""
         statuses = self.ask_all(ask_gateway)
         if statuses is None:
             return ExitCode.MISTAKES
@@ -117,7 +118,7 @@
 
 
 def ask_gateway(host: str, port: int, timeout_ms: float = TIMEOUT_MS) -> GatewayStatus:
-    """Return what the gateway at a control address believes."""
+    """Return the local state of the gateway at a control address."""
     address = f"{host}:{port}"
     try:
         body = read_status_page(_StatusBody, host, port, timeout_ms)
@@ -144,7 +145,7 @@
 
 
 def format_status(status: GatewayStatus) -> str:
-    """Return one line, and one for each content that is held back.
+    """Return one line for the gateway, and one for each quarantined content.
 
     Examples
     ========
@@ -165,7 +166,7 @@
 
 
 def format_held(held: HeldContent) -> str:
-    """Return one line on a content that is held back.
+    """Return one line for a quarantined content.
 
     Examples
     ========
--- a/hemlockswitch/programs/ctl_platform.py
+++ b/hemlockswitch/programs/ctl_platform.py
@@ -1,4 +1,4 @@
-"""What the operators' commands that ask the platform share: its address, and errors' exit codes."""
+"""Base of the commands that query the platform: its address, and the exit codes of errors."""
 
 import json
 from pathlib import Path
@@ -25,11 +25,11 @@
     option(
         "settings",
         None,
-        f'Settings file, {{"platform": "ip:port"}}; {DEFAULT_SETTINGS} if it is there.',
+        f'Settings file, {{"platform": "ip:port"}}; default {DEFAULT_SETTINGS} if it exists.',
         flag=False,
     ),
     option(
-        "patience", None, "Seconds to go on trying.", flag=False, default="10", value_required=True
+        "patience", None, "Seconds to keep retrying.", flag=False, default="10", value_required=True
     ),
     JSON_OPTION,
 ]
@@ -45,12 +45,12 @@
 
 
 class PlatformCommand(Command):
-    """A command that asks the platform."""
+    """A command that queries the platform."""
 
     options = PLATFORM_OPTIONS
 
     def handle(self) -> int:
-        """Run the command and turn its errors into messages and exit codes."""
+        """Run the command and report its errors as messages and exit codes."""
         self.clock = SystemClock()
         try:
             self.client = PlatformClient.from_settings(self._read_settings(), ROLE)
@@ -68,18 +68,18 @@
 
     @property
     def patience_ms(self) -> float:
-        """How long to go on trying."""
+        """Total time for retries of calls to the platform."""
         return self.read_seconds("patience") * MS_PER_SECOND
 
     def read_seconds(self, name: str) -> float:
-        """Return an option that is a number of seconds."""
+        """Return the value of an option in seconds."""
         try:
             return float(self.option(name))
         except ValueError as error:
-            raise InvalidFileError.from_reason(f"--{name} is not a number of seconds") from error
+            raise InvalidFileError.from_reason(f"--{name} must be a number of seconds") from error
 
     def write_answer(self, answer: dict[str, Any], lines: list[str]) -> None:
-        """Write an answer for a program or for people."""
+        """Write the answer as JSON with ``--json``, else as lines of text."""
         if self.option("json"):
             self.line(json.dumps(answer))
             return
@@ -96,17 +96,19 @@
         except ValidationError as error:
             raise InvalidFileError(list_model_mistakes(error)) from error
         except (OSError, UnicodeDecodeError) as error:
-            reason = f"no platform: give --platform, or --settings with a readable file ({error})"
+            reason = (
+                f"no platform address: use --platform, or --settings with a readable file ({error})"
+            )
             raise InvalidFileError.from_reason(reason) from error
 
 
 def describe_changes(changes: tuple[Change, ...]) -> list[str]:
-    """Return changes as lines for people."""
+    """Return changes as indented lines of text."""
     return [f"  {describe_change(change)}" for change in changes] or ["  none"]
 
 
 def report_conflict(command: Command, error: RevisionConflictError) -> int:
-    """Write what another operator changed."""
+    """Write the changes of another operator and those of the file, and return the exit code."""
     answer = {
         "ok": False,
         "kind": error.kind.value,
@@ -120,13 +122,15 @@
         return ExitCode.CONFLICT
     command.line_error(f"conflict: {error.detail}")
     if error.their_changes:
-        command.line_error(f"changed by others from {error.seen} to {error.found}:")
+        command.line_error(f"changed by other operators from {error.seen} to {error.found}:")
     for line in describe_changes(error.their_changes) if error.their_changes else ():
         command.line_error(line)
     command.line_error(f"your file would change in {error.found}:")
     for line in describe_changes(error.our_changes):
         command.line_error(line)
-    command.line_error(f"take these into your file, then apply it with --from {error.found}")
+    command.line_error(
+        f"merge these changes into your file, then apply it with --from {error.found}"
+    )
     return ExitCode.CONFLICT
 
 
--- a/hemlockswitch/programs/ctl_requests.py
+++ b/hemlockswitch/programs/ctl_requests.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl requests`: what gateways' logs say of the requests, by time, route and gateway."""
+"""`hemlock-ctl requests`: request statistics from gateway logs, by time, route and gateway."""
 
 import json
 import sys
@@ -11,28 +11,28 @@
 from hemlockswitch.programs.request_lines import RequestSummary, Sums, read_lines
 
 STEP_S = 2.0
-"""A window of this length still has some hundred requests of a small site."""
+"""A window of this length still contains some hundred requests of a small site."""
 
 
 class RequestsCommand(Command):
-    """Add up the requests in gateways' logs."""
+    """Show statistics of the requests in gateway logs."""
 
     name = "requests"
-    description = "Show from gateways' logs when, where and why requests were lost or late."
+    description = "Show from gateway logs when, where and why requests failed or were late."
     arguments = [argument("files", "Log files; - for standard input.", multiple=True)]
     options = [
         JSON_OPTION,
-        option("step", None, "Seconds of a window.", flag=False, default=str(STEP_S)),
+        option("step", None, "Length of a window in seconds.", flag=False, default=str(STEP_S)),
     ]
-    help = """Reads the gateways' log lines of requests and shows, for each window of time, each route
-and each gateway: the outcomes, requests sent more than once, and the median and the slowest tenth of
-the time to the beginning of the answer and of what it differs from the prediction. Lines that are
-not of requests are passed over.
+    help = """Reads the request lines of gateway logs and shows, for each time window, each route and
+each gateway: the outcomes, the requests sent more than once, and the median and 90th percentile of
+the time to the start of the answer and of its difference from the prediction. All other lines are
+ignored.
 
 Exit codes: 0 requests were found, 2 a file cannot be read, an option is wrong, or none was found."""
 
     def handle(self) -> int:
-        """Read and show."""
+        """Read the logs and write the statistics."""
         try:
             summary = RequestSummary(_read_step(self.option("step")))
             for file in self.argument("files"):
@@ -41,7 +41,7 @@
             self.line_error(str(error))
             return ExitCode.MISTAKES
         if not summary.by_time:
-            self.line_error("no line of a request")
+            self.line_error("the files contain no request lines")
             return ExitCode.MISTAKES
         if self.option("json"):
             self.line(json.dumps(_describe(summary)))
@@ -78,7 +78,7 @@
 def _read_step(text: str) -> float:
     step_s = float(text)
     if not 0 < step_s < float("inf"):
-        raise ValueError("--step is a number of seconds above 0")
+        raise ValueError("--step must be a number of seconds greater than 0")
     return step_s
 
 
@@ -91,7 +91,7 @@
 
 
 def format_sums(name: str, sums: Sums) -> str:
-    """Return one line of a group of requests.
+    """Return the statistics of a group of requests as one line of text.
 
     Examples
     ========
--- a/hemlockswitch/programs/ctl_rollouts.py
+++ b/hemlockswitch/programs/ctl_rollouts.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl rollouts`: how the moves of services to new versions stand, from gateways' status pages."""
+"""`hemlock-ctl rollouts`: the state of rollouts, read from the status pages of gateways."""
 
 import json
 from collections.abc import Iterable
@@ -23,14 +23,16 @@
 
 
 class _RolloutBody(BaseModel):
-    """An order on a gateway's status page.
+    """A rollout order on a gateway's status page.
 
     Parameters
     ==========
 
-    sent, bound : requests that this gateway has sent to the new version, and may have sent by now.
-    verdict : what the answers over all gateways say.
-    routes : by route, answers, failures and slow answers of the new version, and of the others.
+    sent, bound : number of requests that this gateway has sent to the new version, and its current
+        limit.
+    verdict : the verdict on the answers over all gateways.
+    routes : for each route, the numbers of answers, failures and slow answers of the new version and
+        of all other versions.
     """
 
     model_config = ConfigDict(extra="ignore", frozen=True)
@@ -57,13 +59,13 @@
 
 
 class RolloutView(_RolloutBody):
-    """How one gateway sees an order.
+    """The state of a rollout order at one gateway.
 
     Parameters
     ==========
 
-    gateway : its name.
-    holds_duties : whether it decides on the order.
+    gateway : name of the gateway.
+    holds_duties : whether the gateway decides on the order.
     """
 
     gateway: str
@@ -71,17 +73,17 @@
 
 
 class RolloutsCommand(StatusPagesCommand):
-    """Ask gateways how the moves of services to new versions stand."""
+    """Show the state of rollouts at gateways."""
 
     name = "rollouts"
-    description = "Show roll-outs as gateways see them: state, requests sent, verdict by route."
-    help = """Asks each address for its status page, all at the same time, and shows for each order a
-line for each gateway, and below the first one a line for each route.
+    description = "Show rollouts at each gateway: state, requests sent, verdict by route."
+    help = """Reads the status pages of all addresses concurrently and shows, for each order, a line
+for each gateway and, below the first of these, a line for each route.
 
 Exit codes: 0 every gateway answered, 2 an address or the time-out is wrong, 4 one did not answer."""
 
     def handle(self) -> int:
-        """Ask and show."""
+        """Read the status pages and write the result."""
         answers = self.ask_all(ask_rollouts)
         if answers is None:
             return ExitCode.MISTAKES
@@ -98,7 +100,7 @@
 
 
 def ask_rollouts(host: str, port: int, timeout_ms: float = TIMEOUT_MS) -> list[RolloutView] | str:
-    """Return the orders that a gateway knows, or why it could not be asked."""
+    """Return the rollout orders at a gateway, or the reason why its status could not be read."""
     try:
         body = read_status_page(_StatusBody, host, port, timeout_ms)
     except StatusPageError as error:
@@ -114,7 +116,7 @@
 
 
 def format_views(views: Iterable[RolloutView]) -> list[str]:
-    """Return the lines of all orders, by service."""
+    """Return the lines of all orders, sorted by service."""
     lines: list[str] = []
     known: set[tuple[str, str]] = set()
     for view in sorted(views, key=lambda one: (one.service, one.target, not one.holds_duties)):
@@ -126,7 +128,7 @@
 
 
 def format_view(view: RolloutView) -> str:
-    """Return one line.
+    """Return one line on the state of an order at a gateway.
 
     Examples
     ========
--- a/hemlockswitch/programs/ctl_status.py
+++ b/hemlockswitch/programs/ctl_status.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl status` and `history`: what is in force where, and what was before."""
+"""`hemlock-ctl status` and `history`: the state of the system, and earlier revisions."""
 
 from datetime import UTC, datetime
 from typing import Any
@@ -19,7 +19,7 @@
 from hemlockswitch.version.revisions import NO_REVISION, Revision
 
 NUMBERS_AHEAD = 3
-"""How far above the pointer `history` looks for revisions that never came in force."""
+"""How many numbers above the pointer `history` searches for revisions that were never in force."""
 
 
 class StatusCommand(PlatformCommand):
@@ -28,14 +28,14 @@
     name = "status"
     description = "Show zones, daemons, revisions in force, backend servers and copies."
     options = [*PLATFORM_OPTIONS, option("daemons", None, "Show every daemon, not only zones.")]
-    help = """Shows the revision that the pointer names, each zone's last word and its age, the
-backend servers of the VM list (it lags), and the copies of each model and service against the
-licence with what limits them.
+    help = """Shows the revision that the pointer names, the last report of each zone and its age, the
+backend servers of the VM list (which lags), and the copies of each model and service compared with
+the licence, with the reason that limits them.
 
 Exit codes: 0 shown, 4 the platform does not answer."""
 
     def run_command(self) -> int:
-        """Ask and show."""
+        """Query the platform and write the result."""
         current = RevisionStore(self.client, self.clock, self.patience_ms).read_current()
         vms = self._list_vms()
         views = self._view_zones(current)
@@ -44,7 +44,10 @@
         return ExitCode.DONE
 
     def _list_vms(self) -> tuple[ListedVm, ...] | None:
-        """Return the VM list; the cloud API may be down while the object service answers."""
+        """Return the VM list, or None if the cloud API does not answer.
+
+        The cloud API may be down while the object service answers.
+        """
         try:
             return self.client.list_vms().vms
         except HemlockError:
@@ -108,13 +111,13 @@
         option("count", None, "How many revisions to show.", flag=False, default="10"),
         option("changes", None, "Show each revision's changes."),
     ]
-    help = """Walks back from the revision that the pointer names. A revision that no pointer ever
-named (its apply died, or lost a race) is shown as never in force.
+    help = """Goes back from the revision that the pointer names. A revision that the pointer never
+named (its apply crashed, or lost a race) is shown as never in force.
 
 Exit codes: 0 shown, 4 the platform does not answer."""
 
     def run_command(self) -> int:
-        """Read the revisions, the newest first."""
+        """Write the revisions, newest first."""
         self._store = RevisionStore(self.client, self.clock, self.patience_ms)
         current = self._store.read_current()
         count = int(self.option("count"))
@@ -165,7 +168,7 @@
 
 
 def describe_vm(vm: ListedVm) -> dict[str, Any]:
-    """Return a VM for a program."""
+    """Return a VM as JSON fields."""
     return {
         "name": vm.name,
         "zone": vm.zone,
@@ -177,13 +180,13 @@
 
 
 def format_vm(vm: ListedVm) -> str:
-    """Return a VM for people."""
+    """Return a VM as one line of text."""
     price = f"{vm.machine_class} at {vm.price_per_hour} an hour"
     return f"{vm.name}: {vm.state} in {vm.zone}, serves {vm.serves}, {price}"
 
 
 def format_daemon(daemon: StoredDaemon, zone_age_ms: int) -> str:
-    """Return a daemon for people; its word is as old as the zone's and its own age together."""
+    """Return a daemon as one line; the age of its report is the sum of the zone's and its own."""
     ready = "ready" if daemon.ready else "not ready"
     age = "never heard"
     if daemon.age_ms is not None:
@@ -195,13 +198,13 @@
 
 
 def format_refusals(refused: dict[str, int]) -> str:
-    """Return what refused requests in a zone, for people; empty when nothing did."""
+    """Return the numbers of refused requests by reason as text; empty if there are none."""
     counts = ", ".join(f"{kind} {count}" for kind, count in sorted(refused.items()))
     return f"; refused by {counts}" if counts else ""
 
 
 def list_limits(revision: Revision) -> list[str]:
-    """Return a line for each account's limits."""
+    """Return one line with the limits of each client account."""
     return [
         f"{one.name}: {one.limits.requests_per_second:g} requests/s,"
         f" {one.limits.tokens_per_second:g} tokens/s,"
--- a/hemlockswitch/programs/daemon.py
+++ b/hemlockswitch/programs/daemon.py
@@ -1,4 +1,4 @@
-"""What the command lines of the daemons share: options, checked settings, exit codes."""
+"""Base of the daemons' command lines: options, validation of settings, exit codes."""
 
 from collections.abc import Callable
 from typing import Any, ClassVar
@@ -21,13 +21,13 @@
 
 
 class DaemonCommand(Command):
-    """The one command of a daemon's program.
+    """The single command of a daemon's program.
 
     Explanation
     ===========
 
-    A subclass names the settings' model and builds the daemon; both are class attributes so that
-    the command line itself stays the same for every daemon.
+    A subclass sets `settings_model` and overrides `build_daemon`; the command line is then
+    identical for every daemon.
     """
 
     settings_model: ClassVar[type[FileSettings]]
@@ -38,19 +38,19 @@
     ]
 
     def build_daemon(self, settings: Any) -> Daemon:
-        """Return the daemon that `settings` describe."""
+        """Return the daemon for `settings`."""
         raise NotImplementedError
 
     def find_stop(self, daemon: Any) -> tuple[Callable[[], Any], Signal]:
-        """Return what a signal calls, and what is set once the daemon shall stop."""
+        """Return the function that signals call, and the event that is set to stop the daemon."""
         stopping = Signal()
         return stopping.set, stopping
 
     def handle(self) -> int:
-        """Check the settings, then run until told to stop."""
+        """Validate the settings, then run the daemon until it is stopped."""
         path = self.option("settings")
         if not path:
-            self.line_error("--settings: a file is needed")
+            self.line_error("--settings: a file is required")
             return EXIT_SETTINGS
         try:
             settings = self.settings_model.from_file(path)
@@ -64,18 +64,18 @@
         return EXIT_OK
 
     def serve(self, settings: Any, path: str) -> None:
-        """Run the daemon until it is told to stop."""
+        """Run the daemon until it is stopped."""
         configure_logs(settings.name, settings.log_level)
         daemon = self.build_daemon(settings)
         serve_until_stopped(daemon, *self.find_stop(daemon))
 
 
 def run_program(program: str, command: Command) -> int:
-    """Run a program that has this one command and return its exit code."""
+    """Run a program with a single command and return its exit code."""
     application = Application(program, hemlockswitch.__version__)
     application.set_display_name(program)
     application.add(command)
-    # cleo has no public way to make a command the only one.
+    # cleo has no public interface for an application with a single command.
     application._default_command = command.name or program
     application._single_command = True
     return application.run()
--- a/hemlockswitch/programs/entry.py
+++ b/hemlockswitch/programs/entry.py
@@ -1,4 +1,4 @@
-"""``hemlock-entry``: the daemon in the callers' path."""
+"""``hemlock-entry``: the daemon that receives the requests of callers."""
 
 from gevent import monkey
 
@@ -16,13 +16,13 @@
 
 
 class EntryCommand(DaemonCommand):
-    """Serves callers."""
+    """Runs the entry daemon."""
 
     name = "entry"
     description = "serve callers: admit, route and relay their requests"
     help = (
-        "Reads a JSON settings file and serves until SIGTERM or SIGINT, which let requests in\n"
-        "progress end or move to another daemon, as a reclaim notice does. Exit codes:\n"
+        "Reads a JSON settings file and serves until SIGTERM, SIGINT or a reclaim notice; requests\n"
+        "in progress then finish or move to another daemon. Exit codes:\n"
         "0 stopped gracefully, 2 the settings have mistakes."
     )
     settings_model = EntrySettings
@@ -32,7 +32,10 @@
         return EntryDaemon.from_settings(settings)
 
     def find_stop(self, daemon: EntryDaemon) -> tuple[Callable[[], Any], Signal]:
-        """Return the daemon's own departure, which a reclaim notice begins as well."""
+        """Return the request and the event of the daemon's departure.
+
+        A reclaim notice starts the departure in the same way as a signal.
+        """
         return daemon.departure.request, daemon.departure.told
 
 
--- a/hemlockswitch/programs/gateway.py
+++ b/hemlockswitch/programs/gateway.py
@@ -1,7 +1,7 @@
 """``hemlock-gateway``: forwards requests by routes on the users' platform, and takes the duties.
 
-Nothing is imported here that a start does not need: callers wait for it after every restart. All
-sockets are gevent's own, so the standard library is not patched.
+This module imports only what the start needs, since callers wait for the start after every restart.
+All sockets are gevent's own, so the standard library is not patched.
 """
 
 import sys
@@ -35,7 +35,7 @@
 
 
 def build_adapter(settings: GatewaySettings, clock: SystemClock) -> Adapter:
-    """Return the users' platform behind the gateway's own interfaces."""
+    """Return the adapter between the gateway's interfaces and the users' platform."""
     cloud = settings.cloud
     return Adapter(
         dialect=Headers(),
@@ -53,7 +53,7 @@
 
 
 def serve(settings: GatewaySettings, path: str) -> None:
-    """Run the gateway of a settings file until it is told to stop."""
+    """Run the gateway with `settings`, read from `path`, until it is stopped."""
     output = BoundedOutput(sys.stdout.fileno())
     set_log_writer(LineWriter(settings.name, settings.log_level, output))
     clock = SystemClock()
@@ -65,7 +65,7 @@
 
 
 def start(path: str) -> int:
-    """Serve by a settings file and return the exit code."""
+    """Run the gateway with the settings file at `path` and return the exit code."""
     try:
         settings = GatewaySettings.from_file(path)
     except ConfigurationError as error:
@@ -80,7 +80,7 @@
     match sys.argv[1:]:
         case ["--settings", path]:
             return start(path)
-    # Help and checks are for operators: only they load the command line framework.
+    # Only help and checks need the command line framework; importing it would delay the start.
     from hemlockswitch.programs.gateway_command import run_command
 
     return run_command(serve)
--- a/hemlockswitch/programs/load.py
+++ b/hemlockswitch/programs/load.py
@@ -1,4 +1,4 @@
-"""``hemlock-load``: sends mixed requests from a seed and checks every answer."""
+"""``hemlock-load``: sends a seeded mix of requests and checks every answer."""
 
 from gevent import monkey
 
@@ -23,17 +23,17 @@
 
 
 class LoadCommand(Command):
-    """The one command of the program."""
+    """Sends the load and writes the results."""
 
     name = "load"
     description = "send open-loop load and check every answer"
     help = (
-        "Writes the results as JSON. Exit codes: 0 every answer that came was whole and its\n"
-        "caller's own, 1 some were not, 2 the settings have mistakes."
+        "Writes the results as JSON. Exit codes: 0 every answer received was complete and belonged\n"
+        "to its caller, 1 some were not, 2 the settings have mistakes."
     )
     options = [
         option("settings", None, "JSON settings file", flag=False),
-        option("results", None, "file for the results; standard output without", flag=False),
+        option("results", None, "file for the results; default standard output", flag=False),
     ]
 
     def handle(self) -> int:
--- a/hemlockswitch/programs/request_lines.py
+++ b/hemlockswitch/programs/request_lines.py
@@ -1,4 +1,4 @@
-"""Gateways' log lines of requests, read back and added up: when, where and why callers lost."""
+"""Request statistics from gateway logs: when, where and why requests failed or were late."""
 
 import json
 import statistics
@@ -15,15 +15,16 @@
 
 @dataclass(frozen=True)
 class RequestLine:
-    """How one request ended.
+    """The outcome of one request.
 
     Parameters
     ==========
 
     at_s : Unix time of its end.
-    outcome : ``answered``, an error kind, or how it broke off.
-    sends : how many backend servers got it.
-    expected_ms, began_ms : predicted and seen time to the beginning of its answer; None without one.
+    outcome : ``answered``, an error kind, or how the answer was interrupted.
+    sends : number of backend servers that the request was sent to.
+    expected_ms, began_ms : predicted and observed time to the start of the answer; `began_ms` is
+        None if there was no answer.
     """
 
     at_s: float
@@ -36,12 +37,12 @@
 
     @classmethod
     def from_fields(cls, fields: dict[str, object]) -> "RequestLine":
-        """Return the request of a log line.
+        """Return the request described by the fields of a log line.
 
         Raises
         ======
 
-        KeyError, ValueError, TypeError, AttributeError : the line is not one of a request.
+        KeyError, ValueError, TypeError, AttributeError : the line does not describe a request.
         """
         began_ms = fields.get("began_ms")
         return cls(
@@ -56,7 +57,7 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[RequestLine]:
-    """Yield the requests among log lines; whatever stands before a line's object is passed over.
+    """Yield the requests among log lines; text before the JSON object of a line is ignored.
 
     Examples
     ========
@@ -74,12 +75,12 @@
             if fields["number"] in _ENDED:
                 yield RequestLine.from_fields(fields)
         except (ValueError, KeyError, TypeError, AttributeError):
-            continue  # Other programs write to the same files; only requests count here.
+            continue  # Other programs write to the same files; their lines are ignored.
 
 
 @dataclass
 class Sums:
-    """What became of a group of requests.
+    """Statistics of a group of requests.
 
     Examples
     ========
@@ -105,7 +106,7 @@
             self.off_ms.append(line.began_ms - line.expected_ms)
 
     def describe(self) -> dict[str, object]:
-        """Return the sums: outcomes, and the median and the slowest tenth of the times."""
+        """Return the outcomes, and the median and 90th percentile of the times."""
         return {
             "outcomes": dict(self.outcomes.most_common()),
             "sent_again": self.sent_again,
@@ -115,7 +116,7 @@
 
 
 def find_quantiles(values: list[float]) -> list[float]:
-    """Return the median and the quantile above which a tenth lies; nothing without values.
+    """Return the median and the 90th percentile; an empty list without values.
 
     Examples
     ========
@@ -131,12 +132,12 @@
 
 @dataclass
 class RequestSummary:
-    """Requests by time, by route and by gateway.
+    """Statistics of requests by time window, by route and by gateway.
 
     Parameters
     ==========
 
-    step_s : length of a window of time.
+    step_s : length of a time window.
     """
 
     step_s: float
@@ -151,7 +152,7 @@
         self.by_gateway[line.gateway].add(line)
 
     def list_windows(self) -> list[tuple[float, Sums]]:
-        """Return the windows with their beginning in seconds since the first one."""
+        """Return the windows with their start in seconds since the start of the first one."""
         first = min(self.by_time, default=0)
         return [
             ((window - first) * self.step_s, self.by_time[window])
--- a/hemlockswitch/programs/service.py
+++ b/hemlockswitch/programs/service.py
@@ -1,4 +1,4 @@
-"""The life of a daemon's process: ready line, signals, changed settings, graceful stop."""
+"""Life cycle of a daemon process: ready line, signals, changed settings, graceful stop."""
 
 import json
 import signal
@@ -19,17 +19,17 @@
 EXIT_OK = 0
 EXIT_SETTINGS = 2
 SETTINGS_LOOK_MS = 2_000
-"""Time between two looks at the settings file: a few reads of a small file a second at most."""
+"""The cost is at most a few reads of a small file per second."""
 
 
 class Daemon(Protocol):
-    """A long-running part of the system, as its program sees it."""
+    """The interface of a daemon for the program that runs it."""
 
     def start(self) -> dict[str, str]:
         """Open the sockets, spawn the tasks, and return the addresses that are bound."""
 
     def stop(self) -> None:
-        """End gracefully."""
+        """Stop gracefully."""
 
 
 def serve_until_stopped(
@@ -38,14 +38,14 @@
     told: Signal,
     output: TextIO | BoundedOutput = sys.stdout,
 ) -> None:
-    """Run a daemon until a signal, then end it gracefully.
+    """Run a daemon until a stop is requested, then stop it gracefully.
 
     Parameters
     ==========
 
-    ask_to_stop : called by SIGTERM and SIGINT.
-    told : set once the daemon shall stop.
-    output : gets the ready line.
+    ask_to_stop : called on SIGTERM and SIGINT.
+    told : event that is set when the daemon is to stop.
+    output : file that the ready line is written to.
     """
     for number in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(number, ask_to_stop)
@@ -60,19 +60,19 @@
 
 
 class SettingsWatcher:
-    """Reads the settings file again when it may have changed.
+    """Reloads the settings file when it may have changed.
 
     Explanation
     ===========
 
-    A file that has mistakes changes nothing; the settings in force stay until it is mended.
+    An invalid file is ignored; the current settings remain active until the file is fixed.
 
     Parameters
     ==========
 
     path : the settings file.
-    settings : the settings in force.
-    apply : called with new settings.
+    settings : the current settings.
+    apply : called with changed settings.
     """
 
     def __init__(self, path: str, settings: FileSettings, apply: Callable[[Any], None]) -> None:
@@ -82,18 +82,18 @@
         self._refused = ""
 
     def start(self) -> None:
-        """Look from time to time, and at SIGHUP."""
+        """Check the file periodically and on SIGHUP."""
         gevent.signal_handler(signal.SIGHUP, self.look)
         gevent.spawn(self.run)
 
     def run(self) -> None:
-        """Look from time to time, for files that change without a signal."""
+        """Check the file periodically, since it may change without a signal."""
         while True:
             gevent.sleep(SETTINGS_LOOK_MS / MS_PER_SECOND)
             self.look()
 
     def look(self) -> None:
-        """Take the file's settings if they differ."""
+        """Read the file and apply its settings if they changed."""
         try:
             settings = type(self._settings).from_file(self._path)
         except ConfigurationError as error:
--- a/hemlockswitch/programs/standin.py
+++ b/hemlockswitch/programs/standin.py
@@ -1,4 +1,4 @@
-"""``hemlock-standin``: the outside systems' stand-ins, one process each."""
+"""``hemlock-standin``: stand-ins of external systems for tests, one process each."""
 
 from gevent import monkey
 
@@ -16,7 +16,7 @@
 
 
 class StandinCommand(Command):
-    """One stand-in; reads a JSON settings file and serves until it is stopped."""
+    """Base of the stand-ins: reads a JSON settings file and serves until it is stopped."""
 
     options = [option("settings", None, "JSON settings file", flag=False)]
 
@@ -26,7 +26,7 @@
         return 0
 
     def serve(self, settings: dict[str, Any]) -> None:
-        """Serve until the process is asked to stop."""
+        """Serve until the process is stopped."""
         raise NotImplementedError
 
 
@@ -83,7 +83,7 @@
 
 
 class GatewayStoreCommand(StandinCommand):
-    """Serve the users' platform for gateways."""
+    """Serve the object store and cloud API of the users' platform for gateways."""
 
     name = "gateway-store"
     description = "serve a stand-in of the users' object store and cloud API"
--- a/hemlockswitch/programs/status_pages.py
+++ b/hemlockswitch/programs/status_pages.py
@@ -1,4 +1,4 @@
-"""Reading gateways' status pages, for the commands that show what gateways believe."""
+"""Base of the commands that read the status pages of gateways."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar
@@ -16,7 +16,7 @@
 from hemlockswitch.version.settings import describe_mistakes
 
 TIMEOUT_MS = 2_000.0
-"""A status page answers in milliseconds; a gateway that takes longer is of interest as such."""
+"""A status page is answered within milliseconds; a slower gateway is reported as an error."""
 
 Page = TypeVar("Page", bound=BaseModel)
 
@@ -31,7 +31,7 @@
     Raises
     ======
 
-    StatusPageError : it did not answer, or what answered is no status page.
+    StatusPageError : the gateway did not answer, or the answer is not a status page.
     """
     timeout_s = timeout_ms / MS_PER_SECOND
     client = SingleSendClient(host, port, connection_timeout=timeout_s, network_timeout=timeout_s)
@@ -46,21 +46,23 @@
 
 
 class StatusPagesCommand(Command):
-    """Base of the commands that ask some gateways for their status pages, all at the same time."""
+    """Base of the commands that read the status pages of several gateways concurrently."""
 
     arguments = [argument("addresses", "Control addresses, ip:port.", multiple=True)]
     options = [
         JSON_OPTION,
-        option("timeout", None, "Milliseconds for each.", flag=False, default=str(int(TIMEOUT_MS))),
+        option(
+            "timeout", None, "Time-out for each in ms.", flag=False, default=str(int(TIMEOUT_MS))
+        ),
     ]
 
     def ask_all(self, ask: Callable[[str, int, float], Any]) -> list[Any] | None:
-        """Return what `ask` returns for each address; None after a mistake, which is shown."""
+        """Return the result of `ask` for each address, or None after reporting invalid arguments."""
         try:
             timeout_ms = float(self.option("timeout"))
             addresses = [split_address(text) for text in self.argument("addresses")]
         except ValueError:
-            self.line_error("an address is ip:port, and --timeout a number of milliseconds")
+            self.line_error("an address must be ip:port, and --timeout a number of milliseconds")
             return None
         tasks = [gevent.spawn(ask, host, port, timeout_ms) for host, port in addresses]
         return [task.get() for task in tasks]
