--- a/hemlockswitch/programs/ctl_apply.py
+++ b/hemlockswitch/programs/ctl_apply.py
@@ -15,7 +15,7 @@
 from hemlockswitch.version.checks import CheckedFile, InvalidFileError
 from hemlockswitch.version.differences import compare_trees, describe_change
 
-POLL_MS = 300
+POLL_INTERVAL_MS = 300
 LATEST = "latest"
 
 
@@ -33,7 +33,7 @@
     def run_command(self) -> int:
         """Compare the file with the revision in force and write the changes."""
         checked = read_file(self.argument("file"))
-        current = RevisionStore(self.client, self.clock, self.patience_ms).read_current()
+        current = RevisionStore(self.client, self.clock, self.retry_timeout_ms).read_current()
         tree = {} if current.revision is None else current.revision.tree
         changes = tuple(compare_trees(tree, checked.tree))
         answer = {
@@ -77,10 +77,10 @@
 
     def run_command(self) -> int:
         """Apply the file and, with ``--wait``, wait until it is in force."""
-        seen = self._read_seen()
+        seen = self._read_base_number()
         wait_ms = self.read_seconds("wait") * MS_PER_SECOND if self.option("wait") else None
         checked = read_file(self.argument("file"))
-        applied = Applier(self.client, self.clock, self.patience_ms).apply(checked, seen)
+        applied = Applier(self.client, self.clock, self.retry_timeout_ms).apply(checked, seen)
         answer = self._describe(applied)
         lines = self._list_lines(applied)
         if wait_ms is None:
@@ -94,7 +94,7 @@
         self.write_answer(answer, [format_view(view) for view in views])
         return ExitCode.DONE if done else ExitCode.NOT_IN_FORCE
 
-    def _read_seen(self) -> int | None:
+    def _read_base_number(self) -> int | None:
         seen = self.option("from")
         if seen is None:
             return 0
@@ -113,7 +113,7 @@
                 return views
             if self.clock.now_ms() >= deadline_ms:
                 return views or view_zones(checked.file.zones, (), applied.number, 0, 0)
-            self.clock.sleep_ms(POLL_MS)
+            self.clock.sleep_ms(POLL_INTERVAL_MS)
 
     def _view(self, checked: CheckedFile, applied: Applied) -> list[ZoneView]:
         try:
--- a/hemlockswitch/programs/ctl_gateways.py
+++ b/hemlockswitch/programs/ctl_gateways.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class HeldContent:
+class QuarantinedContent:
     """A content that a gateway has quarantined because backend servers crashed while serving it.
 
     Parameters
@@ -88,7 +88,7 @@
     watch_lost: bool = False
     hears: int = 0
     servers: int = 0
-    held: tuple[HeldContent, ...] = ()
+    held: tuple[QuarantinedContent, ...] = ()
     error: str = ""
 
 
@@ -106,7 +106,7 @@
 
     def handle(self) -> int:
         """Read the status pages and write the result."""
-        statuses = self.ask_all(ask_gateway)
+        statuses = self.query_all(read_gateway_status)
         if statuses is None:
             return ExitCode.MISTAKES
         if self.option("json"):
@@ -117,7 +117,7 @@
         return ExitCode.PLATFORM if any(status.error for status in statuses) else ExitCode.DONE
 
 
-def ask_gateway(host: str, port: int, timeout_ms: float = TIMEOUT_MS) -> GatewayStatus:
+def read_gateway_status(host: str, port: int, timeout_ms: float = TIMEOUT_MS) -> GatewayStatus:
     """Return the local state of the gateway at a control address."""
     address = f"{host}:{port}"
     try:
@@ -132,13 +132,15 @@
         body.configuration.watch_lost,
         len(body.gateways),
         body.backend_servers,
-        _read_held(body.quarantine),
+        _list_quarantined(body.quarantine),
     )
 
 
-def _read_held(suspects: list[_SuspectBody]) -> tuple[HeldContent, ...]:
+def _list_quarantined(suspects: list[_SuspectBody]) -> tuple[QuarantinedContent, ...]:
     return tuple(
-        HeldContent(one.fingerprint, len(one.ends), one.trials, one.trial_in_ms, one.changed_ms_ago)
+        QuarantinedContent(
+            one.fingerprint, len(one.ends), one.trials, one.trial_in_ms, one.changed_ms_ago
+        )
         for one in suspects
         if one.held
     )
@@ -160,24 +162,26 @@
     ready = "ready" if status.ready else "not ready"
     revision = "no revision" if status.revision is None else f"revision {status.revision}"
     lost = " (store not in touch)" if status.watch_lost else ""
-    heard = f"hears {status.hears} gateways, knows {status.servers} servers"
-    first = f"{status.address} {status.name}: {ready}, {revision}{lost}, {heard}"
-    return "\n".join([first, *(f"  {format_held(one)}" for one in status.held)])
+    counts = f"hears {status.hears} gateways, knows {status.servers} servers"
+    first = f"{status.address} {status.name}: {ready}, {revision}{lost}, {counts}"
+    return "\n".join([first, *(f"  {format_quarantined(one)}" for one in status.held)])
 
 
-def format_held(held: HeldContent) -> str:
+def format_quarantined(content: QuarantinedContent) -> str:
     """Return one line for a quarantined content.
 
     Examples
     ========
 
-    >>> format_held(HeldContent("7f3a", 4, 1, 12_000.0, 8_000.0))
+    >>> format_quarantined(QuarantinedContent("7f3a", 4, 1, 12_000.0, 8_000.0))
     'holds back 7f3a: 4 servers ended, 1 trials, changed 8.0 s ago, next trial in 12.0 s'
     """
-    changed_s = held.changed_ms_ago / MS_PER_SECOND
-    if held.trial_in_ms is None:
-        then = "no further trial"
+    changed_s = content.changed_ms_ago / MS_PER_SECOND
+    if content.trial_in_ms is None:
+        next_trial = "no further trial"
     else:
-        then = f"next trial in {held.trial_in_ms / MS_PER_SECOND:.1f} s"
-    counts = f"{held.ends} servers ended, {held.trials} trials"
-    return f"holds back {held.fingerprint}: {counts}, changed {changed_s:.1f} s ago, {then}"
+        next_trial = f"next trial in {content.trial_in_ms / MS_PER_SECOND:.1f} s"
+    counts = f"{content.ends} servers ended, {content.trials} trials"
+    return (
+        f"holds back {content.fingerprint}: {counts}, changed {changed_s:.1f} s ago, {next_trial}"
+    )
--- a/hemlockswitch/programs/ctl_platform.py
+++ b/hemlockswitch/programs/ctl_platform.py
@@ -67,7 +67,7 @@
         raise NotImplementedError
 
     @property
-    def patience_ms(self) -> float:
+    def retry_timeout_ms(self) -> float:
         """Total time for retries of calls to the platform."""
         return self.read_seconds("patience") * MS_PER_SECOND
 
--- a/hemlockswitch/programs/ctl_requests.py
+++ b/hemlockswitch/programs/ctl_requests.py
@@ -8,7 +8,7 @@
 from cleo.helpers import argument, option
 
 from hemlockswitch.programs.ctl_files import JSON_OPTION, ExitCode
-from hemlockswitch.programs.request_lines import RequestSummary, Sums, read_lines
+from hemlockswitch.programs.request_lines import RequestStatistics, RequestSummary, read_lines
 
 STEP_S = 2.0
 """A window of this length still contains some hundred requests of a small site."""
@@ -62,12 +62,12 @@
             "second: time to the beginning and its difference from the prediction, ms p50/p90"
         )
         for at_s, sums in summary.list_windows():
-            self.line(format_sums(f"{at_s:g}", sums))
+            self.line(format_statistics(f"{at_s:g}", sums))
         for title, groups in (("route", summary.by_route), ("gateway", summary.by_gateway)):
             self.line("")
             self.line(title)
             for name in sorted(groups):
-                self.line(format_sums(name or "(none)", groups[name]))
+                self.line(format_statistics(name or "(none)", groups[name]))
 
 
 def _add_lines(summary: RequestSummary, lines: Iterable[str]) -> None:
@@ -90,24 +90,24 @@
     }
 
 
-def format_sums(name: str, sums: Sums) -> str:
+def format_statistics(name: str, statistics: RequestStatistics) -> str:
     """Return the statistics of a group of requests as one line of text.
 
     Examples
     ========
 
     >>> from hemlockswitch.programs.request_lines import RequestLine
-    >>> sums = Sums()
+    >>> sums = RequestStatistics()
     >>> sums.add(RequestLine(0.0, "g1", "draft", "answered", 2, 40.0, 50.0))
-    >>> format_sums("draft", sums)
+    >>> format_statistics("draft", sums)
     'draft: began 50/50, off 10/10, answered 1, sent again 1'
     """
-    described = sums.describe()
+    described = statistics.describe()
     began = "/".join(f"{value:g}" for value in described["began_ms"])  # type: ignore[attr-defined]
     off = "/".join(
         f"{value:g}" for value in described["began_ms_less_expected"]  # type: ignore[attr-defined]
     )
-    outcomes = [f"{outcome} {count}" for outcome, count in sums.outcomes.most_common()]
-    if sums.sent_again:
-        outcomes.append(f"sent again {sums.sent_again}")
+    outcomes = [f"{outcome} {count}" for outcome, count in statistics.outcomes.most_common()]
+    if statistics.sent_again:
+        outcomes.append(f"sent again {statistics.sent_again}")
     return f"{name}: " + ", ".join([f"began {began or '-'}", f"off {off or '-'}", *outcomes])
--- a/hemlockswitch/programs/ctl_rollouts.py
+++ b/hemlockswitch/programs/ctl_rollouts.py
@@ -84,7 +84,7 @@
 
     def handle(self) -> int:
         """Read the status pages and write the result."""
-        answers = self.ask_all(ask_rollouts)
+        answers = self.query_all(read_rollouts)
         if answers is None:
             return ExitCode.MISTAKES
         views = [view for answer in answers if isinstance(answer, list) for view in answer]
@@ -99,7 +99,7 @@
         return ExitCode.PLATFORM if errors else ExitCode.DONE
 
 
-def ask_rollouts(host: str, port: int, timeout_ms: float = TIMEOUT_MS) -> list[RolloutView] | str:
+def read_rollouts(host: str, port: int, timeout_ms: float = TIMEOUT_MS) -> list[RolloutView] | str:
     """Return the rollout orders at a gateway, or the reason why its status could not be read."""
     try:
         body = read_status_page(_StatusBody, host, port, timeout_ms)
@@ -118,12 +118,12 @@
 def format_views(views: Iterable[RolloutView]) -> list[str]:
     """Return the lines of all orders, sorted by service."""
     lines: list[str] = []
-    known: set[tuple[str, str]] = set()
+    listed: set[tuple[str, str]] = set()
     for view in sorted(views, key=lambda one: (one.service, one.target, not one.holds_duties)):
         lines.append(format_view(view))
-        if (view.service, view.target) not in known:
+        if (view.service, view.target) not in listed:
             lines += [f"  {format_route(route, one)}" for route, one in view.routes.items()]
-        known.add((view.service, view.target))
+        listed.add((view.service, view.target))
     return lines
 
 
--- a/hemlockswitch/programs/ctl_status.py
+++ b/hemlockswitch/programs/ctl_status.py
@@ -18,7 +18,7 @@
 from hemlockswitch.version.differences import compare_trees, describe_change
 from hemlockswitch.version.revisions import NO_REVISION, Revision
 
-NUMBERS_AHEAD = 3
+MAX_NUMBERS_AHEAD = 3
 """How many numbers above the pointer `history` searches for revisions that were never in force."""
 
 
@@ -36,7 +36,7 @@
 
     def run_command(self) -> int:
         """Query the platform and write the result."""
-        current = RevisionStore(self.client, self.clock, self.patience_ms).read_current()
+        current = RevisionStore(self.client, self.clock, self.retry_timeout_ms).read_current()
         vms = self._list_vms()
         views = self._view_zones(current)
         answer = self._describe(current, views, vms)
@@ -118,7 +118,7 @@
 
     def run_command(self) -> int:
         """Write the revisions, newest first."""
-        self._store = RevisionStore(self.client, self.clock, self.patience_ms)
+        self._store = RevisionStore(self.client, self.clock, self.retry_timeout_ms)
         current = self._store.read_current()
         count = int(self.option("count"))
         rows = self._list_rows(current.number, count)
@@ -128,7 +128,7 @@
     def _list_rows(self, number: int, count: int) -> list[dict[str, Any]]:
         rows: list[dict[str, Any]] = []
         in_force = number
-        for at in range(number + NUMBERS_AHEAD, NO_REVISION, -1):
+        for at in range(number + MAX_NUMBERS_AHEAD, NO_REVISION, -1):
             if len(rows) >= count:
                 break
             revision = self._store.read_revision(at)
@@ -151,8 +151,8 @@
             "digest": revision.digest,
         }
         if self.option("changes"):
-            before = self._store.read_revision(revision.previous) if revision.previous else None
-            tree = {} if before is None else before.tree
+            previous = self._store.read_revision(revision.previous) if revision.previous else None
+            tree = {} if previous is None else previous.tree
             row["changes"] = [
                 describe_change(change) for change in compare_trees(tree, revision.tree)
             ]
--- a/hemlockswitch/programs/request_lines.py
+++ b/hemlockswitch/programs/request_lines.py
@@ -10,7 +10,7 @@
 from hemlockswitch.core.events import Event
 
 _ENDED = (Event.REQUEST_ENDED.number, Event.REQUEST_REFUSED.number)
-SLOWEST_SHARE = 0.9
+UPPER_QUANTILE = 0.9
 
 
 @dataclass(frozen=True)
@@ -69,9 +69,9 @@
     ['draft']
     """
     for line in lines:
-        _, brace, rest = line.partition("{")
+        _, brace, remaining = line.partition("{")
         try:
-            fields = json.loads(brace + rest)
+            fields = json.loads(brace + remaining)
             if fields["number"] in _ENDED:
                 yield RequestLine.from_fields(fields)
         except (ValueError, KeyError, TypeError, AttributeError):
@@ -79,13 +79,13 @@
 
 
 @dataclass
-class Sums:
+class RequestStatistics:
     """Statistics of a group of requests.
 
     Examples
     ========
 
-    >>> sums = Sums()
+    >>> sums = RequestStatistics()
     >>> sums.add(RequestLine(0.0, "g1", "draft", "answered", 1, 40.0, 50.0))
     >>> sums.add(RequestLine(0.0, "g1", "draft", "overloaded", 0, 900.0, None))
     >>> sums.describe()["outcomes"], sums.describe()["began_ms"]
@@ -95,7 +95,7 @@
     outcomes: Counter[str] = field(default_factory=Counter)
     sent_again: int = 0
     began_ms: list[float] = field(default_factory=list)
-    off_ms: list[float] = field(default_factory=list)
+    difference_ms: list[float] = field(default_factory=list)
 
     def add(self, line: RequestLine) -> None:
         """Count one request."""
@@ -103,7 +103,7 @@
         self.sent_again += line.sends > 1
         if line.began_ms is not None:
             self.began_ms.append(line.began_ms)
-            self.off_ms.append(line.began_ms - line.expected_ms)
+            self.difference_ms.append(line.began_ms - line.expected_ms)
 
     def describe(self) -> dict[str, object]:
         """Return the outcomes, and the median and 90th percentile of the times."""
@@ -111,7 +111,7 @@
             "outcomes": dict(self.outcomes.most_common()),
             "sent_again": self.sent_again,
             "began_ms": find_quantiles(self.began_ms),
-            "began_ms_less_expected": find_quantiles(self.off_ms),
+            "began_ms_less_expected": find_quantiles(self.difference_ms),
         }
 
 
@@ -126,8 +126,8 @@
     """
     if not values:
         return []
-    slowest = sorted(values)[min(int(len(values) * SLOWEST_SHARE), len(values) - 1)]
-    return [round(statistics.median(values), 1), round(slowest, 1)]
+    upper = sorted(values)[min(int(len(values) * UPPER_QUANTILE), len(values) - 1)]
+    return [round(statistics.median(values), 1), round(upper, 1)]
 
 
 @dataclass
@@ -141,9 +141,15 @@
     """
 
     step_s: float
-    by_time: dict[int, Sums] = field(default_factory=lambda: defaultdict(Sums))
-    by_route: dict[str, Sums] = field(default_factory=lambda: defaultdict(Sums))
-    by_gateway: dict[str, Sums] = field(default_factory=lambda: defaultdict(Sums))
+    by_time: dict[int, RequestStatistics] = field(
+        default_factory=lambda: defaultdict(RequestStatistics)
+    )
+    by_route: dict[str, RequestStatistics] = field(
+        default_factory=lambda: defaultdict(RequestStatistics)
+    )
+    by_gateway: dict[str, RequestStatistics] = field(
+        default_factory=lambda: defaultdict(RequestStatistics)
+    )
 
     def add(self, line: RequestLine) -> None:
         """Count one request."""
@@ -151,7 +157,7 @@
         self.by_route[line.route].add(line)
         self.by_gateway[line.gateway].add(line)
 
-    def list_windows(self) -> list[tuple[float, Sums]]:
+    def list_windows(self) -> list[tuple[float, RequestStatistics]]:
         """Return the windows with their start in seconds since the start of the first one."""
         first = min(self.by_time, default=0)
         return [
--- a/hemlockswitch/programs/service.py
+++ b/hemlockswitch/programs/service.py
@@ -18,7 +18,7 @@
 
 EXIT_OK = 0
 EXIT_SETTINGS = 2
-SETTINGS_LOOK_MS = 2_000
+SETTINGS_POLL_INTERVAL_MS = 2_000
 """The cost is at most a few reads of a small file per second."""
 
 
@@ -34,8 +34,8 @@
 
 def serve_until_stopped(
     daemon: Daemon,
-    ask_to_stop: Callable[[], Any],
-    told: Signal,
+    request_stop: Callable[[], Any],
+    stopping: Signal,
     output: TextIO | BoundedOutput = sys.stdout,
 ) -> None:
     """Run a daemon until a stop is requested, then stop it gracefully.
@@ -43,17 +43,17 @@
     Parameters
     ==========
 
-    ask_to_stop : called on SIGTERM and SIGINT.
-    told : event that is set when the daemon is to stop.
+    request_stop : called on SIGTERM and SIGINT.
+    stopping : event that is set when the daemon is to stop.
     output : file that the ready line is written to.
     """
     for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, ask_to_stop)
+        gevent.signal_handler(number, request_stop)
     addresses = daemon.start()
     output.write(json.dumps({"ready": True, "addresses": addresses}) + "\n")
     output.flush()
     log_event(Event.PROCESS_READY, addresses=addresses)
-    told.wait()
+    stopping.wait()
     log_event(Event.PROCESS_STOPPING)
     daemon.stop()
     log_event(Event.PROCESS_STOPPED)
@@ -79,29 +79,29 @@
         self._path = path
         self._settings = settings
         self._apply = apply
-        self._refused = ""
+        self._reported_error = ""
 
     def start(self) -> None:
         """Check the file periodically and on SIGHUP."""
-        gevent.signal_handler(signal.SIGHUP, self.look)
+        gevent.signal_handler(signal.SIGHUP, self.check)
         gevent.spawn(self.run)
 
     def run(self) -> None:
         """Check the file periodically, since it may change without a signal."""
         while True:
-            gevent.sleep(SETTINGS_LOOK_MS / MS_PER_SECOND)
-            self.look()
+            gevent.sleep(SETTINGS_POLL_INTERVAL_MS / MS_PER_SECOND)
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Read the file and apply its settings if they changed."""
         try:
             settings = type(self._settings).from_file(self._path)
         except ConfigurationError as error:
-            if error.detail != self._refused:
+            if error.detail != self._reported_error:
                 log_event(Event.SETTINGS_UNUSABLE, "error", detail=error.detail)
-            self._refused = error.detail
+            self._reported_error = error.detail
             return
-        self._refused = ""
+        self._reported_error = ""
         if settings != self._settings:
             self._settings = settings
             self._apply(settings)
--- a/hemlockswitch/programs/status_pages.py
+++ b/hemlockswitch/programs/status_pages.py
@@ -56,13 +56,13 @@
         ),
     ]
 
-    def ask_all(self, ask: Callable[[str, int, float], Any]) -> list[Any] | None:
-        """Return the result of `ask` for each address, or None after reporting invalid arguments."""
+    def query_all(self, query: Callable[[str, int, float], Any]) -> list[Any] | None:
+        """Return the result of `query` for each address, or None after reporting invalid arguments."""
         try:
             timeout_ms = float(self.option("timeout"))
             addresses = [split_address(text) for text in self.argument("addresses")]
         except ValueError:
             self.line_error("an address must be ip:port, and --timeout a number of milliseconds")
             return None
-        tasks = [gevent.spawn(ask, host, port, timeout_ms) for host, port in addresses]
+        tasks = [gevent.spawn(query, host, port, timeout_ms) for host, port in addresses]
         return [task.get() for task in tasks]
--- a/hemlockswitch/version/differences.py
+++ b/hemlockswitch/version/differences.py
@@ -94,11 +94,11 @@
 
     ConfigurationError : the path of a change does not exist in the tree.
     """
-    own: set[int] = set()
-    changed = _copy_once(tree, own)
+    copied_ids: set[int] = set()
+    changed = _copy_once(tree, copied_ids)
     for change in changes:
         try:
-            apply_change(change, _walk(changed, change.path[:-1], own))
+            apply_change(change, _walk(changed, change.path[:-1], copied_ids))
         except (KeyError, IndexError, TypeError) as error:
             raise ConfigurationError(
                 ErrorKind.INVALID_CONFIGURATION, f"path {format_steps(change.path)} does not exist"
@@ -121,8 +121,8 @@
     if find_sort_key(change.value) != key:
         raise KeyError(key)
     place = bisect_left(parent, key, key=find_sort_key)
-    is_there = place < len(parent) and find_sort_key(parent[place]) == key
-    parent[place : place + is_there] = [change.value]
+    exists = place < len(parent) and find_sort_key(parent[place]) == key
+    parent[place : place + exists] = [change.value]
 
 
 @apply_change.register
@@ -206,22 +206,22 @@
     return isinstance(element, str)
 
 
-def _walk(tree: Any, path: Steps, own: set[int]) -> Any:
+def _walk(tree: Any, path: Steps, copied_ids: set[int]) -> Any:
     """Return the value at `path`, copying each value along the path that is still shared."""
     for step in path:
         place = step if isinstance(tree, dict) else _find_index(tree, step)
-        tree[place] = _copy_once(tree[place], own)
+        tree[place] = _copy_once(tree[place], copied_ids)
         tree = tree[place]
     return tree
 
 
-def _copy_once(value: Any, own: set[int]) -> Any:
-    """Return `value` if its identity is in `own`, else a shallow copy, which is added to `own`."""
-    if id(value) in own:
+def _copy_once(value: Any, copied_ids: set[int]) -> Any:
+    """Return `value` if its id is in `copied_ids`, else a shallow copy, whose id is added."""
+    if id(value) in copied_ids:
         return value
-    taken = copy.copy(value)
-    own.add(id(taken))
-    return taken
+    copied = copy.copy(value)
+    copied_ids.add(id(copied))
+    return copied
 
 
 def _find_index(elements: list[Any], name: str) -> int:
