--- a/tests/test_comments.py
+++ b/tests/test_comments.py
@@ -1,4 +1,4 @@
-"""Comments of the package give reasons for today's reader, not the story of how a value was chosen."""
+"""Comments in the package state reasons; they do not report how a value was chosen."""
 
 import re
 from pathlib import Path
@@ -20,7 +20,7 @@
 
 
 def list_texts():
-    """Return (place, line) of each line that is not code alone, the stand-ins included."""
+    """Return (position, line) of each line of the package that is not a doc string example."""
     for path in sorted(PACKAGE.rglob("*.py")):
         for number, line in enumerate(path.read_text().splitlines(), 1):
             if not line.lstrip().startswith((">>>", "...")):
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("story", STORIES)
-def test_no_comment_tells_how_a_value_was_chosen(story):
+def test_comments_do_not_report_how_a_value_was_chosen(story):
     pattern = re.compile(STORIES[story], re.IGNORECASE)
     assert [place for place, line in list_texts() if pattern.search(line)] == []
 
@@ -42,5 +42,5 @@
         ("figures of one run", "it took 0.9 ms of the 1.9 ms"),
     ],
 )
-def test_the_check_finds_such_comments(story, line):
+def test_patterns_match_such_comments(story, line):
     assert re.search(STORIES[story], line, re.IGNORECASE)
--- a/tests/test_ctl_gateways.py
+++ b/tests/test_ctl_gateways.py
@@ -1,4 +1,7 @@
-"""`hemlock-ctl gateways` and the check of a gateway's settings file."""
+"""`hemlock-ctl gateways`, and `hemlock-ctl check` for the settings file of a gateway.
+
+An unreachable gateway or a wrong address must be reported, and must not hide the other gateways.
+"""
 
 import json
 
@@ -27,7 +30,7 @@
     return [gateway.addresses["control"] for gateway in site.gateways]
 
 
-def test_every_gateway_says_what_it_believes(site):
+def test_state_of_every_gateway_is_shown(site):
     site.wait(lambda: all(len(one.fleet.list_heard()) == 1 for one in site.gateways))
     code, output, _ = run("gateways", " ".join([*list_control(site), "--json"]))
     assert code == ExitCode.DONE
@@ -37,15 +40,15 @@
     assert all(one["hears"] == 1 and one["servers"] == 1 for one in shown)
 
 
-def test_a_gateway_that_is_gone_is_named_and_the_others_are_shown(site):
+def test_unreachable_gateway_does_not_hide_the_others(site):
     code, output, _ = run("gateways", f"127.0.0.1:1 {list_control(site)[0]}")
     assert code == ExitCode.PLATFORM
-    gone, there = output.splitlines()
-    assert gone.startswith("127.0.0.1:1: no answer")
-    assert "gateway-1: ready, revision 1" in there
+    unreachable, running = output.splitlines()
+    assert unreachable.startswith("127.0.0.1:1: no answer")
+    assert "gateway-1: ready, revision 1" in running
 
 
-def test_what_is_held_back_is_shown_with_its_age(site):
+def test_quarantined_content_is_shown_with_its_age(site):
     for server in ("s1", "s2", "s3"):
         site.gateways[0].quarantine.note_end("content", server)
     code, output, _ = run("gateways", list_control(site)[0])
@@ -57,14 +60,14 @@
     assert (shown["fingerprint"], shown["ends"], shown["trials"]) == ("content", 3, 0)
 
 
-def test_what_is_no_status_page_is_said_to_be_none(site):
+def test_answer_that_is_not_a_status_page_is_reported(site):
     code, output, _ = run("gateways", site.runners[0].address)
     assert code == ExitCode.PLATFORM
     assert "not a status page" in output
 
 
 @pytest.mark.parametrize("arguments", ["nowhere", "127.0.0.1:80 --timeout soon"])
-def test_wrong_arguments_are_named(arguments):
+def test_invalid_arguments_are_reported(arguments):
     code, output, error = run("gateways", arguments)
     assert code == ExitCode.MISTAKES
     assert error
@@ -82,7 +85,7 @@
         ),
     ],
 )
-def test_the_settings_file_of_a_gateway_is_checked(tmp_path, content, code):
+def test_settings_file_of_a_gateway_is_validated(tmp_path, content, code):
     path = tmp_path / "gateway.json"
     path.write_text(content)
     assert run("check", f"{path} --kind gateway")[0] == code
--- a/tests/test_ctl_requests.py
+++ b/tests/test_ctl_requests.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl requests`: sums over gateways' logs."""
+"""`hemlock-ctl requests`: statistics over gateway logs that also contain unrelated lines."""
 
 import json
 
@@ -39,7 +39,7 @@
     return path
 
 
-def test_requests_are_added_up_by_time_route_and_gateway(log):
+def test_requests_are_grouped_by_time_route_and_gateway(log):
     code, output, _ = run("requests", f"{log} --json")
     assert code == ExitCode.DONE
     sums = json.loads(output)
@@ -51,7 +51,7 @@
     assert sums["gateways"]["g2"]["outcomes"] == {"no_backend": 1}
 
 
-def test_the_text_names_each_window(log):
+def test_text_output_lists_each_window(log):
     code, output, _ = run("requests", f"{log} --step 5")
     assert code == ExitCode.DONE
     assert "0: began 325/600, off 285/560, answered 2, overloaded 1, sent again 1" in output
@@ -59,13 +59,13 @@
 
 
 @pytest.mark.parametrize("arguments", ["/nowhere.log", "{log} --step 0", "{log} --step x"])
-def test_wrong_arguments_are_named(log, arguments):
+def test_invalid_arguments_are_reported(log, arguments):
     code, _, error = run("requests", arguments.format(log=log))
     assert code == ExitCode.MISTAKES
     assert error
 
 
-def test_files_without_requests_are_a_mistake(tmp_path):
+def test_files_without_requests_are_an_error(tmp_path):
     path = tmp_path / "empty.log"
     path.write_text("nothing\n")
     assert run("requests", str(path))[0] == ExitCode.MISTAKES
--- a/tests/test_ctl_rollouts.py
+++ b/tests/test_ctl_rollouts.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl rollouts`."""
+"""`hemlock-ctl rollouts`: the state of rollout orders at each gateway."""
 
 import json
 
@@ -27,13 +27,13 @@
     return " ".join(gateway.addresses["control"] for gateway in site.gateways)
 
 
-def test_nothing_is_shown_without_an_order(site):
+def test_output_is_empty_without_an_order(site):
     code, output, _ = run(f"{list_control(site)} --json")
     assert code == ExitCode.DONE
     assert json.loads(output) == {"rollouts": [], "errors": []}
 
 
-def test_each_gateway_shows_how_it_sees_an_order(site):
+def test_order_is_shown_for_each_gateway(site):
     site.store.put("rollouts", "app", {"service": "app", "to": "v2", "duration_s": 20})
     site.wait(lambda: all(one.rollouts.describe() for one in site.gateways))
     for _ in range(4):
@@ -48,14 +48,14 @@
     assert "check: new version 0 answers, 0 failed, 0 slow; others" in output
 
 
-def test_a_gateway_that_does_not_answer_is_named(site):
+def test_unreachable_gateway_is_reported(site):
     code, output, _ = run(f"127.0.0.1:1 {list_control(site)}")
     assert code == ExitCode.PLATFORM
     assert "127.0.0.1:1: no answer" in output
 
 
 @pytest.mark.parametrize("arguments", ["nowhere", "127.0.0.1:1 --timeout soon"])
-def test_mistakes_are_named(arguments):
+def test_invalid_arguments_are_reported(arguments):
     code, _, error = run(arguments)
     assert code == ExitCode.MISTAKES
     assert "ip:port" in error
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The tables of docs/reference say what the code says."""
+"""The tables of docs/reference list the same events, errors, metrics and settings as the code."""
 
 import re
 from pathlib import Path
@@ -23,14 +23,14 @@
 
 
 def read_rows(page, columns):
-    """Return the first columns of every row of a page's tables, without heads."""
+    """Return the first `columns` cells of every row of a page's tables."""
     text = (REFERENCE / page).read_text()
     rows = [line.strip("|").split("|") for line in text.splitlines() if line.startswith("|")]
     cells = [[cell.strip().strip("`") for cell in row[:columns]] for row in rows]
     return [row for row in cells if not set(row[0]) <= {"-"}]
 
 
-def test_the_event_catalogue_is_the_codes():
+def test_events_page_lists_every_event():
     rows = read_rows("events.md", 2)[1:]
     assert rows == [[str(event.number), event.label] for event in Event]
 
@@ -39,7 +39,7 @@
     assert len({event.number for event in Event}) == len(Event)
 
 
-def test_the_error_table_is_the_codes():
+def test_errors_page_equals_the_answers():
     rows = read_rows("errors.md", 4)[1:]
     wanted = [
         [kind.value, str(answer.status), answer.ran.value, str(answer.retry_after_ms)]
@@ -48,7 +48,7 @@
     assert sorted(rows) == sorted(wanted)
 
 
-def test_the_metrics_page_names_the_codes_metrics():
+def test_metrics_page_lists_every_metric():
     listed = {row[0] for row in read_rows("metrics.md", 1)}
     peers = CollectorRegistry()
     network = SimpleNamespace(traffic=Traffic(), list_streams=list)
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("name", [*MODELS, "Limits"])
-def test_every_field_of_an_operator_file_is_on_its_page(name):
+def test_operator_file_page_lists_every_field(name):
     text = (REFERENCE / "operator-file.md").read_text()
     section = re.split(r"^## ", text, flags=re.MULTILINE)
     page = next(part for part in section if part.startswith(name))
@@ -71,7 +71,7 @@
 
 
 def list_fields(name):
-    """Return the settings' names, of a model of either library."""
+    """Return the names of the settings of a pydantic or msgspec model."""
     if name == "GatewaySettings":
         return GatewaySettings.__struct_fields__
     return getattr(settings, name).model_fields
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize(
     "name", ["ProgramSettings", "EntrySettings", "ControllerSettings", "GatewaySettings"]
 )
-def test_every_setting_is_on_the_settings_page(name):
+def test_settings_page_lists_every_setting(name):
     text = (REFERENCE / "settings.md").read_text()
     fields = list_fields(name)
     missing = [field for field in fields if f"| `{field}` |" not in text]
