--- a/hemlockswitch/programs/ctl_gateways.py
+++ b/hemlockswitch/programs/ctl_gateways.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl gateways`: what gateways on the users' platform believe, from their status pages."""
+"""`hemlock-ctl gateways`: the local state of gateways, read from their status pages."""
 
 import json
 from dataclasses import asdict, dataclass
@@ -34,7 +34,7 @@
 
 
 class _StatusBody(BaseModel):
-    """A gateway's status page; what is not read here is passed over."""
+    """The fields of a gateway's status page that this command uses; all others are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
@@ -47,16 +47,16 @@
 
 
 @dataclass(frozen=True)
-class HeldContent:
-    """A content that a gateway holds back since servers ended under it.
+class QuarantinedContent:
+    """A content that a gateway has quarantined because backend servers crashed while serving it.
 
     Parameters
     ==========
 
-    ends : how many servers.
-    trials : how often it was tried since.
-    trial_in_ms : how long until it may be tried again; None if it was tried often enough.
-    changed_ms_ago : when the gateway learned of its last end or trial.
+    ends : number of crashed servers.
+    trials : number of trials since the crashes.
+    trial_in_ms : time until the next trial; None if there will be no further trial.
+    changed_ms_ago : time since the gateway recorded the last crash or trial.
     """
 
     fingerprint: str
@@ -68,16 +68,17 @@
 
 @dataclass(frozen=True)
 class GatewayStatus:
-    """What one gateway believes, or why it could not be asked.
+    """The local state of one gateway, or the reason why it could not be read.
 
     Parameters
     ==========
 
-    revision : the configuration in force there; None before the first.
-    hears : how many other gateways it hears.
-    servers : how many backend servers it knows.
-    held : the contents that it holds back.
-    error : empty if it answered.
+    revision : revision of the active configuration; None before the first.
+    watch_lost : whether the gateway has lost its watch on the object service.
+    hears : number of peers that the gateway receives reports from.
+    servers : number of backend servers that the gateway has recorded.
+    held : the contents that the gateway has quarantined.
+    error : empty if the gateway answered.
     """
 
     address: str
@@ -87,25 +88,25 @@
     watch_lost: bool = False
     hears: int = 0
     servers: int = 0
-    held: tuple[HeldContent, ...] = ()
+    held: tuple[QuarantinedContent, ...] = ()
     error: str = ""
 
 
 class GatewaysCommand(StatusPagesCommand):
-    """Ask gateways what they believe."""
+    """Show the local state of gateways."""
 
     name = "gateways"
-    description = "Show what gateways believe: readiness, revision, gateways, servers, quarantine."
-    help = """Asks each address for its status page, all at the same time, and shows a line for each,
-and below it one for each content that it holds back since backend servers ended under it.
-Gateways that differ in revision or in the number of servers for longer than a few seconds are cut
-off from the store or from one another.
+    description = "Show the state of gateways: readiness, revision, gateways, servers, quarantine."
+    help = """Reads the status pages of all addresses concurrently and shows a line for each gateway,
+followed by a line for each content that it has quarantined because backend servers crashed while
+serving it. Gateways that differ in revision or in the number of servers for longer than a few
+seconds are cut off from the store or from one another.
 
 Exit codes: 0 every gateway answered, 2 an address or the time-out is wrong, 4 one did not answer."""
 
     def handle(self) -> int:
-        """Ask and show."""
-        statuses = self.ask_all(ask_gateway)
+        """Read the status pages and write the result."""
+        statuses = self.query_all(read_gateway_status)
         if statuses is None:
             return ExitCode.MISTAKES
         if self.option("json"):
@@ -116,8 +117,8 @@
         return ExitCode.PLATFORM if any(status.error for status in statuses) else ExitCode.DONE
 
 
-def ask_gateway(host: str, port: int, timeout_ms: float = TIMEOUT_MS) -> GatewayStatus:
-    """Return what the gateway at a control address believes."""
+def read_gateway_status(host: str, port: int, timeout_ms: float = TIMEOUT_MS) -> GatewayStatus:
+    """Return the local state of the gateway at a control address."""
     address = f"{host}:{port}"
     try:
         body = read_status_page(_StatusBody, host, port, timeout_ms)
@@ -131,20 +132,22 @@
         body.configuration.watch_lost,
         len(body.gateways),
         body.backend_servers,
-        _read_held(body.quarantine),
+        _list_quarantined(body.quarantine),
     )
 
 
-def _read_held(suspects: list[_SuspectBody]) -> tuple[HeldContent, ...]:
+def _list_quarantined(suspects: list[_SuspectBody]) -> tuple[QuarantinedContent, ...]:
     return tuple(
-        HeldContent(one.fingerprint, len(one.ends), one.trials, one.trial_in_ms, one.changed_ms_ago)
+        QuarantinedContent(
+            one.fingerprint, len(one.ends), one.trials, one.trial_in_ms, one.changed_ms_ago
+        )
         for one in suspects
         if one.held
     )
 
 
 def format_status(status: GatewayStatus) -> str:
-    """Return one line, and one for each content that is held back.
+    """Return one line for the gateway, and one for each quarantined content.
 
     Examples
     ========
@@ -159,24 +162,26 @@
     ready = "ready" if status.ready else "not ready"
     revision = "no revision" if status.revision is None else f"revision {status.revision}"
     lost = " (store not in touch)" if status.watch_lost else ""
-    heard = f"hears {status.hears} gateways, knows {status.servers} servers"
-    first = f"{status.address} {status.name}: {ready}, {revision}{lost}, {heard}"
-    return "\n".join([first, *(f"  {format_held(one)}" for one in status.held)])
+    counts = f"hears {status.hears} gateways, knows {status.servers} servers"
+    first = f"{status.address} {status.name}: {ready}, {revision}{lost}, {counts}"
+    return "\n".join([first, *(f"  {format_quarantined(one)}" for one in status.held)])
 
 
-def format_held(held: HeldContent) -> str:
-    """Return one line on a content that is held back.
+def format_quarantined(content: QuarantinedContent) -> str:
+    """Return one line for a quarantined content.
 
     Examples
     ========
 
-    >>> format_held(HeldContent("7f3a", 4, 1, 12_000.0, 8_000.0))
+    >>> format_quarantined(QuarantinedContent("7f3a", 4, 1, 12_000.0, 8_000.0))
     'holds back 7f3a: 4 servers ended, 1 trials, changed 8.0 s ago, next trial in 12.0 s'
     """
-    changed_s = held.changed_ms_ago / MS_PER_SECOND
-    if held.trial_in_ms is None:
-        then = "no further trial"
+    changed_s = content.changed_ms_ago / MS_PER_SECOND
+    if content.trial_in_ms is None:
+        next_trial = "no further trial"
     else:
-        then = f"next trial in {held.trial_in_ms / MS_PER_SECOND:.1f} s"
-    counts = f"{held.ends} servers ended, {held.trials} trials"
-    return f"holds back {held.fingerprint}: {counts}, changed {changed_s:.1f} s ago, {then}"
+        next_trial = f"next trial in {content.trial_in_ms / MS_PER_SECOND:.1f} s"
+    counts = f"{content.ends} servers ended, {content.trials} trials"
+    return (
+        f"holds back {content.fingerprint}: {counts}, changed {changed_s:.1f} s ago, {next_trial}"
+    )
--- a/hemlockswitch/programs/ctl_requests.py
+++ b/hemlockswitch/programs/ctl_requests.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl requests`: what gateways' logs say of the requests, by time, route and gateway."""
+"""`hemlock-ctl requests`: request statistics from gateway logs, by time, route and gateway."""
 
 import json
 import sys
@@ -8,31 +8,31 @@
 from cleo.helpers import argument, option
 
 from hemlockswitch.programs.ctl_files import JSON_OPTION, ExitCode
-from hemlockswitch.programs.request_lines import RequestSummary, Sums, read_lines
+from hemlockswitch.programs.request_lines import RequestStatistics, RequestSummary, read_lines
 
 STEP_S = 2.0
-"""A window of this length still has some hundred requests of a small site."""
+"""A window of this length still contains some hundred requests of a small site."""
 
 
 class RequestsCommand(Command):
-    """Add up the requests in gateways' logs."""
+    """Show statistics of the requests in gateway logs."""
 
     name = "requests"
-    description = "Show from gateways' logs when, where and why requests were lost or late."
+    description = "Show from gateway logs when, where and why requests failed or were late."
     arguments = [argument("files", "Log files; - for standard input.", multiple=True)]
     options = [
         JSON_OPTION,
-        option("step", None, "Seconds of a window.", flag=False, default=str(STEP_S)),
+        option("step", None, "Length of a window in seconds.", flag=False, default=str(STEP_S)),
     ]
-    help = """Reads the gateways' log lines of requests and shows, for each window of time, each route
-and each gateway: the outcomes, requests sent more than once, and the median and the slowest tenth of
-the time to the beginning of the answer and of what it differs from the prediction. Lines that are
-not of requests are passed over.
+    help = """Reads the request lines of gateway logs and shows, for each time window, each route and
+each gateway: the outcomes, the requests sent more than once, and the median and 90th percentile of
+the time to the start of the answer and of its difference from the prediction. All other lines are
+ignored.
 
 Exit codes: 0 requests were found, 2 a file cannot be read, an option is wrong, or none was found."""
 
     def handle(self) -> int:
-        """Read and show."""
+        """Read the logs and write the statistics."""
         try:
             summary = RequestSummary(_read_step(self.option("step")))
             for file in self.argument("files"):
@@ -41,7 +41,7 @@
             self.line_error(str(error))
             return ExitCode.MISTAKES
         if not summary.by_time:
-            self.line_error("no line of a request")
+            self.line_error("the files contain no request lines")
             return ExitCode.MISTAKES
         if self.option("json"):
             self.line(json.dumps(_describe(summary)))
@@ -62,12 +62,12 @@
             "second: time to the beginning and its difference from the prediction, ms p50/p90"
         )
         for at_s, sums in summary.list_windows():
-            self.line(format_sums(f"{at_s:g}", sums))
+            self.line(format_statistics(f"{at_s:g}", sums))
         for title, groups in (("route", summary.by_route), ("gateway", summary.by_gateway)):
             self.line("")
             self.line(title)
             for name in sorted(groups):
-                self.line(format_sums(name or "(none)", groups[name]))
+                self.line(format_statistics(name or "(none)", groups[name]))
 
 
 def _add_lines(summary: RequestSummary, lines: Iterable[str]) -> None:
@@ -78,7 +78,7 @@
 def _read_step(text: str) -> float:
     step_s = float(text)
     if not 0 < step_s < float("inf"):
-        raise ValueError("--step is a number of seconds above 0")
+        raise ValueError("--step must be a number of seconds greater than 0")
     return step_s
 
 
@@ -90,24 +90,24 @@
     }
 
 
-def format_sums(name: str, sums: Sums) -> str:
-    """Return one line of a group of requests.
+def format_statistics(name: str, statistics: RequestStatistics) -> str:
+    """Return the statistics of a group of requests as one line of text.
 
     Examples
     ========
 
     >>> from hemlockswitch.programs.request_lines import RequestLine
-    >>> sums = Sums()
+    >>> sums = RequestStatistics()
     >>> sums.add(RequestLine(0.0, "g1", "draft", "answered", 2, 40.0, 50.0))
-    >>> format_sums("draft", sums)
+    >>> format_statistics("draft", sums)
     'draft: began 50/50, off 10/10, answered 1, sent again 1'
     """
-    described = sums.describe()
+    described = statistics.describe()
     began = "/".join(f"{value:g}" for value in described["began_ms"])  # type: ignore[attr-defined]
     off = "/".join(
         f"{value:g}" for value in described["began_ms_less_expected"]  # type: ignore[attr-defined]
     )
-    outcomes = [f"{outcome} {count}" for outcome, count in sums.outcomes.most_common()]
-    if sums.sent_again:
-        outcomes.append(f"sent again {sums.sent_again}")
+    outcomes = [f"{outcome} {count}" for outcome, count in statistics.outcomes.most_common()]
+    if statistics.sent_again:
+        outcomes.append(f"sent again {statistics.sent_again}")
     return f"{name}: " + ", ".join([f"began {began or '-'}", f"off {off or '-'}", *outcomes])
--- a/hemlockswitch/programs/ctl_rollouts.py
+++ b/hemlockswitch/programs/ctl_rollouts.py
@@ -1,4 +1,4 @@
-"""`hemlock-ctl rollouts`: how the moves of services to new versions stand, from gateways' status pages."""
+"""`hemlock-ctl rollouts`: the state of rollouts, read from the status pages of gateways."""
 
 import json
 from collections.abc import Iterable
@@ -23,14 +23,16 @@
 
 
 class _RolloutBody(BaseModel):
-    """An order on a gateway's status page.
+    """A rollout order on a gateway's status page.
 
     Parameters
     ==========
 
-    sent, bound : requests that this gateway has sent to the new version, and may have sent by now.
-    verdict : what the answers over all gateways say.
-    routes : by route, answers, failures and slow answers of the new version, and of the others.
+    sent, bound : number of requests that this gateway has sent to the new version, and its current
+        limit.
+    verdict : the verdict on the answers over all gateways.
+    routes : for each route, the numbers of answers, failures and slow answers of the new version and
+        of all other versions.
     """
 
     model_config = ConfigDict(extra="ignore", frozen=True)
@@ -57,13 +59,13 @@
 
 
 class RolloutView(_RolloutBody):
-    """How one gateway sees an order.
+    """The state of a rollout order at one gateway.
 
     Parameters
     ==========
 
-    gateway : its name.
-    holds_duties : whether it decides on the order.
+    gateway : name of the gateway.
+    holds_duties : whether the gateway decides on the order.
     """
 
     gateway: str
@@ -71,18 +73,18 @@
 
 
 class RolloutsCommand(StatusPagesCommand):
-    """Ask gateways how the moves of services to new versions stand."""
+    """Show the state of rollouts at gateways."""
 
     name = "rollouts"
-    description = "Show roll-outs as gateways see them: state, requests sent, verdict by route."
-    help = """Asks each address for its status page, all at the same time, and shows for each order a
-line for each gateway, and below the first one a line for each route.
+    description = "Show rollouts at each gateway: state, requests sent, verdict by route."
+    help = """Reads the status pages of all addresses concurrently and shows, for each order, a line
+for each gateway and, below the first of these, a line for each route.
 
 Exit codes: 0 every gateway answered, 2 an address or the time-out is wrong, 4 one did not answer."""
 
     def handle(self) -> int:
-        """Ask and show."""
-        answers = self.ask_all(ask_rollouts)
+        """Read the status pages and write the result."""
+        answers = self.query_all(read_rollouts)
         if answers is None:
             return ExitCode.MISTAKES
         views = [view for answer in answers if isinstance(answer, list) for view in answer]
@@ -97,8 +99,8 @@
         return ExitCode.PLATFORM if errors else ExitCode.DONE
 
 
-def ask_rollouts(host: str, port: int, timeout_ms: float = TIMEOUT_MS) -> list[RolloutView] | str:
-    """Return the orders that a gateway knows, or why it could not be asked."""
+def read_rollouts(host: str, port: int, timeout_ms: float = TIMEOUT_MS) -> list[RolloutView] | str:
+    """Return the rollout orders at a gateway, or the reason why its status could not be read."""
     try:
         body = read_status_page(_StatusBody, host, port, timeout_ms)
     except StatusPageError as error:
@@ -114,19 +116,19 @@
 
 
 def format_views(views: Iterable[RolloutView]) -> list[str]:
-    """Return the lines of all orders, by service."""
+    """Return the lines of all orders, sorted by service."""
     lines: list[str] = []
-    known: set[tuple[str, str]] = set()
+    listed: set[tuple[str, str]] = set()
     for view in sorted(views, key=lambda one: (one.service, one.target, not one.holds_duties)):
         lines.append(format_view(view))
-        if (view.service, view.target) not in known:
+        if (view.service, view.target) not in listed:
             lines += [f"  {format_route(route, one)}" for route, one in view.routes.items()]
-        known.add((view.service, view.target))
+        listed.add((view.service, view.target))
     return lines
 
 
 def format_view(view: RolloutView) -> str:
-    """Return one line.
+    """Return one line on the state of an order at a gateway.
 
     Examples
     ========
--- a/hemlockswitch/programs/request_lines.py
+++ b/hemlockswitch/programs/request_lines.py
@@ -1,4 +1,4 @@
-"""Gateways' log lines of requests, read back and added up: when, where and why callers lost."""
+"""Request statistics from gateway logs: when, where and why requests failed or were late."""
 
 import json
 import statistics
@@ -10,20 +10,21 @@
 from hemlockswitch.core.events import Event
 
 _ENDED = (Event.REQUEST_ENDED.number, Event.REQUEST_REFUSED.number)
-SLOWEST_SHARE = 0.9
+UPPER_QUANTILE = 0.9
 
 
 @dataclass(frozen=True)
 class RequestLine:
-    """How one request ended.
+    """The outcome of one request.
 
     Parameters
     ==========
 
     at_s : Unix time of its end.
-    outcome : ``answered``, an error kind, or how it broke off.
-    sends : how many backend servers got it.
-    expected_ms, began_ms : predicted and seen time to the beginning of its answer; None without one.
+    outcome : ``answered``, an error kind, or how the answer was interrupted.
+    sends : number of backend servers that the request was sent to.
+    expected_ms, began_ms : predicted and observed time to the start of the answer; `began_ms` is
+        None if there was no answer.
     """
 
     at_s: float
@@ -36,12 +37,12 @@
 
     @classmethod
     def from_fields(cls, fields: dict[str, object]) -> "RequestLine":
-        """Return the request of a log line.
+        """Return the request described by the fields of a log line.
 
         Raises
         ======
 
-        KeyError, ValueError, TypeError, AttributeError : the line is not one of a request.
+        KeyError, ValueError, TypeError, AttributeError : the line does not describe a request.
         """
         began_ms = fields.get("began_ms")
         return cls(
@@ -56,7 +57,7 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[RequestLine]:
-    """Yield the requests among log lines; whatever stands before a line's object is passed over.
+    """Yield the requests among log lines; text before the JSON object of a line is ignored.
 
     Examples
     ========
@@ -68,23 +69,23 @@
     ['draft']
     """
     for line in lines:
-        _, brace, rest = line.partition("{")
+        _, brace, remaining = line.partition("{")
         try:
-            fields = json.loads(brace + rest)
+            fields = json.loads(brace + remaining)
             if fields["number"] in _ENDED:
                 yield RequestLine.from_fields(fields)
         except (ValueError, KeyError, TypeError, AttributeError):
-            continue  # Other programs write to the same files; only requests count here.
+            continue  # Other programs write to the same files; their lines are ignored.
 
 
 @dataclass
-class Sums:
-    """What became of a group of requests.
+class RequestStatistics:
+    """Statistics of a group of requests.
 
     Examples
     ========
 
-    >>> sums = Sums()
+    >>> sums = RequestStatistics()
     >>> sums.add(RequestLine(0.0, "g1", "draft", "answered", 1, 40.0, 50.0))
     >>> sums.add(RequestLine(0.0, "g1", "draft", "overloaded", 0, 900.0, None))
     >>> sums.describe()["outcomes"], sums.describe()["began_ms"]
@@ -94,7 +95,7 @@
     outcomes: Counter[str] = field(default_factory=Counter)
     sent_again: int = 0
     began_ms: list[float] = field(default_factory=list)
-    off_ms: list[float] = field(default_factory=list)
+    difference_ms: list[float] = field(default_factory=list)
 
     def add(self, line: RequestLine) -> None:
         """Count one request."""
@@ -102,20 +103,20 @@
         self.sent_again += line.sends > 1
         if line.began_ms is not None:
             self.began_ms.append(line.began_ms)
-            self.off_ms.append(line.began_ms - line.expected_ms)
+            self.difference_ms.append(line.began_ms - line.expected_ms)
 
     def describe(self) -> dict[str, object]:
-        """Return the sums: outcomes, and the median and the slowest tenth of the times."""
+        """Return the outcomes, and the median and 90th percentile of the times."""
         return {
             "outcomes": dict(self.outcomes.most_common()),
             "sent_again": self.sent_again,
             "began_ms": find_quantiles(self.began_ms),
-            "began_ms_less_expected": find_quantiles(self.off_ms),
+            "began_ms_less_expected": find_quantiles(self.difference_ms),
         }
 
 
 def find_quantiles(values: list[float]) -> list[float]:
-    """Return the median and the quantile above which a tenth lies; nothing without values.
+    """Return the median and the 90th percentile; an empty list without values.
 
     Examples
     ========
@@ -125,24 +126,30 @@
     """
     if not values:
         return []
-    slowest = sorted(values)[min(int(len(values) * SLOWEST_SHARE), len(values) - 1)]
-    return [round(statistics.median(values), 1), round(slowest, 1)]
+    upper = sorted(values)[min(int(len(values) * UPPER_QUANTILE), len(values) - 1)]
+    return [round(statistics.median(values), 1), round(upper, 1)]
 
 
 @dataclass
 class RequestSummary:
-    """Requests by time, by route and by gateway.
+    """Statistics of requests by time window, by route and by gateway.
 
     Parameters
     ==========
 
-    step_s : length of a window of time.
+    step_s : length of a time window.
     """
 
     step_s: float
-    by_time: dict[int, Sums] = field(default_factory=lambda: defaultdict(Sums))
-    by_route: dict[str, Sums] = field(default_factory=lambda: defaultdict(Sums))
-    by_gateway: dict[str, Sums] = field(default_factory=lambda: defaultdict(Sums))
+    by_time: dict[int, RequestStatistics] = field(
+        default_factory=lambda: defaultdict(RequestStatistics)
+    )
+    by_route: dict[str, RequestStatistics] = field(
+        default_factory=lambda: defaultdict(RequestStatistics)
+    )
+    by_gateway: dict[str, RequestStatistics] = field(
+        default_factory=lambda: defaultdict(RequestStatistics)
+    )
 
     def add(self, line: RequestLine) -> None:
         """Count one request."""
@@ -150,8 +157,8 @@
         self.by_route[line.route].add(line)
         self.by_gateway[line.gateway].add(line)
 
-    def list_windows(self) -> list[tuple[float, Sums]]:
-        """Return the windows with their beginning in seconds since the first one."""
+    def list_windows(self) -> list[tuple[float, RequestStatistics]]:
+        """Return the windows with their start in seconds since the start of the first one."""
         first = min(self.by_time, default=0)
         return [
             ((window - first) * self.step_s, self.by_time[window])
