--- a/hemlockswitch/standin/__init__.py
+++ b/hemlockswitch/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, for tests, the demo and measurements."""
+"""Small stand-ins for the external systems, used by tests, the demo and measurements."""
--- a/hemlockswitch/standin/answers.py
+++ b/hemlockswitch/standin/answers.py
@@ -1,11 +1,11 @@
-"""The text that the stand-in engines answer, and the prefixes under which they cache prompts.
+"""Answer text of the stand-in engines, and the hashes under which they cache prompt prefixes.
 
 Explanation
 ===========
 
-Token `i` of an answer is a function of the model, the prompt and `i` alone. So any engine
-continues the text that another one began, and a checker knows the whole answer beforehand.
-Every token is one word with a blank behind it; prompts are counted in words too.
+Token `i` of an answer depends only on the model, the prompt and `i`. Any engine can therefore
+continue an answer that another engine started, and a checker can compute the expected answer in
+advance. Every token is one word followed by a space; prompts are measured in words too.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -22,7 +22,7 @@
 
 
 def join_prompt(messages: Sequence[Mapping[str, object]]) -> str:
-    """Return the one prompt text of a chat's messages.
+    """Return the messages of a chat as a single prompt text.
 
     Examples
     ========
@@ -34,12 +34,12 @@
 
 
 def seed_answer(model: str, prompt: str) -> int:
-    """Return the seed of the answer that `model` gives to `prompt`."""
+    """Return the seed from which the answer of `model` to `prompt` is generated."""
     return hash_stable(f"{model}\0{prompt}")
 
 
 def make_token(seed: int, index: int) -> str:
-    """Return token `index` of the answer with `seed`.
+    """Return token `index` of the answer generated from `seed`.
 
     Examples
     ========
@@ -55,7 +55,7 @@
 
 
 def make_answer(model: str, prompt: str, tokens: int) -> str:
-    """Return the first `tokens` tokens of an answer as one text.
+    """Return the first `tokens` tokens of an answer as a single string.
 
     Examples
     ========
@@ -68,19 +68,19 @@
 
 
 def count_words(text: str) -> int:
-    """Return the number of tokens in `text`, which is its number of words."""
+    """Return the number of tokens in `text`; each word is one token."""
     return len(text.split())
 
 
 def hash_prefixes(prompt: str) -> Iterator[int]:
-    """Yield the hash of each leading run of whole blocks of `prompt`, shortest first.
+    """Yield the hash of each prefix of `prompt` made of full blocks, shortest first.
 
     Explanation
     ===========
 
-    Each block of `BLOCK_WORDS` words, joined by blanks, is hashed together with the hash of the
-    blocks before it in sixteen hexadecimal digits (zeros for the first). A last block that is
-    not full is not cached.
+    Each block of `BLOCK_WORDS` words, joined by spaces, is hashed together with the hash of the
+    preceding blocks, written as sixteen hexadecimal digits (zeros for the first block). An
+    incomplete last block is not cached.
     """
     words = prompt.split()
     before = 0
--- a/hemlockswitch/standin/batch.py
+++ b/hemlockswitch/standin/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching: streams wait for a slot, prefill, and gain one token a step."""
+"""Continuous batching: streams wait for a slot, prefill, and then produce one token per step."""
 
 import heapq
 from collections.abc import Iterator
@@ -16,7 +16,7 @@
 
 
 class Phase(Enum):
-    """Where a stream stands."""
+    """Processing phase of a stream."""
 
     WAITING = "waiting"
     PREFILL = "prefill"
@@ -30,19 +30,19 @@
 
 @dataclass(eq=False)
 class Stream:
-    """One request on an engine.
+    """A request that an engine processes.
 
     Parameters
     ==========
 
-    stream_id : the caller's name of this stream.
-    prompt_tokens : words of the prompt.
-    start : position of the first token that this engine makes.
-    max_tokens : tokens of the whole answer, those before `start` included.
-    prefixes : hashes of the prompt's blocks.
-    carried_tokens : leading tokens (prompt and answer) that an imported KV cache brings.
-    linger_ms : how long to go on without a reader.
-    deadline_ms : monotonic time after which nobody wants the answer.
+    stream_id : identifier of the stream, usually chosen by the caller.
+    prompt_tokens : number of words in the prompt.
+    start : position of the first token that this engine produces.
+    max_tokens : length of the complete answer, including the tokens before `start`.
+    prefixes : hashes of the prompt's block prefixes.
+    carried_tokens : leading tokens (prompt and answer) covered by an imported KV cache.
+    linger_ms : how long the stream continues without a reader.
+    deadline_ms : monotonic time at which the stream is cancelled.
     """
 
     stream_id: str
@@ -73,12 +73,12 @@
 
     @property
     def ended(self) -> bool:
-        """Whether no further token comes."""
+        """Whether the stream has finished or was cancelled."""
         return self.phase in ENDED
 
     @property
     def computed_tokens(self) -> int:
-        """Tokens of prompt and answer whose KV cache the engine holds."""
+        """Number of tokens of prompt and answer in the engine's KV cache."""
         if self.phase is Phase.WAITING:
             return 0
         if self.phase is Phase.PREFILL:
@@ -90,13 +90,13 @@
         return make_token(self.seed, index)
 
     def list_tokens(self) -> Iterator[str]:
-        """Yield the tokens made here so far."""
+        """Yield the tokens that this engine has produced so far."""
         return (self.token(index) for index in range(self.start, self.produced))
 
 
 @dataclass
 class BatchSettings:
-    """Speed and size of an engine."""
+    """Speed and capacity of an engine."""
 
     slots: int = 16
     token_ms: float = 20
@@ -105,13 +105,13 @@
 
 
 class Batch:
-    """The streams of one engine and the task that moves them on.
+    """The streams of one engine and the loop that advances them.
 
     Explanation
     ===========
 
-    All running streams gain a token in the same step, as in a real engine. The prefill budget of
-    a step goes to the streams in slots by priority, then by arrival.
+    All running streams produce a token in the same step, as in a real engine. The prefill budget
+    of a step is spent on the streams in slots by priority, then in order of admission.
     """
 
     def __init__(self, settings: BatchSettings, cache: PrefixCache, clock: Clock) -> None:
@@ -131,22 +131,22 @@
 
     @property
     def running(self) -> int:
-        """Streams in slots."""
+        """Number of streams in slots."""
         return len(self._in_slots)
 
     @property
     def waiting(self) -> int:
-        """Streams without a slot."""
+        """Number of queued streams, including cancelled ones not yet dequeued."""
         return len(self._waiting)
 
     @property
     def is_full(self) -> bool:
-        """Whether no further stream may wait."""
+        """Whether the queue is full."""
         return len(self._waiting) >= self._settings.queue_length
 
     @property
     def prefill_backlog(self) -> int:
-        """Prompt tokens still to be computed."""
+        """Number of tokens that the streams in slots have still to prefill."""
         return int(sum(stream.prefill_left for stream in self._in_slots))
 
     def add(self, stream: Stream) -> None:
@@ -156,19 +156,19 @@
         heapq.heappush(self._waiting, (stream.priority, self._arrivals, stream))
 
     def cancel(self, stream: Stream) -> None:
-        """Stop a stream and free its slot; one that has ended stays as it is."""
+        """Cancel a stream and free its slot; does nothing if the stream has ended."""
         if stream.ended:
             return
         self._end(stream, Phase.CANCELLED)
         self.cancelled.append(stream.stream_id)
 
     def attach(self, stream: Stream) -> None:
-        """Note that somebody reads the stream."""
+        """Add a reader to the stream."""
         stream.readers += 1
         stream.expires_at_ms = NEVER_MS
 
     def detach(self, stream: Stream) -> None:
-        """Note that a reader left; without another the stream lingers, then goes."""
+        """Remove a reader; without readers the stream is evicted after `linger_ms`."""
         stream.readers -= 1
         if stream.readers > 0:
             return
@@ -177,7 +177,7 @@
             self._forget(stream)
 
     def run(self) -> None:
-        """Step for ever."""
+        """Run steps at the configured pace, indefinitely."""
         next_ms = self._clock.now_ms()
         while True:
             next_ms += self._settings.token_ms * self.slow_factor
@@ -189,7 +189,7 @@
                 self.step(now_ms)
 
     def step(self, now_ms: float) -> None:
-        """Expire, admit, prefill, and give every running stream a token."""
+        """Expire and admit streams, prefill, and produce a token for every running stream."""
         self._expire(now_ms)
         self._admit()
         self._prefill()
@@ -254,12 +254,12 @@
 
 
 def wait_for_change(stream: Stream, sent: int) -> None:
-    """Return when the stream has more than `sent` tokens or has ended."""
+    """Block until the stream has produced more than `sent` tokens or has ended."""
     while stream.produced <= sent and not stream.ended:
         stream.changed.clear()
         stream.changed.wait()
 
 
 def spawn_batch(batch: Batch) -> gevent.Greenlet:
-    """Start the batch's task."""
+    """Run the steps of `batch` in a new greenlet."""
     return gevent.spawn(batch.run)
--- a/hemlockswitch/standin/cache.py
+++ b/hemlockswitch/standin/cache.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's prefix cache and its late, gapped events."""
+"""The stand-in engine's prefix cache, whose events arrive late and with gaps."""
 
 from collections import OrderedDict, deque
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """One change of the cache, and when it may be told."""
+    """A change of the cache, and the time from which it is published."""
 
     number: int
     kind: str
@@ -21,14 +21,14 @@
 
 
 class PrefixCache:
-    """Prompt blocks in limited memory, least recently used out first.
+    """Prompt blocks in limited memory with least-recently-used eviction.
 
     Parameters
     ==========
 
-    capacity_tokens : memory, in tokens.
-    event_delay_ms : how late an event is told.
-    gap_every : every nth event is never told; 0 for none.
+    capacity_tokens : size of the memory, in tokens.
+    event_delay_ms : delay before an event is published.
+    gap_every : every nth event is never published; 0 disables gaps.
     clock : source of time.
 
     Examples
@@ -56,11 +56,11 @@
 
     @property
     def used_tokens(self) -> int:
-        """Tokens in the cache."""
+        """Number of tokens in the cache."""
         return len(self._blocks) * BLOCK_WORDS
 
     def count_cached_tokens(self, prefixes: Sequence[int]) -> int:
-        """Return how many leading tokens are cached, and mark them as used."""
+        """Return how many leading tokens are cached, and mark their blocks as recently used."""
         blocks = 0
         for prefix in prefixes:
             if prefix not in self._blocks:
@@ -70,7 +70,7 @@
         return blocks * BLOCK_WORDS
 
     def store(self, prefixes: Sequence[int]) -> None:
-        """Keep the blocks of a prompt, evicting others where memory is short."""
+        """Store the blocks of a prompt, evicting the least recently used over capacity."""
         for prefix in prefixes:
             if prefix not in self._blocks:
                 self._note("stored", prefix)
@@ -81,7 +81,7 @@
             self._note("evicted", oldest)
 
     def list_events(self, since: int) -> dict[str, object]:
-        """Return the events after `since` that may be told, as the engine's API gives them."""
+        """Return the published events after number `since`, in the form of the engine's API."""
         now_ms = self._clock.now_ms()
         ripe = [event for event in self._events if event.visible_at_ms <= now_ms]
         told = [
--- a/hemlockswitch/standin/engine.py
+++ b/hemlockswitch/standin/engine.py
@@ -1,4 +1,4 @@
-"""The stand-in model engine: its settings, its state, and what it counts for the tests."""
+"""The stand-in model engine: its settings, its state, and the counts that tests check."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -23,7 +23,7 @@
 
 
 class EngineSettings(BaseModel):
-    """What the settings file of a stand-in engine holds."""
+    """Settings file of a stand-in engine."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -46,7 +46,7 @@
 
 
 class ChatRequest(BaseModel):
-    """The body of a model request; fields that the stand-in has no use for may be there."""
+    """Body of a model request; unknown fields are ignored."""
 
     model: str
     messages: list[dict[str, Any]] = Field(min_length=1)
@@ -57,20 +57,20 @@
 
 
 class KvExport(BaseModel):
-    """Which stream's KV cache to offer."""
+    """Body of a KV cache export: the stream whose KV cache to offer."""
 
     stream_id: str
 
 
 class KvImport(BaseModel):
-    """Which KV cache to pull, and from which engine."""
+    """Body of a KV cache import: the KV cache to pull, and the engine that offers it."""
 
     source: str
     kv_handle: str
 
 
 class Order(BaseModel):
-    """The wanted state of an engine, under a fencing number."""
+    """Body of an order: the wanted state of an engine, with a fencing number."""
 
     fencing: int
     wanted: dict[str, Any]
@@ -78,7 +78,7 @@
 
 @dataclass
 class EngineCounts:
-    """What the tests judge by."""
+    """Counts that tests check, reported by ``GET /standin/stats``."""
 
     runs: Counter = field(default_factory=Counter)
     trace_parents: dict[str, str] = field(default_factory=dict)
@@ -93,7 +93,7 @@
 
 
 class Engine:
-    """The state of one stand-in engine, apart from HTTP."""
+    """State of a stand-in engine, independent of HTTP."""
 
     def __init__(self, settings: EngineSettings, clock: Clock) -> None:
         self.settings = settings
@@ -122,7 +122,7 @@
         self.take_report()
 
     def begin(self, request: ChatRequest, headers: Mapping[str, str]) -> Stream:
-        """Queue a checked request and return its stream."""
+        """Queue a validated request and return its stream."""
         prompt = join_prompt(request.messages)
         now_ms = self.clock.now_ms()
         deadline = headers.get("X-DEADLINE-MS")
@@ -155,7 +155,10 @@
             self.counts.foreign_continuations += 1
 
     def mix(self, stream: Stream) -> None:
-        """Swap the answers of `stream` and the one mixed before it."""
+        """Swap the answers of `stream` and the stream that waits for a partner.
+
+        Without such a stream, or if it has ended, `stream` itself waits for a partner.
+        """
         other = self._unpaired
         if other is None or other.ended:
             self._unpaired = stream
@@ -164,13 +167,13 @@
         stream.shown_as, other.shown_as = other, stream
 
     def set_faults(self, faults: Faults) -> None:
-        """Put faults in force in place of the earlier ones."""
+        """Replace the active faults."""
         self.faults.set(faults)
         self.batch.slow_factor = faults.slow_factor
         self.batch.frozen_until_ms = self.clock.now_ms() + faults.freeze_ms
 
     def apply_order(self, order: Order) -> bool:
-        """Apply an order; return whether its fencing number was good enough."""
+        """Apply an order; return False if its fencing number is stale and is checked."""
         stale = order.fencing < self.highest_fencing
         if stale and self.settings.checks_fencing:
             self.counts.stale_orders_refused += 1
@@ -192,7 +195,7 @@
                 self.models.append(model)
 
     def take_report(self) -> None:
-        """Note the load that is reported until the next time."""
+        """Record the current load, which `report_load` returns until the next call."""
         self._reported_at_ms = self.clock.now_ms()
         self._report = {
             "running": self.batch.running,
@@ -208,17 +211,17 @@
         }
 
     def report_load(self) -> dict[str, Any]:
-        """Return the last report and its age."""
+        """Return the last recorded load and its age."""
         return {**self._report, "age_ms": self.clock.now_ms() - self._reported_at_ms}
 
     def run_reports(self) -> None:
-        """Report for ever, with the lag of the settings."""
+        """Record the load every `load_lag_ms`, indefinitely."""
         while True:
             self.clock.sleep_ms(self.settings.load_lag_ms)
             self.take_report()
 
     def describe_stats(self) -> dict[str, Any]:
-        """Return what the tests judge by."""
+        """Return the counts and the state that tests check."""
         counts = dict(vars(self.counts))
         return {
             **counts,
--- a/hemlockswitch/standin/engine_api.py
+++ b/hemlockswitch/standin/engine_api.py
@@ -36,7 +36,7 @@
         self._engine = engine
 
     def on_post(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Run a model request."""
+        """Run a model request, with the active faults."""
         faults = self._engine.faults.take()
         if faults.delay_ms:
             self._engine.clock.sleep_ms(faults.delay_ms)
@@ -96,7 +96,7 @@
         self._engine = engine
 
     def on_get(self, request: falcon.Request, response: falcon.Response, stream_id: str) -> None:
-        """Resume a stream from a position."""
+        """Send the events of a stream from a position on."""
         stream = self._engine.batch.streams.get(stream_id)
         if stream is None:
             raise RefusalError(404, "unknown_stream")
@@ -116,7 +116,7 @@
     def on_post_cancel(
         self, request: falcon.Request, response: falcon.Response, stream_id: str
     ) -> None:
-        """Stop a stream and free its slot."""
+        """Cancel a stream and free its slot."""
         stream = self._engine.batch.streams.get(stream_id)
         if stream is None:
             raise RefusalError(404, "unknown_stream")
@@ -143,7 +143,7 @@
         response.media = self._engine.kv.pull(order.source, order.kv_handle)
 
     def on_get(self, request: falcon.Request, response: falcon.Response, handle: str) -> None:
-        """Give a KV cache to another engine."""
+        """Return a KV cache to the engine that pulls it."""
         response.media = self._engine.kv.describe(handle)
 
 
@@ -154,11 +154,11 @@
         self._engine = engine
 
     def on_get_load(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Report the load, with its age."""
+        """Return the last recorded load and its age."""
         response.media = self._engine.report_load()
 
     def on_get_events(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Tell the cache events after a number."""
+        """Return the published cache events after a number."""
         since = request.get_param_as_int("since", default=0) or 0
         response.media = self._engine.cache.list_events(since)
 
@@ -170,7 +170,10 @@
         self._engine = engine
 
     def on_post(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Apply an absolute order unless its fencing number is stale and checked."""
+        """Apply an order, which states the complete wanted state.
+
+        An order with a stale fencing number is refused if the engine checks these.
+        """
         order = read_body(request, Order)
         if self._engine.apply_order(order):
             response.media = {"highest": self._engine.highest_fencing}
@@ -186,22 +189,22 @@
         self._engine = engine
 
     def on_get_stats(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Give the counts."""
+        """Return the counts and the state that tests check."""
         response.media = self._engine.describe_stats()
 
     def on_post_faults(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Replace the faults in force."""
+        """Replace the active faults."""
         faults = read_body(request, Faults)
         self._engine.set_faults(faults)
         response.media = faults.model_dump()
 
     def on_post_leaving(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Mark the engine as leaving: what begins from now on is counted apart."""
+        """Mark the engine as leaving; requests that start after this are counted separately."""
         self._engine.leaving_since_ms = self._engine.clock.now_ms()
         response.media = {}
 
     def on_post_drain(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Drain the engine without an order, as an engine that lost its state would be."""
+        """Drain the engine without an order, as if the engine had lost its state."""
         self._engine.draining = True
         response.media = {}
 
@@ -228,7 +231,7 @@
 
 
 def serve_engine(settings: EngineSettings) -> None:
-    """Serve an engine until the process is asked to stop."""
+    """Serve an engine until the process receives a stop signal."""
     engine = Engine(settings, SystemClock())
     spawn_batch(engine.batch)
     gevent.spawn(engine.run_reports)
--- a/hemlockswitch/standin/faults.py
+++ b/hemlockswitch/standin/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a test sets on a stand-in engine or service."""
+"""Faults that tests inject into a stand-in engine or service."""
 
 from typing import Literal
 
@@ -8,27 +8,27 @@
 
 
 class Faults(BaseModel):
-    """What goes wrong, and for how many requests.
+    """Faults to inject, and the number of requests that they affect.
 
     Explanation
     ===========
 
-    `count` bounds the per-request faults to the next `count` requests; 0 means all. Every post
-    of faults replaces the earlier ones; an empty post mends everything. `freeze_ms` and
-    `slow_factor` act on the whole stand-in.
+    `count` limits the per-request faults to the next `count` requests; 0 means all requests.
+    Every post of faults replaces the previous ones; an empty post clears them. `freeze_ms` and
+    `slow_factor` affect an engine as a whole, and each call of a service.
 
     Parameters
     ==========
 
-    refuse_status : answer this status without running; 0 for none.
-    retry_after_ms : what a refusal says.
+    refuse_status : answer with this status without running the request; 0 disables it.
+    retry_after_ms : retry delay sent with a refusal.
     cut_stage : reset the connection at this stage.
-    cut_after_tokens : reset the connection after this many events of a stream.
-    truncate_after_tokens : end the answer early, as if it were whole.
-    mix_answers : swap the answers of two requests that are open together.
+    cut_after_tokens : reset the connection when a stream reaches this position.
+    truncate_after_tokens : end the answer at this position, as if it were complete.
+    mix_answers : swap the answers of two requests.
     duplicate_every : send every nth event twice.
     reorder_every : send every nth event after the one that follows it.
-    delay_ms : wait before answering.
+    delay_ms : delay before the answer.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -51,19 +51,19 @@
 
 
 class FaultBox:
-    """Holds the faults in force and hands them to requests."""
+    """Stores the active faults and counts the requests that they still affect."""
 
     def __init__(self) -> None:
         self.current = NO_FAULTS
         self._left = 0
 
     def set(self, faults: Faults) -> None:
-        """Replace the faults in force."""
+        """Replace the active faults."""
         self.current = faults
         self._left = faults.count
 
     def take(self) -> Faults:
-        """Return the faults for one new request."""
+        """Return the faults for a new request."""
         if self.current.count == 0:
             return self.current
         if self._left == 0:
--- a/hemlockswitch/standin/kv.py
+++ b/hemlockswitch/standin/kv.py
@@ -1,4 +1,4 @@
-"""KV cache that engines hand to one another: handles, their size, and the time a pull takes."""
+"""KV cache transfer between engines: handles, their size, and the duration of a pull."""
 
 import json
 from collections import OrderedDict
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class KvCache:
-    """What a handle stands for: the leading tokens of one prompt and its answer."""
+    """KV cache of the leading tokens of a prompt and its answer, offered under a handle."""
 
     seed: int
     tokens: int
@@ -26,13 +26,13 @@
 
 
 class KvStore:
-    """The handles that one engine offers or has pulled.
+    """KV caches that an engine offers or has pulled, by handle.
 
     Parameters
     ==========
 
-    bytes_per_token : size of the cache.
-    bytes_per_s : how fast a pull from another engine is.
+    bytes_per_token : size of the KV cache of one token.
+    bytes_per_s : speed of a pull from another engine.
     clock : source of time.
     """
 
@@ -45,19 +45,19 @@
         self.imported = 0
 
     def export(self, stream: Stream) -> dict[str, Any]:
-        """Offer the cache of a stream as far as it has come, and return its handle."""
+        """Offer the KV cache computed so far for a stream, and return its handle and size."""
         tokens = stream.computed_tokens
         cache = KvCache(stream.seed, tokens, tokens * self._bytes_per_token)
         self.exported += 1
         return {"kv_handle": self._keep(cache), "tokens": tokens, "size_bytes": cache.size_bytes}
 
     def describe(self, handle: str) -> dict[str, Any]:
-        """Return what another engine pulls.
+        """Return the KV cache of a handle, as another engine pulls it.
 
         Raises
         ======
 
-        RefusalError : the handle is not known, or not any more.
+        RefusalError : the handle does not exist or was evicted.
         """
         cache = self._caches.get(handle)
         if cache is None:
@@ -65,12 +65,12 @@
         return asdict(cache)
 
     def pull(self, source: str, handle: str) -> dict[str, Any]:
-        """Pull a cache from another engine and return the handle that it has here.
+        """Pull a KV cache from another engine and return its new, local handle.
 
         Raises
         ======
 
-        RefusalError : the other engine does not answer or does not have it.
+        RefusalError : the other engine does not answer or does not have the handle.
         """
         cache = _ask(source, handle)
         self._clock.sleep_ms(cache.size_bytes / self._bytes_per_s * MS_PER_SECOND)
@@ -78,7 +78,11 @@
         return {"kv_handle": self._keep(cache), "tokens": cache.tokens}
 
     def count_carried_tokens(self, handle: str | None, seed: int) -> int:
-        """Return how many leading tokens a handle brings to an answer; 0 if it is another's."""
+        """Return how many leading tokens the KV cache of a handle covers.
+
+        This is 0 without a stored handle, or if its KV cache belongs to an answer with another
+        seed.
+        """
         cache = self._caches.get(handle or "")
         return cache.tokens if cache is not None and cache.seed == seed else 0
 
