--- a/hemlockswitch/standin/gateway_store.py
+++ b/hemlockswitch/standin/gateway_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' platform for gateways: object store, cloud API, harness calls."""
+"""Stand-in of the users' platform for gateways: object store, cloud API and test harness."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -22,11 +22,11 @@
 LONGEST_WAIT_MS = 30_000
 SWALLOWED_S = 60
 SHORTEST_WAIT_MS = 1
-"""A watch that waits no longer only asks whether there is a change, and is counted apart."""
+"""A watch with at most this wait only checks for a change, and is counted separately."""
 
 
 class GatewayStoreSettings(BaseModel):
-    """What the settings file holds."""
+    """Settings file of the stand-in."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -34,14 +34,14 @@
 
 
 class StoreFaults(BaseModel):
-    """What goes wrong with the object store.
+    """Faults of the object store.
 
     Parameters
     ==========
 
-    mode : ``busy`` answers 503, ``silent`` holds every call, ``swallow`` never answers the calls
-        that come meanwhile, ``many`` answers 429.
-    lose_answers : the next so many writes are done and their connection is reset.
+    mode : ``busy`` answers 503, ``many`` answers 429, ``silent`` delays every call until the mode
+        changes, ``swallow`` delays each call by `SWALLOWED_S`, even if the mode changes.
+    lose_answers : this number of writes take effect, but their connection is reset.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -52,7 +52,7 @@
 
 @dataclass
 class Entry:
-    """One object."""
+    """A stored object."""
 
     name: str
     revision: int
@@ -61,7 +61,7 @@
     status: Any = None
 
     def render(self) -> dict[str, Any]:
-        """Return it as the store answers it."""
+        """Return the object in the form in which the store answers it."""
         metadata = {
             "name": self.name,
             "revision": self.revision,
@@ -74,7 +74,7 @@
 
 @dataclass
 class Change:
-    """One change that watches are told."""
+    """A change that watches receive."""
 
     kind: str
     revision: int
@@ -84,7 +84,7 @@
 
 @dataclass
 class GatewayStore:
-    """The state of the stand-in."""
+    """State of the stand-in."""
 
     revision: int = 1
     objects: dict[str, dict[str, Entry]] = field(default_factory=dict)
@@ -102,7 +102,7 @@
         return self.objects.setdefault(kind, {})
 
     def put(self, kind: str, name: str, spec: Any) -> Entry:
-        """Write an object; one that stays the same gets no new revision."""
+        """Write an object; an unchanged object gets no new revision."""
         known = self.list_kind(kind).get(name)
         if known is not None and known.spec == spec:
             return known
@@ -111,7 +111,7 @@
         return self._keep(kind, Entry(name, self.revision, spec, created, status))
 
     def put_status(self, kind: str, name: str, status: Any) -> Entry:
-        """Replace the status of an object that exists."""
+        """Replace the status of an existing object; an unchanged status makes no new revision."""
         known = self.list_kind(kind)[name]
         if known.status == status:
             return known
@@ -133,7 +133,7 @@
             self._tell(Change(kind, self.revision, True, rendered))
 
     def forget_history(self) -> None:
-        """Drop all changes, as a compaction does."""
+        """Drop all recorded changes, as a compaction does."""
         self.history.clear()
         self.oldest_revision = self.revision
 
@@ -142,7 +142,10 @@
         return [one for one in self.history if one.kind == kind and one.revision > since]
 
     def wait_changes(self, kind: str, since: int, wait_ms: float) -> list[Change]:
-        """Return the changes, waiting for the first."""
+        """Return the changes of a kind after a revision, waiting up to `wait_ms` for the first.
+
+        The wait ends early if a compaction drops the changes after `since`.
+        """
         with gevent.Timeout(min(wait_ms, LONGEST_WAIT_MS) / 1_000, False):
             while not self.find_changes(kind, since) and since >= self.oldest_revision:
                 self.changed.wait()
@@ -155,13 +158,13 @@
 
 
 class ObjectCalls:
-    """The calls of the object store."""
+    """The calls of the object store, under `ROOT`."""
 
     def __init__(self, store: GatewayStore) -> None:
         self._store = store
 
     def on_get(self, req: falcon.Request, resp: falcon.Response, kind: str, name: str = "") -> None:
-        """Answer one object, a list, or a watch."""
+        """Answer an object, a list or a watch."""
         self._apply_faults(resp)
         if name:
             entry = self._store.list_kind(kind).get(name)
@@ -174,7 +177,7 @@
             self._list(req, resp, kind)
 
     def on_post(self, req: falcon.Request, resp: falcon.Response, kind: str) -> None:
-        """Create an object."""
+        """Create an object; answer 409 if it exists."""
         self._apply_faults(resp)
         body = req.get_media()
         name = body["metadata"]["name"]
@@ -186,13 +189,13 @@
         self._lose_answer(req)
 
     def on_put(self, req: falcon.Request, resp: falcon.Response, kind: str, name: str) -> None:
-        """Replace an object, under its condition if the call has one."""
+        """Replace an object; answer 409 if the call names a revision that is not current."""
         self._replace(req, resp, kind, name, lambda body: self._store.put(kind, name, body["spec"]))
 
     def on_put_status(
         self, req: falcon.Request, resp: falcon.Response, kind: str, name: str
     ) -> None:
-        """Replace an object's status likewise."""
+        """Replace an object's status, under the same condition as `on_put`."""
         self._replace(
             req, resp, kind, name, lambda body: self._store.put_status(kind, name, body["status"])
         )
@@ -263,13 +266,13 @@
 
 
 class CloudCalls:
-    """``POST /usage`` and ``POST /scale``: accepted and kept for the test."""
+    """``POST /usage`` and ``POST /scale``: calls are accepted and recorded for the test."""
 
     def __init__(self, store: GatewayStore) -> None:
         self._store = store
 
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Keep one call."""
+        """Record a call."""
         call = {
             "path": req.path,
             "holder": req.get_header("Hemlockswitch-Duty-Holder"),
@@ -281,7 +284,7 @@
 
 
 class Harness:
-    """What tests set and read."""
+    """The calls under ``/standin``, by which tests set and read the state."""
 
     def __init__(self, store: GatewayStore) -> None:
         self._store = store
@@ -289,35 +292,35 @@
     def on_put_object(
         self, req: falcon.Request, resp: falcon.Response, kind: str, name: str
     ) -> None:
-        """Write an object whatever the faults."""
+        """Write an object; faults do not apply."""
         resp.media = self._store.put(kind, name, req.get_media()).render()
 
     def on_get_object(
         self, req: falcon.Request, resp: falcon.Response, kind: str, name: str
     ) -> None:
-        """Give an object whatever the faults."""
+        """Return an object; faults do not apply."""
         resp.media = self._store.list_kind(kind)[name].render()
 
     def on_delete_object(
         self, req: falcon.Request, resp: falcon.Response, kind: str, name: str
     ) -> None:
-        """Remove an object whatever the faults."""
+        """Remove an object; faults do not apply."""
         self._store.remove(kind, name)
         resp.media = {}
 
     def on_post_faults(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Replace the faults in force."""
+        """Replace the active faults."""
         self._store.faults = read_body(req, StoreFaults)
         self._store.lost_answers = 0
         resp.media = {}
 
     def on_post_compact(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Forget the history."""
+        """Drop all recorded changes."""
         self._store.forget_history()
         resp.media = {}
 
     def on_get_cloud(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Give the calls of the cloud API."""
+        """Return the recorded calls of the cloud API."""
         resp.media = self._store.cloud_calls
 
 
@@ -339,5 +342,5 @@
 
 
 def serve_gateway_store(settings: GatewayStoreSettings) -> None:
-    """Serve until the process is asked to stop."""
+    """Serve the stand-in until the process receives a stop signal."""
     serve_until_stopped(build_application(GatewayStore()), settings.listen)
--- a/hemlockswitch/standin/link_faults.py
+++ b/hemlockswitch/standin/link_faults.py
@@ -1,4 +1,4 @@
-"""The faults that a test sets on a link of the fault-injecting proxy."""
+"""Faults that tests inject into a link of the fault-injecting proxy."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Mode(StrEnum):
-    """What a link does with connections."""
+    """How a link handles connections."""
 
     PASS = "pass"
     CUT = "cut"
@@ -15,7 +15,7 @@
 
 
 class Direction(StrEnum):
-    """Which way bytes go."""
+    """Direction of the bytes on a link."""
 
     NONE = "none"
     TO_TARGET = "to_target"
@@ -23,7 +23,7 @@
 
 
 class LostAnswer(StrEnum):
-    """How the answers of a link are lost after their requests went through."""
+    """How the answers of a link are lost after their requests were forwarded."""
 
     NONE = "none"
     SILENT = "silent"
@@ -31,28 +31,28 @@
 
 
 class LinkFaults(BaseModel):
-    """What goes wrong on a link.
+    """Faults of a link.
 
     Explanation
     ===========
 
-    Every post replaces the faults in force for its `source`. TCP loses no bytes in a real
-    network partition that heals, so a black hole and a freeze hold bytes back and pass them on
-    later; only a lost answer drops bytes, and its connection stays unusable.
+    Every post replaces the active faults for its `source`. TCP loses no bytes in a real network
+    partition that heals, so a black hole and a freeze delay the bytes and forward them later;
+    only a lost answer drops bytes, and its connection remains unusable.
 
     Parameters
     ==========
 
-    source : callers whose IP begins with this; the longest that fits decides.
-    mode : pass; cut resets old and new connections; refuse stops listening too; black_hole
-        holds back everything.
-    delay_ms : added to each piece, per direction.
-    bytes_per_s : bandwidth of each connection and direction; 0 for no bound.
+    source : prefix of the caller IPs that the faults apply to; the longest matching prefix wins.
+    mode : ``pass`` forwards bytes; ``cut`` resets open and new connections; ``refuse`` also stops
+        listening; ``black_hole`` delays the bytes of both directions until the mode changes.
+    delay_ms : delay of each chunk of bytes, per direction.
+    bytes_per_s : bandwidth of each connection and direction; 0 means unlimited.
     cut_after_bytes : reset a connection after this many bytes in `cut_direction`, counted from
         the time of the post.
-    lose_answer : drop what the target answers, silently or with a reset.
-    lose_count : for how many connections answers are lost; 0 for all.
-    freeze : hold back one direction.
+    lose_answer : drop the bytes that the target answers, silently or with a reset.
+    lose_count : number of connections whose answers are lost; 0 means all.
+    freeze : delay the bytes of one direction until the faults change.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
--- a/hemlockswitch/standin/links.py
+++ b/hemlockswitch/standin/links.py
@@ -1,4 +1,4 @@
-"""One link of the fault-injecting proxy: a listening address whose bytes go to a target."""
+"""Link of the fault-injecting proxy: a listening address whose bytes are forwarded to a target."""
 
 from typing import Any
 
@@ -17,14 +17,14 @@
 
 
 class Link:
-    """A named link. Its connections look the faults up for each piece they move.
+    """A named link, whose connections look up the active faults for each chunk they forward.
 
     Parameters
     ==========
 
-    name : what tests call it.
+    name : identifier of the link in the control API.
     listen : address to listen on.
-    target : where bytes go; may be set later.
+    target : address to forward to; may be empty at first and set later.
     clock : source of time.
     """
 
@@ -42,12 +42,12 @@
         self._placeholder: Any = None
 
     def find_faults(self, source: str) -> LinkFaults:
-        """Return the faults for a caller's IP."""
+        """Return the faults that apply to a caller's IP."""
         fitting = [prefix for prefix in self._faults if source.startswith(prefix)]
         return self._faults[max(fitting, key=len)]
 
     def set_faults(self, faults: LinkFaults) -> None:
-        """Replace the faults of one source."""
+        """Replace the faults of a source, resetting open connections where they ask for it."""
         self._faults[faults.source] = faults
         for connection in list(self._connections):
             connection.reset_counters()
@@ -69,13 +69,13 @@
         }
 
     def close(self) -> None:
-        """Stop listening and reset what is open."""
+        """Stop listening and reset the open connections."""
         self._server.stop()
         for connection in list(self._connections):
             connection.reset()
 
     def take_lost_answer(self, source: str) -> LostAnswer:
-        """Return how the answer of a connection is lost, counting it."""
+        """Return how the answer of a connection is lost, and count a lost answer."""
         faults = self.find_faults(source)
         if faults.lose_answer is LostAnswer.NONE:
             return LostAnswer.NONE
@@ -119,7 +119,7 @@
 
 
 class Connection:
-    """One caller's connection through a link, and the tasks that move its bytes."""
+    """A caller's connection through a link, and the greenlets that forward its bytes."""
 
     def __init__(self, link: Link, caller: Any, source: str) -> None:
         self.source = source
@@ -131,7 +131,7 @@
         self._lost: LostAnswer | None = None
 
     def run(self) -> None:
-        """Move bytes both ways until both sides have ended or the link resets."""
+        """Forward bytes in both directions until both sides have closed or the link resets."""
         self._hold_back(Direction.TO_TARGET)
         try:
             self._target = socket.create_connection(parse_address(self._link.target))
@@ -147,7 +147,7 @@
         self._target.close()
 
     def reset(self) -> None:
-        """End the connection with a reset to both sides."""
+        """Close the connection with a reset to both sides."""
         for side in (self._caller, self._target):
             if side is not None:
                 close_hard(side)
@@ -155,7 +155,7 @@
         gevent.killall([task for task in self._tasks if task is not own], block=False)
 
     def reset_counters(self) -> None:
-        """Count bytes anew for `cut_after_bytes`."""
+        """Restart the byte count for `cut_after_bytes`."""
         self._moved = dict.fromkeys(Direction, 0)
 
     def _spawn(self, source: Any, sink: Any, direction: Direction) -> None:
@@ -205,7 +205,7 @@
         return True
 
     def _count_left(self, direction: Direction, faults: LinkFaults) -> int | None:
-        """Return how many bytes may still pass, None for no bound."""
+        """Return how many bytes may still be forwarded; None means unlimited."""
         if direction is not faults.cut_direction or faults.cut_after_bytes is None:
             return None
         return max(faults.cut_after_bytes - self._moved[direction], 0)
@@ -227,7 +227,7 @@
 
 
 def close_hard(side: Any) -> None:
-    """Close a socket with a reset; one that is closed already stays so."""
+    """Close a socket with a reset; does nothing if it is already closed."""
     try:
         cut_connection(side)
     except (CutError, OSError):
@@ -235,7 +235,7 @@
 
 
 def end_writing(side: Any) -> None:
-    """Tell the other end that no more comes."""
+    """Shut down the sending side of a socket; errors are ignored."""
     try:
         side.shutdown(socket.SHUT_WR)
     except OSError:
@@ -243,7 +243,7 @@
 
 
 def hold_port(address: tuple[str, int]) -> Any:
-    """Return a socket that is bound but does not listen, so that connections are refused."""
+    """Return a socket that is bound but does not listen, so that the port refuses connections."""
     holder = socket.socket()
     holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     holder.bind(address)
--- a/hemlockswitch/standin/load.py
+++ b/hemlockswitch/standin/load.py
@@ -1,4 +1,4 @@
-"""A run of `hemlock-load`: open-loop arrivals, each with a caller of its own."""
+"""A run of `hemlock-load`: open-loop arrivals, each with its own caller."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -14,13 +14,13 @@
 
 
 class Load:
-    """One run.
+    """A run of the load generator.
 
     Explanation
     ===========
 
-    Arrivals do not wait for answers: a slow system meets the same load as a quick one, and the
-    time a caller waits counts from the moment its request was due.
+    Arrivals do not wait for answers, so a slow system gets the same load as a fast one. The wait
+    of a caller is measured from its creation; `start_lag` is how late that was.
     """
 
     def __init__(self, settings: LoadSettings, clock: Clock) -> None:
@@ -30,7 +30,7 @@
         self._begun_ms = clock.now_ms()
 
     def run(self) -> dict[str, Any]:
-        """Send everything, wait for the answers, and return the results."""
+        """Send all requests, wait for the answers, and return the results."""
         self._begun_ms = self._clock.now_ms()
         tasks = [self._start(arrival) for arrival in self._wait_for_arrivals()]
         limit_ms = self._settings.patience_ms + GRACE_MS
--- a/hemlockswitch/standin/load_calls.py
+++ b/hemlockswitch/standin/load_calls.py
@@ -1,4 +1,4 @@
-"""One caller of `hemlock-load`: sends a request, comes back when told to, checks the answer."""
+"""Caller of `hemlock-load`: sends a request, retries it as advised, and checks the answer."""
 
 import contextlib
 import http.client
@@ -24,18 +24,18 @@
 
 
 class GiveUpError(Exception):
-    """The caller's patience is over, or coming back does not help."""
+    """The caller's time limit is reached, or a retry would not help."""
 
 
 class Caller:
-    """Runs one arrival to its end.
+    """Sends the request of an arrival and follows it to its end.
 
     Parameters
     ==========
 
-    arrival : what to send.
-    entries : callers' addresses of the entry daemons.
-    patience_ms : when the caller gives up, from the time the arrival was due.
+    arrival : the request to send.
+    entries : addresses on which the entry daemons serve callers.
+    patience_ms : time after which the caller gives up, counted from its creation.
     clock : source of time.
     """
 
@@ -56,7 +56,7 @@
         )
 
     def run(self) -> Outcome:
-        """Send the request, and return how it ended."""
+        """Send the request and return its outcome."""
         outcome = self.outcome
         try:
             if isinstance(self._arrival.mix, CallMix):
@@ -72,7 +72,7 @@
         outcome.tokens = outcome.tokens or self.check.tokens
         return outcome
 
-    # The three kinds of requests
+    # Streams, answers in one piece, and service calls
 
     def _run_stream(self, mix: ChatMix) -> None:
         while not self._stream_once(mix):
@@ -84,7 +84,7 @@
         self.outcome.verdict = Verdict.WRONG if self.outcome.problems else Verdict.WHOLE
 
     def _stream_once(self, mix: ChatMix) -> bool:
-        """Read what one connection gives; return whether the request is over."""
+        """Read the stream over one connection; return whether the request has ended."""
         try:
             with contextlib.closing(self._connect()) as connection:
                 answer = self._send_stream(connection, mix)
@@ -170,7 +170,7 @@
         self.outcome.verdict = Verdict.WRONG
 
     def _exchange(self, method: str, path: str, body: Any, may_repeat: bool) -> Any:
-        """Return the decoded answer; None when the request ended without one."""
+        """Return the decoded answer, or None if the request ended without an answer."""
         while self.outcome.verdict is Verdict.UNFINISHED:
             self._check_patience()
             try:
@@ -183,7 +183,7 @@
                     self._take_refusal(answer, may_repeat)
             except LOST as error:
                 self.outcome.lost_connections += 1
-                # Nothing was sent on a connection that was refused.
+                # A refused connection carried no request, so a retry cannot run it twice.
                 if not may_repeat and not isinstance(error, ConnectionRefusedError):
                     self.outcome.verdict = Verdict.UNKNOWN
                     return None
@@ -224,7 +224,7 @@
         }
 
     def _take_refusal(self, answer: http.client.HTTPResponse, may_repeat: bool) -> None:
-        """Wait as the refusal says, or give up where coming back does not help."""
+        """Wait for the advised retry delay, or give up if a retry would not help."""
         content = answer.read()
         error = read_error(content, answer.status)
         retry_after = answer.getheader("Retry-After")
@@ -252,7 +252,7 @@
 
 
 def read_error(content: bytes, status: int) -> dict[str, Any]:
-    """Return the error in a refusal's body; one of another form is named by its status.
+    """Return the error in a refusal's body; a body of another form yields a kind by its status.
 
     Examples
     ========
@@ -268,7 +268,7 @@
 
 
 def iterate_lines(answer: http.client.HTTPResponse) -> Iterator[bytes]:
-    """Yield the lines of an answer as they come, several to a read."""
+    """Yield the lines of an answer as they arrive; a read may contain several lines."""
     rest = b""
     while piece := answer.read1(READ_BYTES):
         *lines, rest = (rest + piece).split(b"\n")
--- a/hemlockswitch/standin/load_plan.py
+++ b/hemlockswitch/standin/load_plan.py
@@ -1,4 +1,4 @@
-"""What `hemlock-load` sends: its settings, and the arrivals that a seed gives."""
+"""Settings of `hemlock-load`, and the arrivals that are generated from its seed."""
 
 import random
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 
 
 class Account(_Settings):
-    """A client account that sends, and its share of the requests."""
+    """A client account that sends requests, and its share of them."""
 
     name: str
     key: str
@@ -26,13 +26,13 @@
 
 
 class ChatMix(_Settings):
-    """One kind of model request.
+    """A kind of model request.
 
     Parameters
     ==========
 
-    prompt_words, max_tokens : smallest and largest; drawn evenly.
-    prefix_words, prefixes : a prompt begins with one of `prefixes` texts of so many words.
+    prompt_words, max_tokens : minimum and maximum of a uniform distribution.
+    prefix_words, prefixes : a prompt begins with one of `prefixes` texts of `prefix_words` words.
     """
 
     kind: Literal["chat"] = "chat"
@@ -47,7 +47,14 @@
 
 
 class CallMix(_Settings):
-    """One kind of plain-service call; `keyed` sends an idempotency key and may repeat."""
+    """A kind of plain-service call.
+
+    Parameters
+    ==========
+
+    keyed : send an idempotency key, which permits retries.
+    repeatable : permit retries without an idempotency key.
+    """
 
     kind: Literal["call"] = "call"
     weight: float = Field(default=1, gt=0)
@@ -59,15 +66,17 @@
 
 
 class LoadSettings(_Settings):
-    """What the settings file of `hemlock-load` holds.
+    """Settings file of `hemlock-load`.
 
     Parameters
     ==========
 
-    entries : callers' addresses; each request draws one, as behind a balancer.
-    requests_per_s : mean of the open-loop arrivals.
-    patience_ms : after this long a caller gives up.
-    give_up_share : share of the streams whose caller leaves after a few tokens.
+    entries : addresses on which entry daemons serve callers; each try uses one of them, as
+        behind a load balancer.
+    requests_per_s : mean rate of the open-loop arrivals.
+    patience_ms : time after which a caller gives up.
+    give_up_share : fraction of the chat requests whose caller disconnects within the first half
+        of the tokens.
     """
 
     entries: tuple[str, ...] = Field(min_length=1)
@@ -82,16 +91,16 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """One request of the plan.
+    """A request of the plan.
 
     Parameters
     ==========
 
-    number : place in the plan.
-    at_ms : when it is due, from the begin of the run.
-    text : content of the one message, or the body of a call.
-    give_up_after : tokens after which its caller leaves; 0 for never.
-    entry_draws : random numbers that choose the entry for each try.
+    number : position in the plan.
+    at_ms : time at which the request is due, counted from the start of the run.
+    text : content of the single message, or text in the body of a call.
+    give_up_after : number of tokens after which the caller disconnects; 0 means never.
+    entry_draws : random number that determines the entry for each try.
     """
 
     number: int
@@ -105,12 +114,12 @@
 
     @property
     def prompt(self) -> str:
-        """The prompt text as engines see it."""
+        """The prompt text as engines receive it."""
         return join_prompt([{"role": "user", "content": self.text}])
 
 
 def plan_arrivals(settings: LoadSettings) -> Iterator[Arrival]:
-    """Yield the arrivals of a run in order; the same settings give the same ones.
+    """Yield the arrivals of a run in order; equal settings yield equal arrivals.
 
     Examples
     ========
--- a/hemlockswitch/standin/load_results.py
+++ b/hemlockswitch/standin/load_results.py
@@ -1,4 +1,4 @@
-"""What a run of `hemlock-load` gives: counts, percentiles, and what was wrong."""
+"""Results of a run of `hemlock-load`: counts, percentiles and problems found."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -17,7 +17,7 @@
 
 
 class Verdict(StrEnum):
-    """How a request ended."""
+    """Result of a request."""
 
     WHOLE = "whole"
     WRONG = "wrong"
@@ -30,15 +30,15 @@
 
 @dataclass
 class Outcome:
-    """One request as its caller saw it.
+    """The outcome of a request from its caller's point of view.
 
     Parameters
     ==========
 
-    tries : exchanges, the first included.
-    refusals : error kinds of the refusals that were followed by another try.
-    problems : what the check of the answer found.
-    recomputed_tokens : what the answer's usage said; None when it did not say.
+    tries : number of exchanges, including the first.
+    refusals : error kinds of the refusals that were followed by a retry.
+    problems : problems that the check of the answer found.
+    recomputed_tokens : value reported in the answer's usage; None if it was not reported.
     """
 
     number: int
@@ -61,7 +61,7 @@
 
 
 class Distribution:
-    """Percentiles of durations.
+    """Histogram of durations.
 
     Examples
     ========
@@ -80,7 +80,7 @@
         self._histogram.record_value(min(max(int(duration_ms * US_PER_MS), 1), LARGEST_US))
 
     def describe(self) -> dict[str, float]:
-        """Return count, percentiles and maximum in milliseconds."""
+        """Return the count, and percentiles and maximum in milliseconds."""
         found: dict[str, float] = {"count": self._histogram.get_total_count()}
         for percentile in PERCENTILES:
             value_us = self._histogram.get_value_at_percentile(percentile)
@@ -90,7 +90,7 @@
 
 
 class Results:
-    """Gathers the outcomes of a run."""
+    """Accumulates the outcomes of a run."""
 
     def __init__(self) -> None:
         self.verdicts: Counter[str] = Counter()
@@ -106,7 +106,7 @@
         self.start_lag = Distribution()
 
     def add(self, outcome: Outcome) -> None:
-        """Add one request."""
+        """Add the outcome of a request."""
         verdict = outcome.verdict.value
         self.verdicts[verdict] += 1
         self.by_account.setdefault(outcome.account, Counter())[verdict] += 1
@@ -132,7 +132,7 @@
             self.call.add(outcome.took_ms)
 
     def describe(self, took_ms: float) -> dict[str, Any]:
-        """Return the results, ready for JSON."""
+        """Return the results as a JSON-serializable dictionary."""
         return {
             "requests": sum(self.verdicts.values()),
             "took_ms": took_ms,
--- a/hemlockswitch/standin/platform.py
+++ b/hemlockswitch/standin/platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in: object service, VM list and cloud API of docs/reference/protocols.md."""
+"""Platform stand-in: object service, VM list and cloud API of docs/reference/protocols.md."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -49,12 +49,12 @@
 
 
 def serve_platform(settings: Mapping[str, Any]) -> None:
-    """Serve the platform stand-in until the process is asked to stop.
+    """Serve the platform stand-in until the process receives a stop signal.
 
     Parameters
     ==========
 
-    settings : the settings file's JSON object, fields of `PlatformSettings`.
+    settings : JSON object of the settings file, with the fields of `PlatformSettings`.
     """
     checked = PlatformSettings.model_validate(settings)
     serve_until_stopped(build_application(PlatformState(checked)), checked.listen)
--- a/hemlockswitch/standin/platform_api.py
+++ b/hemlockswitch/standin/platform_api.py
@@ -1,4 +1,4 @@
-"""The platform stand-in's calls of docs/reference/protocols.md."""
+"""Calls of the platform stand-in, as in docs/reference/protocols.md."""
 
 import json
 from dataclasses import asdict
@@ -28,7 +28,7 @@
         self._state = state
 
     def on_get(self, req: falcon.Request, resp: falcon.Response, kind: str, name: str) -> None:
-        """Answer one object."""
+        """Answer an object."""
         self._state.begin_object_call(req, "read")
         found = self._state.objects.find(kind, name, self._state.object_faults.versions_back)
         if found is None:
@@ -37,7 +37,7 @@
         resp.data = found.render()
 
     def on_put(self, req: falcon.Request, resp: falcon.Response, kind: str, name: str) -> None:
-        """Write one object under its condition."""
+        """Write an object if the version condition of the call holds."""
         body = read_body(req)
         self._state.begin_object_call(req, "write")
         try:
@@ -49,7 +49,7 @@
         self._finish(req, resp, kind, self._state.objects.write(kind, name, body, expected))
 
     def on_delete(self, req: falcon.Request, resp: falcon.Response, kind: str, name: str) -> None:
-        """Delete one object under its condition."""
+        """Delete an object if the version condition of the call holds."""
         self._state.begin_object_call(req, "delete")
         expected = get_expected_version(req)
         self._finish(req, resp, kind, self._state.objects.write(kind, name, None, expected))
@@ -89,7 +89,7 @@
         self._state = state
 
     def on_get(self, req: falcon.Request, resp: falcon.Response, kind: str) -> None:
-        """Answer what changed, waiting for the first change."""
+        """Answer the objects changed since a version, waiting for the first change."""
         self._state.begin_object_call(req, "watch")
         since = req.get_param_as_int("since", default=0)
         prefix = req.get_param("prefix") or ""
@@ -106,7 +106,7 @@
         self._state = state
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Answer the lagging list."""
+        """Answer the VM list, which lags behind by the configured time."""
         state = self._state
         state.begin_call(req, "vm_list", state.cloud_faults)
         listed = state.vms.list_vms(req.get_param("zone"), state.vm_list_lag_ms)
@@ -121,7 +121,7 @@
         self._state = state
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Answer reclaim notices, waiting for the first."""
+        """Answer the reclaim notices after a number, waiting for the first."""
         state = self._state
         state.begin_call(req, "notices", state.cloud_faults)
         since = req.get_param_as_int("since", default=0)
@@ -140,7 +140,7 @@
         self._state = state
 
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Start a VM from the spare pool, or refuse."""
+        """Start a VM from the spare pool; answer 503 if there is none or the start is refused."""
         state = self._state
         request = StartRequest(**read_json(req))
         state.begin_call(req, "start", state.cloud_faults)
@@ -163,7 +163,7 @@
         self._state = state
 
     def on_delete(self, req: falcon.Request, resp: falcon.Response, name: str) -> None:
-        """Stop a VM; twice is one stop."""
+        """Stop a VM; stopping a stopped VM succeeds and has no effect."""
         state = self._state
         state.begin_call(req, "stop", state.cloud_faults)
         if not state.vms.stop(name):
--- a/hemlockswitch/standin/platform_faults.py
+++ b/hemlockswitch/standin/platform_faults.py
@@ -1,4 +1,4 @@
-"""The platform stand-in's faults, call counts and rates."""
+"""Faults, call counts and rate limits of the platform stand-in."""
 
 import time
 from collections import Counter
@@ -11,19 +11,20 @@
 
 
 class ServiceFaults(BaseModel):
-    """What is wrong with one of the platform's services; each field left out is healthy.
+    """Faults of one of the platform's services; an omitted field means no such fault.
 
     Parameters
     ==========
 
-    mode : ``up``, ``down`` (answers 503), ``refused`` (closes the connection unanswered) or
-        ``silent`` (takes the call and never answers).
-    delay_ms : added to every answer.
-    lose_answers : the next this many writes take effect and their answer is lost.
-    lose_kinds : only writes of these object kinds count for `lose_answers`; empty means all.
-    versions_back : reads are served from this many versions before the newest.
-    refuse_starts : the next this many starts are refused; -1 means all.
-    refuse_zones, refuse_classes : only starts in these; empty means all.
+    mode : ``up``, ``down`` (answers 503), ``refused`` (resets the connection without an answer)
+        or ``silent`` (accepts the call and resets the connection long after, unanswered).
+    delay_ms : delay of every answer.
+    lose_answers : number of writes that take effect but whose answer is lost.
+    lose_kinds : object kinds whose writes `lose_answers` applies to; empty means all.
+    versions_back : reads are served from this many versions before the latest.
+    refuse_starts : number of starts that are refused; -1 means all.
+    refuse_zones, refuse_classes : zones and machine classes whose starts are refused; empty
+        means all.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -38,14 +39,14 @@
     refuse_classes: tuple[str, ...] = ()
 
     def take_lost_answer(self, kind: str) -> bool:
-        """Return whether this write's answer is lost, and count it."""
+        """Return whether the answer of this write is lost, and count it if so."""
         if self.lose_answers == 0 or (self.lose_kinds and kind not in self.lose_kinds):
             return False
         self.lose_answers -= 1
         return True
 
     def take_refused_start(self, zone: str, machine_class: str) -> bool:
-        """Return whether this start is refused, and count it."""
+        """Return whether this start is refused, and count it if so."""
         fits_zone = not self.refuse_zones or zone in self.refuse_zones
         fits_class = not self.refuse_classes or machine_class in self.refuse_classes
         if self.refuse_starts == 0 or not (fits_zone and fits_class):
@@ -55,7 +56,7 @@
 
 
 class FaultOrder(BaseModel):
-    """The body of ``POST /standin/faults``; a service left out keeps its faults."""
+    """The body of ``POST /standin/faults``; the faults of an omitted service do not change."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -65,7 +66,7 @@
 
 
 class RateLimit:
-    """A token bucket of one second's worth of calls.
+    """A token bucket that holds the calls of one second.
 
     Examples
     ========
@@ -81,7 +82,7 @@
         self._filled_at = time.monotonic()
 
     def take(self) -> bool:
-        """Return whether one more call fits the rate now."""
+        """Return whether the rate permits another call now, and count it if so."""
         now = time.monotonic()
         filled = self._tokens + (now - self._filled_at) * self.calls_per_s
         self._tokens = min(filled, self.calls_per_s)
@@ -94,7 +95,7 @@
 
 @dataclass
 class CallCounts:
-    """Counts of calls since the last reset; a waiting watch is one call."""
+    """Counts of calls since the last reset; a long-polling watch counts as one call."""
 
     started_at: float = field(default_factory=time.monotonic)
     by_role: dict[str, Counter[str]] = field(default_factory=dict)
@@ -106,12 +107,12 @@
     over_rate: int = 0
 
     def count(self, role: str, daemon: str, call: str) -> None:
-        """Count one call."""
+        """Count a call."""
         self.by_role.setdefault(role, Counter())[call] += 1
         self.by_daemon.setdefault(daemon, Counter())[call] += 1
 
     def render(self) -> dict[str, object]:
-        """Return the counts as JSON."""
+        """Return the counts as a JSON-serializable dictionary."""
         return {
             "window_ms": (time.monotonic() - self.started_at) * MS_PER_SECOND,
             "by_role": self.by_role,
@@ -125,6 +126,6 @@
 
 
 def wait_ms(duration_ms: float) -> None:
-    """Delay an answer."""
+    """Sleep for `duration_ms`; returns at once if it is not positive."""
     if duration_ms > 0:
         gevent.sleep(duration_ms / MS_PER_SECOND)
--- a/hemlockswitch/standin/platform_harness.py
+++ b/hemlockswitch/standin/platform_harness.py
@@ -1,4 +1,4 @@
-"""The platform stand-in's own calls under ``/standin``."""
+"""Control calls of the platform stand-in, under ``/standin``."""
 
 from dataclasses import asdict
 
@@ -10,13 +10,13 @@
 
 
 class HarnessResource:
-    """The stand-in's own calls under ``/standin``; no fault touches them."""
+    """Control calls under ``/standin``; faults do not apply to them."""
 
     def __init__(self, state: PlatformState) -> None:
         self._state = state
 
     def on_get_stats(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Answer the judge's counts."""
+        """Answer the counts and VMs that tests check."""
         answer_json(
             resp,
             {
@@ -28,12 +28,12 @@
         )
 
     def on_post_reset(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Begin the call counts anew."""
+        """Reset the call counts."""
         self._state.counts = CallCounts()
         answer_json(resp, {})
 
     def on_post_faults(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Set faults."""
+        """Replace the faults of the services in the body."""
         order = FaultOrder.model_validate(read_json(req))
         if order.objects is not None:
             self._state.object_faults = order.objects
@@ -44,14 +44,14 @@
         answer_json(resp, order.model_dump(mode="json"))
 
     def on_post_vms(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Register VMs: ``{"vms": [...]}`` or one VM; state ``spare`` puts it in the pool."""
+        """Register VMs: ``{"vms": [...]}`` or one VM; those in state ``spare`` join the pool."""
         body = read_json(req)
         listed = body.get("vms", [body])
         registered = [self._state.vms.register(StandinVm.from_json(vm)) for vm in listed]
         answer_json(resp, {"vms": [render_vm(vm) for vm in registered]}, 201)
 
     def on_delete_vm(self, req: falcon.Request, resp: falcon.Response, name: str) -> None:
-        """End a VM without notice."""
+        """Terminate a VM without notice."""
         if not self._state.vms.end(name):
             raise falcon.HTTPNotFound
         answer_json(resp, {"name": name})
@@ -68,6 +68,6 @@
         answer_json(resp, {"notices": [asdict(notice) for notice in notices]})
 
     def on_get_objects(self, req: falcon.Request, resp: falcon.Response, kind: str) -> None:
-        """Answer the true objects of a kind, past all faults."""
+        """Answer the current objects of a kind; faults do not apply."""
         items = self._state.objects.list_objects(kind, req.get_param("prefix") or "")
         answer_items(resp, items, self._state.objects.version)
--- a/hemlockswitch/standin/platform_objects.py
+++ b/hemlockswitch/standin/platform_objects.py
@@ -1,4 +1,4 @@
-"""The stand-in's object service: versions, conditional writes, watches and old reads."""
+"""Object service of the stand-in: versions, conditional writes, watches and stale reads."""
 
 import time
 from collections import deque
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class StoredValue:
-    """One version of an object; `value` is JSON text, None for a deleted object."""
+    """A version of an object; `value` is JSON text, or None for a deleted object."""
 
     kind: str
     name: str
@@ -23,7 +23,7 @@
     value: bytes | None
 
     def render(self) -> bytes:
-        """Return the object as the JSON text of an answer."""
+        """Return the object as JSON text."""
         value = b"null" if self.value is None else self.value
         head = f'{{"kind": "{self.kind}", "name": "{self.name}", "version": {self.version}, '
         deleted = b'"deleted": true, ' if self.value is None else b""
@@ -32,36 +32,36 @@
 
 @dataclass(frozen=True)
 class WriteResult:
-    """What a conditional write did: the HTTP status and the object's version after it."""
+    """Result of a conditional write: the HTTP status and the object's version after it."""
 
     status: int
     version: int
 
 
 class ChangeSignal:
-    """Wakes every waiter at each change."""
+    """Wakes all waiting greenlets at each change."""
 
     def __init__(self) -> None:
         self._event = GeventEvent()
 
     def announce(self) -> None:
-        """Wake all who wait now."""
+        """Wake all greenlets that are waiting now."""
         event, self._event = self._event, GeventEvent()
         event.set()
 
     def wait(self, timeout_ms: float) -> None:
-        """Return at the next change or after `timeout_ms`."""
+        """Block until the next change, or for `timeout_ms` at most."""
         self._event.wait(max(timeout_ms, 0) / MS_PER_SECOND)
 
 
 class Versioned(Protocol):
-    """Anything with a rising number and a change signal."""
+    """An object that signals its changes."""
 
     changed: ChangeSignal
 
 
 class ObjectStore:
-    """Objects by kind and name under one rising counter.
+    """Objects by kind and name; all versions come from a single increasing counter.
 
     Examples
     ========
@@ -83,7 +83,11 @@
         self._history: dict[tuple[str, str], deque[StoredValue]] = {}
 
     def find(self, kind: str, name: str, versions_back: int = 0) -> StoredValue | None:
-        """Return an object's newest version, or one `versions_back` before it; None if absent."""
+        """Return the latest or, with `versions_back`, an older version of an object.
+
+        Only the last `HISTORY_LENGTH` versions are stored, and the oldest of them is used beyond
+        that. Returns None if the object does not exist or was deleted in that version.
+        """
         history = self._history.get((kind, name))
         if not history:
             return None
@@ -91,7 +95,10 @@
         return None if found.value is None else found
 
     def write(self, kind: str, name: str, value: bytes | None, expected: int | None) -> WriteResult:
-        """Write a value (None deletes) if the current version is `expected`; 0 means absent."""
+        """Write a value (None deletes) if the current version is `expected`.
+
+        For `expected`, 0 requires that the object does not exist, and None permits any version.
+        """
         current = self.find(kind, name)
         current_version = 0 if current is None else current.version
         if expected is not None and expected != current_version:
@@ -111,7 +118,10 @@
         return [value for value in found if value is not None]
 
     def list_changes(self, kind: str, prefix: str, since: int) -> list[StoredValue]:
-        """Return what changed after version `since`, deletions included, oldest first."""
+        """Return the objects changed after version `since`, including deleted ones, oldest first.
+
+        Of each object only the latest version is returned.
+        """
         newest = [
             history[-1]
             for (of, name), history in self._history.items()
@@ -120,7 +130,7 @@
         return sorted(newest, key=lambda value: value.version)
 
     def watch(self, kind: str, prefix: str, since: int, wait_ms: float) -> list[StoredValue]:
-        """Return changes after `since`, waiting up to `wait_ms` for the first."""
+        """Return the changes after version `since`, waiting up to `wait_ms` for the first."""
         deadline = time.monotonic() + wait_ms / MS_PER_SECOND
         while True:
             changes = self.list_changes(kind, prefix, since)
--- a/hemlockswitch/standin/platform_state.py
+++ b/hemlockswitch/standin/platform_state.py
@@ -1,4 +1,4 @@
-"""What the platform stand-in holds, and how its calls begin and answer."""
+"""State of the platform stand-in, and helpers to begin and answer its calls."""
 
 import json
 from typing import Any
@@ -21,10 +21,10 @@
     Parameters
     ==========
 
-    writes_per_s, reads_per_s : rates of the object service; over them a call gets 429.
-    answer_ms : the time each call of the object service takes at least.
-    vm_list_lag_ms : how old the VM list is.
-    start_ms : how long a started VM stays ``starting``.
+    writes_per_s, reads_per_s : rate limits of the object service; calls beyond them get 429.
+    answer_ms : minimum duration of a call of the object service.
+    vm_list_lag_ms : age of the VM list.
+    start_ms : how long a started VM remains in state ``starting``.
     """
 
     model_config = ConfigDict(extra="forbid")
@@ -40,7 +40,7 @@
 
 
 class PlatformState:
-    """Everything the stand-in holds."""
+    """State of the platform stand-in."""
 
     def __init__(self, settings: PlatformSettings) -> None:
         self.settings = settings
@@ -54,7 +54,7 @@
         self.read_limit = RateLimit(settings.reads_per_s)
 
     def begin_call(self, req: falcon.Request, call: str, faults: ServiceFaults) -> None:
-        """Count a call and apply its service's faults to it."""
+        """Count a call and apply the faults of its service."""
         role = req.get_header("X-Role") or "none"
         daemon = req.get_header("X-Daemon") or "none"
         self.counts.count(role, daemon, call)
@@ -67,7 +67,7 @@
             raise falcon.HTTPServiceUnavailable(title="platform is down")
 
     def begin_object_call(self, req: falcon.Request, call: str) -> None:
-        """Begin a call of the object service, within its rate."""
+        """Begin a call of the object service; answer 429 if it exceeds the rate limit."""
         self.begin_call(req, call, self.object_faults)
         wait_ms(self.settings.answer_ms)
         limit = self.write_limit if call in ("write", "delete") else self.read_limit
@@ -77,14 +77,14 @@
 
 
 def read_body(req: falcon.Request) -> bytes:
-    """Return the body, refusing one over the value size before it is read."""
+    """Return the body; a body over the maximum value size is refused before it is read."""
     if (req.content_length or 0) > MAX_VALUE_BYTES:
         raise falcon.HTTPContentTooLarge(title="over 1,048,576 bytes")
     return req.bounded_stream.read()
 
 
 def read_json(req: falcon.Request) -> Any:
-    """Return the decoded body."""
+    """Return the decoded JSON body; an empty body counts as an empty object."""
     try:
         return json.loads(read_body(req) or b"{}")
     except ValueError as error:
@@ -92,7 +92,7 @@
 
 
 def get_expected_version(req: falcon.Request) -> int | None:
-    """Return the version that the write's condition names; 0 for absent, None for no condition."""
+    """Return the version that a write requires; 0 if the object must not exist, None if any."""
     if req.get_header("If-None-Match") == "*":
         return 0
     match = req.get_header("If-Match")
@@ -100,19 +100,19 @@
 
 
 def answer_json(resp: falcon.Response, body: Any, status: int = 200) -> None:
-    """Answer a JSON body."""
+    """Set the response to a JSON body."""
     resp.status = status
     resp.content_type = "application/json"
     resp.data = json.dumps(body).encode()
 
 
 def answer_items(resp: falcon.Response, items: list[StoredValue], version: int) -> None:
-    """Answer stored objects with the service's version."""
+    """Set the response to a list of stored objects and the version of the object service."""
     resp.content_type = "application/json"
     rendered = b", ".join(item.render() for item in items)
     resp.data = b'{"items": [' + rendered + b'], "version": ' + str(version).encode() + b"}"
 
 
 def get_wait_ms(req: falcon.Request) -> float:
-    """Return how long a long poll may wait."""
+    """Return the wait that a long poll asks for, at most `MAX_WAIT_MS`."""
     return min(req.get_param_as_float("wait_ms", default=0.0), MAX_WAIT_MS)
--- a/hemlockswitch/standin/platform_vms.py
+++ b/hemlockswitch/standin/platform_vms.py
@@ -1,4 +1,4 @@
-"""The stand-in's VMs: the lagging list, the cloud API's starts and stops, notices, licences."""
+"""VMs of the stand-in: lagging VM list, starts and stops, reclaim notices, licence counts."""
 
 import time
 from collections import Counter
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class StandinVm:
-    """One VM as the stand-in knows it at one version."""
+    """The state of a VM at a version."""
 
     name: str
     zone: str
@@ -31,13 +31,13 @@
 
     @classmethod
     def from_json(cls, body: dict[str, Any]) -> "StandinVm":
-        """Return the VM described by a harness's call; unknown fields are an error."""
+        """Return the VM described by a control call; unknown fields raise TypeError."""
         return cls(**body)
 
 
 @dataclass(frozen=True)
 class Notice:
-    """A reclaim notice."""
+    """A reclaim notice; the VM terminates at its deadline."""
 
     number: int
     vm: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class StartRequest:
-    """What the cloud API is asked to start."""
+    """The body of a start call of the cloud API."""
 
     zone: str
     serves: str
@@ -57,7 +57,7 @@
 
 @dataclass
 class CloudCounts:
-    """The judge's figures about VMs."""
+    """Counts of VMs that tests check."""
 
     running: Counter[str] = field(default_factory=Counter)
     most_running: Counter[str] = field(default_factory=Counter)
@@ -68,7 +68,7 @@
 
 
 class VmRegistry:
-    """All VMs with their history, the spare pool and the notices.
+    """All VMs with their history, the pool of spare VMs and the reclaim notices.
 
     Examples
     ========
@@ -94,7 +94,7 @@
         self._uses: Counter[str] = Counter()
 
     def register(self, vm: StandinVm) -> StandinVm:
-        """Add a VM; one in the state ``spare`` goes to the pool that starts take from."""
+        """Add a VM; a VM in state ``spare`` joins the pool from which VMs are started."""
         if vm.state == SPARE:
             self._spares.append(vm)
             return vm
@@ -119,12 +119,12 @@
         most[after.serves] = max(most[after.serves], running[after.serves])
 
     def find(self, name: str) -> StandinVm | None:
-        """Return the VM's true state now."""
+        """Return the current state of a VM, without the list's lag."""
         history = self._history.get(name)
         return history[-1][1] if history else None
 
     def list_vms(self, zone: str | None, lag_ms: float) -> list[StandinVm]:
-        """Return the VMs as the list showed them `lag_ms` ago."""
+        """Return the listed VMs in their state `lag_ms` ago."""
         seen_at = time.monotonic() * MS_PER_SECOND - lag_ms
         seen = [self._find_at(name, seen_at) for name in self._history]
         return [
@@ -138,7 +138,10 @@
         return known[-1] if known else None
 
     def start(self, request: StartRequest, start_ms: float) -> StandinVm | None:
-        """Start a VM from the spare pool; the same token gives the same VM; None if there is none."""
+        """Start a VM from the spare pool; return None if no spare VM fits.
+
+        A repeated call with the same token returns the VM that the first call started.
+        """
         known = self._by_token.get(request.token)
         if known is not None:
             return self.find(known)
@@ -170,7 +173,7 @@
             self._record(replace(vm, state="live"))
 
     def stop(self, name: str) -> bool:
-        """End a VM; stopping twice is one stop. Returns whether the name is known."""
+        """Stop a VM, unless it has stopped already; return whether the VM exists."""
         vm = self.find(name)
         if vm is None:
             return False
@@ -182,12 +185,15 @@
     def reclaim(
         self, names: list[str], zone: str | None, notice_ms: float, copies: int = 1
     ) -> list[Notice]:
-        """Give notice to the named VMs, or a whole zone, and end them when it runs out.
+        """Give reclaim notice to VMs, and terminate them at the end of the notice period.
 
         Parameters
         ==========
 
-        copies : how often each notice is sent; more than one repeats it under a new number.
+        names : VMs to reclaim.
+        zone : zone whose VMs are all reclaimed as well; None for none.
+        notice_ms : notice period.
+        copies : how often each notice is sent; each repetition has a new number.
         """
         listed = self.list_vms(zone, lag_ms=0) if zone else []
         wanted = list(names) + [vm.name for vm in listed if vm.name not in names]
@@ -215,13 +221,13 @@
             self._record(replace(vm, state=GONE))
 
     def end(self, name: str) -> bool:
-        """End a VM without notice, as a crash does."""
+        """Terminate a VM without notice, as a crash does; return whether the VM exists."""
         known = self.find(name) is not None
         self._end(name)
         return known
 
     def watch_notices(self, zone: str | None, since: int, wait_ms: float) -> list[Notice]:
-        """Return notices after number `since`, waiting up to `wait_ms` for the first."""
+        """Return the notices after number `since`, waiting up to `wait_ms` for the first."""
         deadline = time.monotonic() + wait_ms / MS_PER_SECOND
         while True:
             found = [notice for notice in self.notices[since:] if zone in (None, "", notice.zone)]
@@ -232,5 +238,5 @@
 
 
 def render_vm(vm: StandinVm) -> dict[str, Any]:
-    """Return the VM as its JSON object."""
+    """Return the VM as a JSON-serializable dictionary."""
     return asdict(vm)
--- a/hemlockswitch/standin/proxy.py
+++ b/hemlockswitch/standin/proxy.py
@@ -1,4 +1,4 @@
-"""The fault-injecting TCP proxy: named links and the HTTP API that rules them."""
+"""Fault-injecting TCP proxy: named links and the HTTP API that controls them."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
 
 
 class LinkSettings(BaseModel):
-    """A link to make; an empty target is set later."""
+    """A link to create; an empty target can be set later."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -27,7 +27,7 @@
 
 
 class ProxySettings(BaseModel):
-    """What the settings file of a proxy holds."""
+    """Settings file of a proxy."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -36,7 +36,7 @@
 
 
 class Proxy:
-    """The links of one proxy process."""
+    """The links of a proxy process."""
 
     def __init__(self, settings: ProxySettings, clock: Clock) -> None:
         self._clock = clock
@@ -45,7 +45,7 @@
             self.add(link)
 
     def add(self, settings: LinkSettings) -> Link:
-        """Make a link, or give an old one a new target."""
+        """Create a link, or change the target of an existing link."""
         link = self.links.get(settings.name)
         if link is None:
             link = Link(settings.name, settings.listen, settings.target, self._clock)
@@ -59,7 +59,7 @@
         Raises
         ======
 
-        RefusalError : there is none.
+        RefusalError : no link has this name.
         """
         try:
             return self.links[name]
@@ -67,7 +67,7 @@
             raise RefusalError(404, "unknown_link") from None
 
     def remove(self, name: str) -> None:
-        """Close a link and forget it."""
+        """Close and remove a link."""
         self.find(name).close()
         del self.links[name]
 
@@ -83,7 +83,7 @@
         response.media = {"links": [link.describe() for link in self._proxy.links.values()]}
 
     def on_post(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Make a link, or give an old one a new target."""
+        """Create a link, or change the target of an existing link."""
         response.media = self._proxy.add(read_body(request, LinkSettings)).describe()
 
     def on_get_one(self, request: falcon.Request, response: falcon.Response, name: str) -> None:
@@ -91,7 +91,7 @@
         response.media = self._proxy.find(name).describe()
 
     def on_delete_one(self, request: falcon.Request, response: falcon.Response, name: str) -> None:
-        """Close a link."""
+        """Close and remove a link."""
         self._proxy.remove(name)
         response.media = {}
 
@@ -103,7 +103,7 @@
 
 
 def build_application(proxy: Proxy) -> Any:
-    """Return the WSGI application that rules a proxy."""
+    """Return the WSGI application that controls a proxy."""
     application = make_application()
     links = Links(proxy)
     application.add_route("/links", links)
@@ -113,6 +113,6 @@
 
 
 def serve_proxy(settings: ProxySettings) -> None:
-    """Serve a proxy until the process is asked to stop."""
+    """Serve a proxy until the process receives a stop signal."""
     proxy = Proxy(settings, SystemClock())
     serve_until_stopped(build_application(proxy), settings.listen)
--- a/hemlockswitch/standin/runner.py
+++ b/hemlockswitch/standin/runner.py
@@ -1,4 +1,4 @@
-"""A stand-in of a backend server on the users' platform: plain answers and event streams."""
+"""Stand-in of a backend server on the users' platform: plain answers and event streams."""
 
 import json
 from collections import Counter
@@ -25,17 +25,17 @@
 
 
 class RunnerSettings(BaseModel):
-    """What the settings file holds.
+    """Settings file of the stand-in.
 
     Parameters
     ==========
 
-    name : the runner's incarnation.
-    work_ms : time of a plain call, and to the first event of a stream.
-    event_ms : time between two events.
-    prints_runs : print a line for each run, which outlives the process.
-    ends_on : end the process on a request whose body holds this, once it has run for its time;
-        empty for none.
+    name : instance identifier of the backend server.
+    work_ms : duration of a plain call, and time to the first event of a stream.
+    event_ms : time between two events of a stream.
+    prints_runs : print a line for each run, which remains readable after the process ends.
+    ends_on : terminate the process on a request whose body contains this text, after `work_ms`;
+        empty disables it.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -49,19 +49,20 @@
 
 
 class RunnerFaults(BaseModel):
-    """What goes wrong; `count` bounds it to the next requests, 0 means all.
+    """Faults to inject into requests.
 
     Parameters
     ==========
 
+    count : number of requests that are affected; 0 means all.
     decline : answer 503 and state that the request was not run.
-    fail : run and answer 500.
-    lose_answer : run and reset the connection.
-    foreign_answer : answer with another request's identifier.
-    without_seal : answer without the mark of a genuine answer.
-    cut_after_events : break a stream off inside the event after these.
-    slow_factor : take so many times as long.
-    every : only each so many-th request meets what goes wrong.
+    fail : run the request and answer 500.
+    lose_answer : run the request and reset the connection.
+    foreign_answer : answer with the identifier of another request.
+    without_seal : answer without the seal of a genuine answer.
+    cut_after_events : reset a stream's connection within the event that follows this number.
+    slow_factor : multiplier of the duration.
+    every : only every nth request is affected.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -79,7 +80,10 @@
 
 @dataclass
 class RunnerState:
-    """What the tests judge by; `end` is how a runner inside a test's process ends."""
+    """State and counts of the stand-in.
+
+    `end` terminates the stand-in; one that runs inside a test's process needs its own function.
+    """
 
     settings: RunnerSettings
     faults: RunnerFaults = RunnerFaults()
@@ -91,7 +95,7 @@
     end: Callable[[], None] = end_process
 
     def take_faults(self) -> RunnerFaults:
-        """Return the faults for one request."""
+        """Return the faults for a new request."""
         self.asked += 1
         if self.asked % self.faults.every:
             return RunnerFaults()
@@ -104,13 +108,13 @@
 
 
 class Requests:
-    """Every path that is not the stand-in's own."""
+    """All paths except those under ``/standin``."""
 
     def __init__(self, state: RunnerState) -> None:
         self._state = state
 
     def __call__(self, req: falcon.Request, resp: falcon.Response, **parts: str) -> None:
-        """Run one request."""
+        """Run a request."""
         state = self._state
         request_id = req.get_header("Hemlockswitch-Request-Id") or ""
         faults = state.take_faults()
@@ -171,19 +175,19 @@
 
 
 class Harness:
-    """What tests set and read."""
+    """The calls under ``/standin``, by which tests set faults and read counts."""
 
     def __init__(self, state: RunnerState) -> None:
         self._state = state
 
     def on_post_faults(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Replace the faults in force."""
+        """Replace the active faults."""
         self._state.faults = read_body(req, RunnerFaults)
         self._state.left = self._state.faults.count
         resp.media = {}
 
     def on_get_stats(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Give what was run."""
+        """Return the requests that were run, and the streams that were cut off."""
         resp.media = {
             "runs": dict(self._state.runs),
             "seen": self._state.seen,
@@ -192,7 +196,7 @@
 
 
 def make_seal(request_id: str) -> str:
-    """Return the mark of a genuine answer."""
+    """Return the seal by which an answer is recognized as genuine."""
     return xxhash.xxh64_hexdigest(request_id.encode())
 
 
@@ -217,5 +221,5 @@
 
 
 def serve_runner(settings: RunnerSettings) -> None:
-    """Serve until the process is asked to stop."""
+    """Serve the stand-in until the process receives a stop signal."""
     serve_until_stopped(build_application(RunnerState(settings)), settings.listen)
--- a/hemlockswitch/standin/server.py
+++ b/hemlockswitch/standin/server.py
@@ -1,4 +1,4 @@
-"""What the HTTP stand-ins share: the server, the ready line, and cutting a connection."""
+"""Common parts of the HTTP stand-ins: the server, the ready line, and connection resets."""
 
 import json
 import os
@@ -22,22 +22,22 @@
 
 
 class _Handler(WSGIHandler):
-    """A handler that lets the application reach its connection, to cut it."""
+    """A handler that gives the application access to its connection, so that it can reset it."""
 
     def handle(self) -> None:
-        """Serve one connection, each write sent at once."""
+        """Serve a connection without Nagle's delay of small writes."""
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().handle()
 
     def get_environ(self) -> dict[str, Any]:
-        """Return the request's environment with its connection and its undecoded target."""
+        """Return the environment of a request, with its connection and undecoded target."""
         environ = super().get_environ()
         environ[SOCKET_KEY] = self.socket
         environ[TARGET_KEY] = self.path
         return environ
 
     def handle_error(self, kind: Any, value: Any, trace: Any) -> None:
-        """Keep lost callers and ordered cuts out of the log."""
+        """Close the connection without logging after a lost caller or an injected reset."""
         if not isinstance(value, (CutError, OSError)):
             super().handle_error(kind, value, trace)
             return
@@ -45,18 +45,18 @@
 
 
 class CutError(Exception):
-    """The stand-in cut the connection, as it was told to."""
+    """The stand-in reset the connection because of an injected fault."""
 
 
 class RefusalError(Exception):
-    """The stand-in refuses a request.
+    """The stand-in refused a request.
 
     Parameters
     ==========
 
     status : HTTP status of the refusal.
     error : short name of the reason.
-    retry_after_ms : when to come back.
+    retry_after_ms : delay after which to retry.
     """
 
     def __init__(self, status: int, error: str, retry_after_ms: int = 0) -> None:
@@ -82,12 +82,12 @@
 
 
 def read_body(request: falcon.Request, model: type[Model]) -> Model:
-    """Return the checked JSON body of a request.
+    """Return the validated JSON body of a request.
 
     Raises
     ======
 
-    RefusalError : the body does not fit the model.
+    RefusalError : the body does not match the model.
     """
     try:
         return model.model_validate(request.get_media(default_when_empty={}))
@@ -96,7 +96,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Return host and port of ``ip:port``.
+    """Return the host and port of an address of the form ``ip:port``.
 
     Examples
     ========
@@ -122,7 +122,7 @@
 
 
 def end_process() -> None:
-    """End this process at once, as a crash does."""
+    """Terminate this process immediately, as a crash does."""
     os._exit(1)
 
 
@@ -131,7 +131,7 @@
 ) -> tuple[WSGIServer, str]:
     """Start serving `application` and return the server and its ``ip:port``.
 
-    With a bound on the connections, `stop` also ends those that are open.
+    With a limit on the connections, the server's `stop` also ends the open connections.
     """
     server = WSGIServer(
         parse_address(address),
@@ -145,12 +145,12 @@
 
 
 def print_ready(addresses: dict[str, str]) -> None:
-    """Print the line that tells the starter that the process serves, and where."""
+    """Print the line which reports that the process is ready, with its addresses."""
     print(json.dumps({"ready": True, "addresses": addresses}), flush=True)
 
 
 def wait_for_signal() -> None:
-    """Return when the process is asked to stop."""
+    """Block until the process receives SIGINT or SIGTERM."""
     stopped = gevent.event.Event()
     gevent.signal_handler(2, stopped.set)
     gevent.signal_handler(15, stopped.set)
@@ -158,7 +158,7 @@
 
 
 def serve_until_stopped(application: Callable[..., Any], address: str) -> None:
-    """Serve `application` on `address`, print the ready line, return when asked to stop."""
+    """Serve `application` on `address`, printing the ready line, until a stop signal arrives."""
     server, bound = listen(application, address)
     print_ready({"http": bound})
     wait_for_signal()
@@ -167,7 +167,7 @@
 
 
 def make_application() -> falcon.App:
-    """Return a falcon application that knows the stand-ins' refusals and cuts."""
+    """Return a falcon application that handles `RefusalError` and `CutError`."""
     application = falcon.App()
     application.add_error_handler(CutError, _pass_on)
     application.add_error_handler(RefusalError, _answer_refusal)
--- a/hemlockswitch/standin/service.py
+++ b/hemlockswitch/standin/service.py
@@ -1,4 +1,4 @@
-"""The stand-in plain service: repeats what it was told and counts how often it ran what."""
+"""Stand-in plain service: echoes each call in its answer and counts the runs."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -22,12 +22,13 @@
 
 
 class ServiceSettings(BaseModel):
-    """What the settings file of a stand-in service holds.
+    """Settings file of a stand-in service.
 
     Parameters
     ==========
 
-    ends_on : end the process on a call whose body holds this, once it has run; empty for none.
+    ends_on : terminate the process on a call whose body contains this text, after it has run;
+        empty disables it.
     """
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -42,7 +43,7 @@
 
 @dataclass
 class ServiceCounts:
-    """What the tests judge by."""
+    """Counts that tests check, reported by ``GET /standin/stats``."""
 
     runs_by_request: Counter = field(default_factory=Counter)
     runs_by_key: Counter = field(default_factory=Counter)
@@ -55,7 +56,7 @@
 
 
 class Service:
-    """The state of one stand-in service."""
+    """State of a stand-in service."""
 
     def __init__(self, settings: ServiceSettings, clock: Clock) -> None:
         self.settings = settings
@@ -68,7 +69,7 @@
         self._reported_at_ms = clock.now_ms()
 
     def note_run(self, request: falcon.Request) -> None:
-        """Count one run."""
+        """Count a run of a call."""
         self.counts.runs += 1
         self.counts.runs_by_path[f"{request.method} {request.path}"] += 1
         self.counts.runs_by_request[request.get_header("X-Request-Id") or ""] += 1
@@ -80,7 +81,7 @@
             self.counts.begun_after_leaving_ms.append(since_ms)
 
     def report_load(self) -> dict[str, Any]:
-        """Return the last report of the load, and its age."""
+        """Return the last recorded load and its age."""
         age_ms = self.clock.now_ms() - self._reported_at_ms
         slots = self.settings.slots
         return {
@@ -92,26 +93,29 @@
         }
 
     def run_reports(self) -> None:
-        """Report for ever, with the lag of the settings."""
+        """Record the load every `load_lag_ms`, indefinitely."""
         while True:
             self.clock.sleep_ms(self.settings.load_lag_ms)
             self._reported_running = self.counts.running
             self._reported_at_ms = self.clock.now_ms()
 
     def swap_answer(self, answer: dict[str, Any]) -> dict[str, Any]:
-        """Return the answer of the call before this one, and hold this one's for the next."""
+        """Store `answer` for the next call, and return the answer of the previous call.
+
+        The first call gets its own answer.
+        """
         earlier, self._held_answer = self._held_answer, answer
         return earlier or answer
 
 
 class Calls:
-    """Every path that is not the stand-in's own."""
+    """All paths except ``/v1/load`` and those under ``/standin``."""
 
     def __init__(self, service: Service) -> None:
         self._service = service
 
     def __call__(self, req: falcon.Request, resp: falcon.Response, **parts: str) -> None:
-        """Run a call and repeat it in the answer."""
+        """Run a call and echo it in the answer."""
         self._run(req, resp)
 
     def _run(self, request: falcon.Request, response: falcon.Response) -> None:
@@ -164,7 +168,7 @@
         self._service = service
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Report the load, with its age."""
+        """Return the last recorded load and its age."""
         response.media = self._service.report_load()
 
 
@@ -175,17 +179,17 @@
         self._service = service
 
     def on_get_stats(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Give the counts."""
+        """Return the counts."""
         response.media = {**vars(self._service.counts), "name": self._service.settings.name}
 
     def on_post_faults(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Replace the faults in force."""
+        """Replace the active faults."""
         faults = read_body(request, Faults)
         self._service.faults.set(faults)
         response.media = faults.model_dump()
 
     def on_post_leaving(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Mark the service as leaving: what begins from now on is counted apart."""
+        """Mark the service as leaving; calls that start after this are counted separately."""
         self._service.leaving_since_ms = self._service.clock.now_ms()
         response.media = {}
 
@@ -203,7 +207,7 @@
 
 
 def serve_service(settings: ServiceSettings) -> None:
-    """Serve a service until the process is asked to stop."""
+    """Serve a service until the process receives a stop signal."""
     service = Service(settings, SystemClock())
     gevent.spawn(service.run_reports)
     serve_until_stopped(build_application(service), settings.listen)
--- a/hemlockswitch/standin/streams.py
+++ b/hemlockswitch/standin/streams.py
@@ -1,4 +1,4 @@
-"""How a stand-in engine's stream is written: server-sent events, whole answers, and faults."""
+"""Output of a stand-in engine's streams: server-sent events, complete answers, and faults."""
 
 import json
 from collections.abc import Iterator
@@ -12,7 +12,7 @@
 
 
 def describe_usage(stream: Stream) -> dict[str, int]:
-    """Return the counts that end an answer."""
+    """Return the token counts sent at the end of an answer."""
     return {
         "prompt_tokens": stream.prompt_tokens,
         "completion_tokens": stream.produced,
@@ -27,7 +27,7 @@
 
 
 def render_token(stream: Stream, position: int) -> bytes:
-    """Return the event of one token."""
+    """Return the event of a token."""
     shown = stream.shown_as or stream
     return (
         f'id: {shown.stream_id}:{position}\ndata: {{"id": "{shown.stream_id}", '
@@ -38,7 +38,7 @@
 
 
 def render_end(stream: Stream) -> bytes:
-    """Return the last event, at the position behind the last token, and the end mark."""
+    """Return the last event, at the position after the last token, and the end mark."""
     choice = {"index": 0, "delta": {}, "finish_reason": _name_end(stream)}
     body = {
         "id": stream.stream_id,
@@ -52,7 +52,7 @@
 
 
 def render_whole(stream: Stream, faults: Faults) -> dict[str, Any]:
-    """Return the answer of a stream that has ended, as one object."""
+    """Return the answer of an ended stream as a single object."""
     shown = stream.shown_as or stream
     stop = stream.produced
     if faults.truncate_after_tokens is not None:
@@ -72,13 +72,13 @@
 def read_events(
     batch: Batch, stream: Stream, start: int, faults: Faults, connection: Any
 ) -> Iterator[bytes]:
-    """Yield the events of a stream from position `start` on, with the faults set for it.
+    """Yield the events of a stream from position `start` on, with `faults` applied.
 
     Explanation
     ===========
 
-    Tokens that came together while the connection was busy go out as one write. Closing the
-    generator, as the server does when the caller is gone, detaches the reader.
+    Tokens produced while the connection was busy are sent in a single write. Closing the
+    generator, as the server does when the caller has disconnected, detaches the reader.
     """
     batch.attach(stream)
     try:
--- a/hemlockswitch/standin/verification.py
+++ b/hemlockswitch/standin/verification.py
@@ -1,4 +1,4 @@
-"""Checks that an answer is whole and the caller's own, event by event."""
+"""Checks that an answer is complete and belongs to the caller's request."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class ServerEvent:
-    """One server-sent event: its id, its name (empty for the usual one), its data."""
+    """A server-sent event: its id, its name (empty for the default one) and its data."""
 
     identifier: str
     name: str
@@ -20,7 +20,7 @@
 
 
 def read_server_events(lines: Iterable[bytes]) -> Iterator[ServerEvent]:
-    r"""Yield the events in the lines of a stream; a last one that is not whole is dropped.
+    r"""Yield the events in the lines of a stream; an incomplete last event is dropped.
 
     Examples
     ========
@@ -42,19 +42,19 @@
 
 @dataclass
 class AnswerCheck:
-    """Follows one request's streamed answer over all its connections.
+    """Checks the streamed answer of a request, over all its connections.
 
     Explanation
     ===========
 
-    Positions must be 0, 1, 2, ... without gap or double, each token the one that the stand-in's
-    answer has there, all under one request id; the last event must say that the answer ended by
-    itself, and the end mark must follow.
+    Positions must be 0, 1, 2, ... without gaps or duplicates. Each token must be the one that the
+    stand-in's answer has at its position, and all events must have the same request id. The last
+    event must have the finish reason ``stop``, and the end mark must follow.
 
     Parameters
     ==========
 
-    model, prompt, max_tokens : what was asked; `prompt` as `answers.join_prompt` gives it.
+    model, prompt, max_tokens : the request; `prompt` as returned by `answers.join_prompt`.
 
     Examples
     ========
@@ -81,11 +81,11 @@
 
     @property
     def last_event_id(self) -> str:
-        """What a caller that comes back sends as ``Last-Event-ID``."""
+        """Value of ``Last-Event-ID`` with which a reconnecting caller resumes the stream."""
         return f"{self.request_id}:{self.position - 1}" if self.position else ""
 
     def take(self, event: ServerEvent) -> None:
-        """Check one event of the usual kind."""
+        """Check an event without a name."""
         if self.done:
             self.problems.append("an event after the end mark")
         if event.data == DONE:
@@ -116,7 +116,7 @@
         self.tokens += 1
 
     def list_problems(self) -> list[str]:
-        """Return all that is wrong with the answer, now that it is over."""
+        """Return all problems of the answer, once it has ended."""
         found = list(self.problems)
         if self.tokens != self.max_tokens:
             found.append(f"ended after {self.tokens} of {self.max_tokens} tokens")
@@ -131,7 +131,7 @@
 
 
 def check_whole_answer(answer: dict[str, Any], model: str, prompt: str, tokens: int) -> list[str]:
-    """Return all that is wrong with an answer that did not stream."""
+    """Return all problems of an answer that was not streamed."""
     choice = answer["choices"][0]
     found = []
     if choice["message"]["content"] != make_answer(model, prompt, tokens):
