--- a/hemlockswitch/standin/batch.py
+++ b/hemlockswitch/standin/batch.py
@@ -63,7 +63,7 @@
     produced: int = 0
     readers: int = 0
     expires_at_ms: float = NEVER_MS
-    shown_as: "Stream | None" = None
+    answered_with: "Stream | None" = None
     changed: gevent.event.Event = field(default_factory=gevent.event.Event)
     seed: int = 0
 
@@ -174,7 +174,7 @@
             return
         stream.expires_at_ms = self._clock.now_ms() + stream.linger_ms
         if stream.linger_ms <= 0:
-            self._forget(stream)
+            self._evict(stream)
 
     def run(self) -> None:
         """Run steps at the configured pace, indefinitely."""
@@ -201,9 +201,9 @@
             if now_ms >= stream.deadline_ms:
                 self.cancel(stream)
             if now_ms >= stream.expires_at_ms:
-                self._forget(stream)
+                self._evict(stream)
 
-    def _forget(self, stream: Stream) -> None:
+    def _evict(self, stream: Stream) -> None:
         self.cancel(stream)
         self.streams.pop(stream.stream_id, None)
 
@@ -218,8 +218,8 @@
     def _begin_prefill(self, stream: Stream) -> None:
         stream.phase = Phase.PREFILL
         stream.cached_tokens = self._cache.count_cached_tokens(stream.prefixes)
-        known = max(stream.cached_tokens, stream.carried_tokens)
-        stream.prefill_left = max(stream.prompt_tokens + stream.start - known, 0)
+        available_tokens = max(stream.cached_tokens, stream.carried_tokens)
+        stream.prefill_left = max(stream.prompt_tokens + stream.start - available_tokens, 0)
         self.prefilled_tokens += int(stream.prefill_left)
         if stream.start > 0:
             stream.recomputed_tokens = int(stream.prefill_left)
--- a/hemlockswitch/standin/cache.py
+++ b/hemlockswitch/standin/cache.py
@@ -7,7 +7,7 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.standin.answers import BLOCK_WORDS
 
-EVENTS_KEPT = 4_096
+MAX_RETAINED_EVENTS = 4_096
 
 
 @dataclass(frozen=True)
@@ -51,7 +51,7 @@
         self._gap_every = gap_every
         self._clock = clock
         self._blocks: OrderedDict[int, None] = OrderedDict()
-        self._events: deque[CacheEvent] = deque(maxlen=EVENTS_KEPT)
+        self._events: deque[CacheEvent] = deque(maxlen=MAX_RETAINED_EVENTS)
         self._number = 0
 
     @property
@@ -73,28 +73,28 @@
         """Store the blocks of a prompt, evicting the least recently used over capacity."""
         for prefix in prefixes:
             if prefix not in self._blocks:
-                self._note("stored", prefix)
+                self._record_event("stored", prefix)
             self._blocks[prefix] = None
             self._blocks.move_to_end(prefix)
         while len(self._blocks) > self._capacity_blocks:
             oldest, _ = self._blocks.popitem(last=False)
-            self._note("evicted", oldest)
+            self._record_event("evicted", oldest)
 
     def list_events(self, since: int) -> dict[str, object]:
         """Return the published events after number `since`, in the form of the engine's API."""
         now_ms = self._clock.now_ms()
-        ripe = [event for event in self._events if event.visible_at_ms <= now_ms]
-        told = [
+        published = [event for event in self._events if event.visible_at_ms <= now_ms]
+        events = [
             {"number": event.number, "kind": event.kind, "prefix": event.prefix}
-            for event in ripe
+            for event in published
             if event.number > since and not self._is_gap(event.number)
         ]
-        return {"events": told, "number": ripe[-1].number if ripe else 0}
+        return {"events": events, "number": published[-1].number if published else 0}
 
     def _is_gap(self, number: int) -> bool:
         return self._gap_every > 0 and number % self._gap_every == 0
 
-    def _note(self, kind: str, prefix: int) -> None:
+    def _record_event(self, kind: str, prefix: int) -> None:
         self._number += 1
         visible_at_ms = self._clock.now_ms() + self._event_delay_ms
         self._events.append(CacheEvent(self._number, kind, f"{prefix:016x}", visible_at_ms))
--- a/hemlockswitch/standin/engine.py
+++ b/hemlockswitch/standin/engine.py
@@ -18,7 +18,7 @@
 )
 from hemlockswitch.standin.batch import NEVER_MS, Batch, BatchSettings, Stream
 from hemlockswitch.standin.cache import PrefixCache
-from hemlockswitch.standin.faults import FaultBox, Faults
+from hemlockswitch.standin.faults import ActiveFaults, Faults
 from hemlockswitch.standin.kv import KvStore
 
 
@@ -109,17 +109,17 @@
         )
         self.batch = Batch(speed, self.cache, clock)
         self.kv = KvStore(settings.kv_bytes_per_token, settings.kv_bytes_per_s, clock)
-        self.faults = FaultBox()
+        self.faults = ActiveFaults()
         self.counts = EngineCounts()
         self.models = list(settings.models)
         self.role = settings.role
         self.draining = False
         self.highest_fencing = 0
         self.leaving_since_ms: float | None = None
-        self._unpaired: Stream | None = None
-        self._report: dict[str, Any] = {}
-        self._reported_at_ms = clock.now_ms()
-        self.take_report()
+        self._awaiting_swap: Stream | None = None
+        self._recorded_load: dict[str, Any] = {}
+        self._recorded_at_ms = clock.now_ms()
+        self.record_load()
 
     def begin(self, request: ChatRequest, headers: Mapping[str, str]) -> Stream:
         """Queue a validated request and return its stream."""
@@ -154,17 +154,17 @@
         if request.continue_tokens != own:
             self.counts.foreign_continuations += 1
 
-    def mix(self, stream: Stream) -> None:
+    def swap_answers(self, stream: Stream) -> None:
         """Swap the answers of `stream` and the stream that waits for a partner.
 
         Without such a stream, or if it has ended, `stream` itself waits for a partner.
         """
-        other = self._unpaired
+        other = self._awaiting_swap
         if other is None or other.ended:
-            self._unpaired = stream
+            self._awaiting_swap = stream
             return
-        self._unpaired = None
-        stream.shown_as, other.shown_as = other, stream
+        self._awaiting_swap = None
+        stream.answered_with, other.answered_with = other, stream
 
     def set_faults(self, faults: Faults) -> None:
         """Replace the active faults."""
@@ -181,10 +181,10 @@
         self.counts.stale_orders_applied += stale
         self.highest_fencing = max(order.fencing, self.highest_fencing)
         self.counts.orders.append(order.model_dump())
-        gevent.spawn(self._follow, order.wanted)
+        gevent.spawn(self._apply_wanted_state, order.wanted)
         return True
 
-    def _follow(self, wanted: dict[str, Any]) -> None:
+    def _apply_wanted_state(self, wanted: dict[str, Any]) -> None:
         self.role = wanted.get("role", self.role)
         self.draining = wanted.get("state", "serving") == "drained"
         models = list(wanted.get("models", self.models))
@@ -194,10 +194,10 @@
                 self.clock.sleep_ms(self.settings.model_load_ms)
                 self.models.append(model)
 
-    def take_report(self) -> None:
+    def record_load(self) -> None:
         """Record the current load, which `report_load` returns until the next call."""
-        self._reported_at_ms = self.clock.now_ms()
-        self._report = {
+        self._recorded_at_ms = self.clock.now_ms()
+        self._recorded_load = {
             "running": self.batch.running,
             "waiting": self.batch.waiting,
             "slots": self.settings.slots,
@@ -212,13 +212,13 @@
 
     def report_load(self) -> dict[str, Any]:
         """Return the last recorded load and its age."""
-        return {**self._report, "age_ms": self.clock.now_ms() - self._reported_at_ms}
+        return {**self._recorded_load, "age_ms": self.clock.now_ms() - self._recorded_at_ms}
 
     def run_reports(self) -> None:
         """Record the load every `load_lag_ms`, indefinitely."""
         while True:
             self.clock.sleep_ms(self.settings.load_lag_ms)
-            self.take_report()
+            self.record_load()
 
     def describe_stats(self) -> dict[str, Any]:
         """Return the counts and the state that tests check."""
--- a/hemlockswitch/standin/engine_api.py
+++ b/hemlockswitch/standin/engine_api.py
@@ -24,7 +24,7 @@
     read_body,
     serve_until_stopped,
 )
-from hemlockswitch.standin.streams import read_events, render_whole
+from hemlockswitch.standin.streams import read_events, render_complete_answer
 
 EVENT_STREAM = "text/event-stream"
 
@@ -50,13 +50,13 @@
             raise
         stream = self._engine.begin(chat, request.headers)
         if faults.mix_answers:
-            self._engine.mix(stream)
+            self._engine.swap_answers(stream)
         if faults.cut_stage == "before_answer":
             cut_connection(request.env[SOCKET_KEY])
         if chat.stream:
             self._answer_events(request, response, stream, faults)
         else:
-            self._answer_whole(response, stream, faults)
+            self._answer_complete(response, stream, faults)
 
     def _check(self, request: falcon.Request, chat: ChatRequest, faults: Faults) -> None:
         engine = self._engine
@@ -79,13 +79,13 @@
         connection = request.env[SOCKET_KEY]
         response.stream = read_events(self._engine.batch, stream, stream.start, faults, connection)
 
-    def _answer_whole(self, response: falcon.Response, stream: Stream, faults: Faults) -> None:
+    def _answer_complete(self, response: falcon.Response, stream: Stream, faults: Faults) -> None:
         while not stream.ended:
             wait_for_change(stream, stream.produced)
         response.set_header("X-Request-Id", stream.stream_id)
         if stream.phase is Phase.CANCELLED:
             raise RefusalError(499, "cancelled")
-        response.media = render_whole(stream, faults)
+        response.media = render_complete_answer(stream, faults)
         self._engine.batch.streams.pop(stream.stream_id, None)
 
 
--- a/hemlockswitch/standin/faults.py
+++ b/hemlockswitch/standin/faults.py
@@ -50,23 +50,23 @@
 NO_FAULTS = Faults()
 
 
-class FaultBox:
+class ActiveFaults:
     """Stores the active faults and counts the requests that they still affect."""
 
     def __init__(self) -> None:
         self.current = NO_FAULTS
-        self._left = 0
+        self._remaining = 0
 
     def set(self, faults: Faults) -> None:
         """Replace the active faults."""
         self.current = faults
-        self._left = faults.count
+        self._remaining = faults.count
 
     def take(self) -> Faults:
         """Return the faults for a new request."""
         if self.current.count == 0:
             return self.current
-        if self._left == 0:
+        if self._remaining == 0:
             return NO_FAULTS
-        self._left -= 1
+        self._remaining -= 1
         return self.current
--- a/hemlockswitch/standin/gateway_store.py
+++ b/hemlockswitch/standin/gateway_store.py
@@ -19,9 +19,9 @@
 )
 
 ROOT = "/hemlockswitch/objects"
-LONGEST_WAIT_MS = 30_000
-SWALLOWED_S = 60
-SHORTEST_WAIT_MS = 1
+MAX_WAIT_MS = 30_000
+SWALLOWED_CALL_DELAY_S = 60
+MAX_CHECK_WAIT_MS = 1
 """A watch with at most this wait only checks for a change, and is counted separately."""
 
 
@@ -94,7 +94,7 @@
     lost_answers: int = 0
     cloud_calls: list[dict[str, Any]] = field(default_factory=list)
     watch_calls: Counter[str] = field(default_factory=Counter)
-    ask_calls: Counter[str] = field(default_factory=Counter)
+    check_calls: Counter[str] = field(default_factory=Counter)
     changed: Signal = field(default_factory=Signal)
 
     def list_kind(self, kind: str) -> dict[str, Entry]:
@@ -103,24 +103,24 @@
 
     def put(self, kind: str, name: str, spec: Any) -> Entry:
         """Write an object; an unchanged object gets no new revision."""
-        known = self.list_kind(kind).get(name)
-        if known is not None and known.spec == spec:
-            return known
+        existing = self.list_kind(kind).get(name)
+        if existing is not None and existing.spec == spec:
+            return existing
         self.revision += 1
-        created, status = (known.created, known.status) if known else (self.revision, None)
-        return self._keep(kind, Entry(name, self.revision, spec, created, status))
+        created, status = (existing.created, existing.status) if existing else (self.revision, None)
+        return self._store_entry(kind, Entry(name, self.revision, spec, created, status))
 
     def put_status(self, kind: str, name: str, status: Any) -> Entry:
         """Replace the status of an existing object; an unchanged status makes no new revision."""
-        known = self.list_kind(kind)[name]
-        if known.status == status:
-            return known
+        existing = self.list_kind(kind)[name]
+        if existing.status == status:
+            return existing
         self.revision += 1
-        return self._keep(kind, replace(known, revision=self.revision, status=status))
+        return self._store_entry(kind, replace(existing, revision=self.revision, status=status))
 
-    def _keep(self, kind: str, entry: Entry) -> Entry:
+    def _store_entry(self, kind: str, entry: Entry) -> Entry:
         self.list_kind(kind)[entry.name] = entry
-        self._tell(Change(kind, self.revision, False, entry.render()))
+        self._publish(Change(kind, self.revision, False, entry.render()))
         return entry
 
     def remove(self, kind: str, name: str) -> None:
@@ -130,7 +130,7 @@
             self.revision += 1
             rendered = entry.render()
             rendered["metadata"]["revision"] = self.revision
-            self._tell(Change(kind, self.revision, True, rendered))
+            self._publish(Change(kind, self.revision, True, rendered))
 
     def forget_history(self) -> None:
         """Drop all recorded changes, as a compaction does."""
@@ -146,12 +146,12 @@
 
         The wait ends early if a compaction drops the changes after `since`.
         """
-        with gevent.Timeout(min(wait_ms, LONGEST_WAIT_MS) / 1_000, False):
+        with gevent.Timeout(min(wait_ms, MAX_WAIT_MS) / 1_000, False):
             while not self.find_changes(kind, since) and since >= self.oldest_revision:
                 self.changed.wait()
         return self.find_changes(kind, since)
 
-    def _tell(self, change: Change) -> None:
+    def _publish(self, change: Change) -> None:
         self.history.append(change)
         self.changed.set()
         self.changed.clear()
@@ -239,7 +239,7 @@
     def _watch(self, req: falcon.Request, resp: falcon.Response, kind: str) -> None:
         since = req.get_param_as_int("watch", default=0)
         wait_ms = req.get_param_as_int("wait_ms", default=0)
-        calls = self._store.ask_calls if wait_ms <= SHORTEST_WAIT_MS else self._store.watch_calls
+        calls = self._store.check_calls if wait_ms <= MAX_CHECK_WAIT_MS else self._store.watch_calls
         calls[kind] += 1
         changes = self._store.wait_changes(kind, since, wait_ms)
         if since < self._store.oldest_revision:
@@ -257,7 +257,7 @@
         while self._store.faults.mode == "silent":
             gevent.sleep(0.05)
         if mode == "swallow":
-            gevent.sleep(SWALLOWED_S)
+            gevent.sleep(SWALLOWED_CALL_DELAY_S)
 
     def _lose_answer(self, req: falcon.Request) -> None:
         if self._store.lost_answers < self._store.faults.lose_answers:
--- a/hemlockswitch/standin/kv.py
+++ b/hemlockswitch/standin/kv.py
@@ -12,7 +12,7 @@
 from hemlockswitch.standin.batch import Stream
 from hemlockswitch.standin.server import RefusalError, parse_address
 
-HANDLES_KEPT = 256
+MAX_RETAINED_HANDLES = 256
 PULL_TIMEOUT_S = 5
 
 
@@ -49,7 +49,7 @@
         tokens = stream.computed_tokens
         cache = KvCache(stream.seed, tokens, tokens * self._bytes_per_token)
         self.exported += 1
-        return {"kv_handle": self._keep(cache), "tokens": tokens, "size_bytes": cache.size_bytes}
+        return {"kv_handle": self._store(cache), "tokens": tokens, "size_bytes": cache.size_bytes}
 
     def describe(self, handle: str) -> dict[str, Any]:
         """Return the KV cache of a handle, as another engine pulls it.
@@ -72,10 +72,10 @@
 
         RefusalError : the other engine does not answer or does not have the handle.
         """
-        cache = _ask(source, handle)
+        cache = _fetch_cache(source, handle)
         self._clock.sleep_ms(cache.size_bytes / self._bytes_per_s * MS_PER_SECOND)
         self.imported += 1
-        return {"kv_handle": self._keep(cache), "tokens": cache.tokens}
+        return {"kv_handle": self._store(cache), "tokens": cache.tokens}
 
     def count_carried_tokens(self, handle: str | None, seed: int) -> int:
         """Return how many leading tokens the KV cache of a handle covers.
@@ -86,15 +86,15 @@
         cache = self._caches.get(handle or "")
         return cache.tokens if cache is not None and cache.seed == seed else 0
 
-    def _keep(self, cache: KvCache) -> str:
+    def _store(self, cache: KvCache) -> str:
         handle = make_identifier("kv")
         self._caches[handle] = cache
-        while len(self._caches) > HANDLES_KEPT:
+        while len(self._caches) > MAX_RETAINED_HANDLES:
             self._caches.popitem(last=False)
         return handle
 
 
-def _ask(source: str, handle: str) -> KvCache:
+def _fetch_cache(source: str, handle: str) -> KvCache:
     host, port = parse_address(source)
     client = HTTPClient(
         host, port, connection_timeout=PULL_TIMEOUT_S, network_timeout=PULL_TIMEOUT_S
--- a/hemlockswitch/standin/links.py
+++ b/hemlockswitch/standin/links.py
@@ -12,8 +12,8 @@
 from hemlockswitch.standin.server import CutError, cut_connection, parse_address
 
 READ_BYTES = 65_536
-PIECES_UNDERWAY = 256
-TICK_MS = 10
+MAX_QUEUED_CHUNKS = 256
+BLOCKED_POLL_INTERVAL_MS = 10
 
 
 class Link:
@@ -39,7 +39,7 @@
         self._connections: set[Connection] = set()
         self._server = self._start(parse_address(listen))
         self.address = f"{self._server.server_host}:{self._server.server_port}"
-        self._placeholder: Any = None
+        self._reserved_port: Any = None
 
     def find_faults(self, source: str) -> LinkFaults:
         """Return the faults that apply to a caller's IP."""
@@ -80,8 +80,8 @@
         if faults.lose_answer is LostAnswer.NONE:
             return LostAnswer.NONE
         if faults.lose_count == 1:
-            mended = {"lose_answer": LostAnswer.NONE, "lose_count": 0}
-            self._faults[faults.source] = faults.model_copy(update=mended)
+            cleared = {"lose_answer": LostAnswer.NONE, "lose_count": 0}
+            self._faults[faults.source] = faults.model_copy(update=cleared)
         elif faults.lose_count > 1:
             fewer = {"lose_count": faults.lose_count - 1}
             self._faults[faults.source] = faults.model_copy(update=fewer)
@@ -97,17 +97,17 @@
     def _listen_or_refuse(self) -> None:
         refusing = any(faults.mode is Mode.REFUSE for faults in self._faults.values())
         address = parse_address(self.address)
-        if refusing and self._placeholder is None:
+        if refusing and self._reserved_port is None:
             self._server.stop()
-            self._placeholder = hold_port(address)
-        elif not refusing and self._placeholder is not None:
-            self._placeholder.close()
-            self._placeholder = None
+            self._reserved_port = reserve_port(address)
+        elif not refusing and self._reserved_port is not None:
+            self._reserved_port.close()
+            self._reserved_port = None
             self._server = self._start(address)
 
     def _serve(self, caller: Any, source: tuple[str, int]) -> None:
         if self.find_faults(source[0]).mode in (Mode.CUT, Mode.REFUSE) or not self.target:
-            close_hard(caller)
+            reset_socket(caller)
             return
         connection = Connection(self, caller, source[0])
         self._connections.add(connection)
@@ -127,16 +127,16 @@
         self._caller = caller
         self._target: Any = None
         self._tasks: list[gevent.Greenlet] = []
-        self._moved = dict.fromkeys(Direction, 0)
-        self._lost: LostAnswer | None = None
+        self._forwarded_bytes = dict.fromkeys(Direction, 0)
+        self._lost_answer: LostAnswer | None = None
 
     def run(self) -> None:
         """Forward bytes in both directions until both sides have closed or the link resets."""
-        self._hold_back(Direction.TO_TARGET)
+        self._wait_while_blocked(Direction.TO_TARGET)
         try:
             self._target = socket.create_connection(parse_address(self._link.target))
         except OSError:
-            close_hard(self._caller)
+            reset_socket(self._caller)
             return
         for side in (self._caller, self._target):
             side.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -150,16 +150,16 @@
         """Close the connection with a reset to both sides."""
         for side in (self._caller, self._target):
             if side is not None:
-                close_hard(side)
+                reset_socket(side)
         own = gevent.getcurrent()
         gevent.killall([task for task in self._tasks if task is not own], block=False)
 
     def reset_counters(self) -> None:
         """Restart the byte count for `cut_after_bytes`."""
-        self._moved = dict.fromkeys(Direction, 0)
+        self._forwarded_bytes = dict.fromkeys(Direction, 0)
 
     def _spawn(self, source: Any, sink: Any, direction: Direction) -> None:
-        pieces: Queue = Queue(maxsize=PIECES_UNDERWAY)
+        pieces: Queue = Queue(maxsize=MAX_QUEUED_CHUNKS)
         self._tasks.append(gevent.spawn(self._read, source, pieces))
         self._tasks.append(gevent.spawn(self._write, sink, pieces, direction))
 
@@ -176,18 +176,18 @@
     def _write(self, sink: Any, pieces: Queue, direction: Direction) -> None:
         while True:
             read_at_ms, piece = pieces.get()
-            self._hold_back(direction)
+            self._wait_while_blocked(direction)
             faults = self._link.find_faults(self.source)
             self._link.clock.sleep_ms(read_at_ms + faults.delay_ms - self._link.clock.now_ms())
             if not piece:
-                end_writing(sink)
+                shut_down_writing(sink)
                 return
             if not self._deliver(sink, piece, direction, faults):
                 return
 
     def _deliver(self, sink: Any, piece: bytes, direction: Direction, faults: LinkFaults) -> bool:
         if direction is Direction.TO_CALLER and self._is_lost():
-            return self._lost is LostAnswer.SILENT
+            return self._lost_answer is LostAnswer.SILENT
         left = self._count_left(direction, faults)
         piece = piece[:left]
         if faults.bytes_per_s:
@@ -197,7 +197,7 @@
         except OSError:
             self.reset()
             return False
-        self._moved[direction] += len(piece)
+        self._forwarded_bytes[direction] += len(piece)
         self._link.bytes_moved[direction] += len(piece)
         if len(piece) == left:
             self.reset()
@@ -208,25 +208,25 @@
         """Return how many bytes may still be forwarded; None means unlimited."""
         if direction is not faults.cut_direction or faults.cut_after_bytes is None:
             return None
-        return max(faults.cut_after_bytes - self._moved[direction], 0)
+        return max(faults.cut_after_bytes - self._forwarded_bytes[direction], 0)
 
     def _is_lost(self) -> bool:
-        if self._lost in (None, LostAnswer.NONE):
-            self._lost = self._link.take_lost_answer(self.source)
-            if self._lost is LostAnswer.RESET:
+        if self._lost_answer in (None, LostAnswer.NONE):
+            self._lost_answer = self._link.take_lost_answer(self.source)
+            if self._lost_answer is LostAnswer.RESET:
                 self.reset()
-        return self._lost is not LostAnswer.NONE
+        return self._lost_answer is not LostAnswer.NONE
 
-    def _hold_back(self, direction: Direction) -> None:
-        while self._is_held(direction):
-            self._link.clock.sleep_ms(TICK_MS)
+    def _wait_while_blocked(self, direction: Direction) -> None:
+        while self._is_blocked(direction):
+            self._link.clock.sleep_ms(BLOCKED_POLL_INTERVAL_MS)
 
-    def _is_held(self, direction: Direction) -> bool:
+    def _is_blocked(self, direction: Direction) -> bool:
         faults = self._link.find_faults(self.source)
         return faults.mode is Mode.BLACK_HOLE or faults.freeze is direction
 
 
-def close_hard(side: Any) -> None:
+def reset_socket(side: Any) -> None:
     """Close a socket with a reset; does nothing if it is already closed."""
     try:
         cut_connection(side)
@@ -234,7 +234,7 @@
         return
 
 
-def end_writing(side: Any) -> None:
+def shut_down_writing(side: Any) -> None:
     """Shut down the sending side of a socket; errors are ignored."""
     try:
         side.shutdown(socket.SHUT_WR)
@@ -242,7 +242,7 @@
         return
 
 
-def hold_port(address: tuple[str, int]) -> Any:
+def reserve_port(address: tuple[str, int]) -> Any:
     """Return a socket that is bound but does not listen, so that the port refuses connections."""
     holder = socket.socket()
     holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/hemlockswitch/standin/load.py
+++ b/hemlockswitch/standin/load.py
@@ -10,7 +10,7 @@
 from hemlockswitch.standin.load_plan import Arrival, LoadSettings, plan_arrivals
 from hemlockswitch.standin.load_results import Results
 
-GRACE_MS = 5_000
+CALLER_END_GRACE_MS = 5_000
 
 
 class Load:
@@ -33,7 +33,7 @@
         """Send all requests, wait for the answers, and return the results."""
         self._begun_ms = self._clock.now_ms()
         tasks = [self._start(arrival) for arrival in self._wait_for_arrivals()]
-        limit_ms = self._settings.patience_ms + GRACE_MS
+        limit_ms = self._settings.patience_ms + CALLER_END_GRACE_MS
         gevent.joinall([task for _, task in tasks], timeout=limit_ms / MS_PER_SECOND)
         took_ms = self._clock.now_ms() - self._begun_ms
         for caller, task in tasks:
--- a/hemlockswitch/standin/load_calls.py
+++ b/hemlockswitch/standin/load_calls.py
@@ -18,9 +18,9 @@
 )
 
 READ_BYTES = 65_536
-RETRY_FLOOR_MS = 20.0
-LOST_RETRY_MS = 100.0
-LOST = (OSError, http.client.HTTPException)
+MIN_RETRY_DELAY_MS = 20.0
+LOST_CONNECTION_RETRY_MS = 100.0
+CONNECTION_ERRORS = (OSError, http.client.HTTPException)
 
 
 class GiveUpError(Exception):
@@ -46,7 +46,7 @@
         self._entries = entries
         self._clock = clock
         self._due_ms = clock.now_ms()
-        self._until_ms = self._due_ms + patience_ms
+        self._time_limit_ms = self._due_ms + patience_ms
         self._last_token_ms: float | None = None
         self._last_refusal: dict[str, Any] | None = None
         self._key = make_identifier("key")
@@ -64,10 +64,10 @@
             elif self._arrival.mix.stream:
                 self._run_stream(self._arrival.mix)
             else:
-                self._run_whole(self._arrival.mix)
+                self._run_unstreamed(self._arrival.mix)
         except GiveUpError as error:
             if outcome.verdict is Verdict.UNFINISHED:
-                self._take_error(self._last_refusal or {"kind": str(error)})
+                self._record_error(self._last_refusal or {"kind": str(error)})
         outcome.took_ms = self._clock.now_ms() - self._due_ms
         outcome.tokens = outcome.tokens or self.check.tokens
         return outcome
@@ -76,7 +76,7 @@
 
     def _run_stream(self, mix: ChatMix) -> None:
         while not self._stream_once(mix):
-            self._check_patience()
+            self._check_time_limit()
         if self.outcome.verdict is not Verdict.UNFINISHED:
             return
         self.outcome.problems = self.check.list_problems()
@@ -89,12 +89,12 @@
             with contextlib.closing(self._connect()) as connection:
                 answer = self._send_stream(connection, mix)
                 if answer.status != 200:
-                    self._take_refusal(answer, may_repeat=True)
+                    self._handle_refusal(answer, may_repeat=True)
                     return False
                 return self._read_stream(answer)
-        except LOST:
+        except CONNECTION_ERRORS:
             self.outcome.lost_connections += 1
-            self._wait(LOST_RETRY_MS)
+            self._wait(LOST_CONNECTION_RETRY_MS)
             return False
 
     def _send_stream(
@@ -124,9 +124,9 @@
                 self._wait(json.loads(event.data).get("retry_after_ms", 0))
                 return False
             if event.name == "error":
-                self._take_error(json.loads(event.data)["error"])
+                self._record_error(json.loads(event.data)["error"])
                 return True
-            self._take_event(event)
+            self._apply_event(event)
             if self.check.done:
                 return True
             if 0 < self._arrival.give_up_after <= self.check.tokens:
@@ -135,7 +135,7 @@
         self.outcome.lost_connections += 1
         return False
 
-    def _take_event(self, event: ServerEvent) -> None:
+    def _apply_event(self, event: ServerEvent) -> None:
         tokens = self.check.tokens
         self.check.take(event)
         if self.check.tokens == tokens:
@@ -147,7 +147,7 @@
             self.outcome.gaps_ms.append(now_ms - self._last_token_ms)
         self._last_token_ms = now_ms
 
-    def _run_whole(self, mix: ChatMix) -> None:
+    def _run_unstreamed(self, mix: ChatMix) -> None:
         answer = self._exchange("POST", "/v1/chat/completions", self._make_chat(mix), True)
         if answer is None:
             return
@@ -172,7 +172,7 @@
     def _exchange(self, method: str, path: str, body: Any, may_repeat: bool) -> Any:
         """Return the decoded answer, or None if the request ended without an answer."""
         while self.outcome.verdict is Verdict.UNFINISHED:
-            self._check_patience()
+            self._check_time_limit()
             try:
                 with contextlib.closing(self._connect()) as connection:
                     headers = self._make_headers()
@@ -180,14 +180,14 @@
                     answer = connection.getresponse()
                     if answer.status == 200:
                         return json.loads(answer.read())
-                    self._take_refusal(answer, may_repeat)
-            except LOST as error:
+                    self._handle_refusal(answer, may_repeat)
+            except CONNECTION_ERRORS as error:
                 self.outcome.lost_connections += 1
                 # A refused connection carried no request, so a retry cannot run it twice.
                 if not may_repeat and not isinstance(error, ConnectionRefusedError):
                     self.outcome.verdict = Verdict.UNKNOWN
                     return None
-                self._wait(LOST_RETRY_MS)
+                self._wait(LOST_CONNECTION_RETRY_MS)
         return None
 
     # Parts of an exchange
@@ -196,12 +196,12 @@
         draw = self._arrival.entry_draws + self.outcome.tries * 7
         self.outcome.tries += 1
         self._last_refusal = None
-        left_s = max(self._until_ms - self._clock.now_ms(), 1) / MS_PER_SECOND
+        left_s = max(self._time_limit_ms - self._clock.now_ms(), 1) / MS_PER_SECOND
         address = self._entries[draw % len(self._entries)]
         return http.client.HTTPConnection(address, timeout=left_s)
 
     def _make_headers(self) -> dict[str, str]:
-        left_ms = int(max(self._until_ms - self._clock.now_ms(), 1))
+        left_ms = int(max(self._time_limit_ms - self._clock.now_ms(), 1))
         headers = {
             "Authorization": f"Bearer {self._arrival.account.key}",
             "Content-Type": "application/json",
@@ -223,31 +223,31 @@
             "stream": mix.stream,
         }
 
-    def _take_refusal(self, answer: http.client.HTTPResponse, may_repeat: bool) -> None:
+    def _handle_refusal(self, answer: http.client.HTTPResponse, may_repeat: bool) -> None:
         """Wait for the advised retry delay, or give up if a retry would not help."""
         content = answer.read()
         error = read_error(content, answer.status)
         retry_after = answer.getheader("Retry-After")
         repeat = retry_after is not None and (may_repeat or error.get("ran") == "no")
         if not repeat:
-            self._take_error(error)
+            self._record_error(error)
             raise GiveUpError
         self.outcome.refusals.append(error["kind"])
         self._last_refusal = error
         header_ms = float(retry_after or 0) * MS_PER_SECOND
         self._wait(error.get("retry_after_ms") or header_ms)
 
-    def _take_error(self, error: dict[str, Any]) -> None:
+    def _record_error(self, error: dict[str, Any]) -> None:
         self.outcome.error_kind = error.get("kind", "")
         self.outcome.ran = error.get("ran", "")
         refused = self.outcome.ran == "no"
         self.outcome.verdict = Verdict.REFUSED if refused else Verdict.FAILED
 
     def _wait(self, duration_ms: float) -> None:
-        self._clock.sleep_ms(max(duration_ms, RETRY_FLOOR_MS))
+        self._clock.sleep_ms(max(duration_ms, MIN_RETRY_DELAY_MS))
 
-    def _check_patience(self) -> None:
-        if self._clock.now_ms() >= self._until_ms:
+    def _check_time_limit(self) -> None:
+        if self._clock.now_ms() >= self._time_limit_ms:
             raise GiveUpError("patience is over")
 
 
@@ -269,7 +269,7 @@
 
 def iterate_lines(answer: http.client.HTTPResponse) -> Iterator[bytes]:
     """Yield the lines of an answer as they arrive; a read may contain several lines."""
-    rest = b""
+    remaining = b""
     while piece := answer.read1(READ_BYTES):
-        *lines, rest = (rest + piece).split(b"\n")
+        *lines, remaining = (remaining + piece).split(b"\n")
         yield from lines
--- a/hemlockswitch/standin/load_plan.py
+++ b/hemlockswitch/standin/load_plan.py
@@ -129,33 +129,33 @@
     >>> list(plan_arrivals(settings)) == list(plan_arrivals(settings))
     True
     """
-    draw = random.Random(settings.seed)
+    rng = random.Random(settings.seed)
     at_ms = 0.0
     number = 0
     while True:
-        at_ms += draw.expovariate(settings.requests_per_s) * MS_PER_SECOND
+        at_ms += rng.expovariate(settings.requests_per_s) * MS_PER_SECOND
         if at_ms >= settings.duration_ms:
             return
-        yield _plan_one(settings, draw, number, at_ms)
+        yield _plan_one(settings, rng, number, at_ms)
         number += 1
 
 
-def _plan_one(settings: LoadSettings, draw: random.Random, number: int, at_ms: float) -> Arrival:
-    account = draw.choices(settings.accounts, [item.weight for item in settings.accounts])[0]
-    mix = draw.choices(settings.mix, [item.weight for item in settings.mix])[0]
+def _plan_one(settings: LoadSettings, rng: random.Random, number: int, at_ms: float) -> Arrival:
+    account = rng.choices(settings.accounts, [item.weight for item in settings.accounts])[0]
+    mix = rng.choices(settings.mix, [item.weight for item in settings.mix])[0]
     text, max_tokens, give_up_after = f"call {number}", 0, 0
     if isinstance(mix, ChatMix):
-        text = _draw_text(mix, draw, number)
-        max_tokens = draw.randint(*mix.max_tokens)
-        if draw.random() < settings.give_up_share:
-            give_up_after = draw.randint(1, max(1, max_tokens // 2))
+        text = _draw_text(mix, rng, number)
+        max_tokens = rng.randint(*mix.max_tokens)
+        if rng.random() < settings.give_up_share:
+            give_up_after = rng.randint(1, max(1, max_tokens // 2))
     return Arrival(
-        number, at_ms, account, mix, text, max_tokens, give_up_after, draw.getrandbits(32)
+        number, at_ms, account, mix, text, max_tokens, give_up_after, rng.getrandbits(32)
     )
 
 
-def _draw_text(mix: ChatMix, draw: random.Random, number: int) -> str:
-    prefix = draw.randrange(mix.prefixes)
-    begin = [f"{WORDS[index % len(WORDS)]}-{prefix}" for index in range(mix.prefix_words)]
-    count = max(draw.randint(*mix.prompt_words) - mix.prefix_words, 1)
-    return " ".join([*begin, f"request-{number}", *draw.choices(WORDS, k=count - 1)])
+def _draw_text(mix: ChatMix, rng: random.Random, number: int) -> str:
+    prefix = rng.randrange(mix.prefixes)
+    prefix_text = [f"{WORDS[index % len(WORDS)]}-{prefix}" for index in range(mix.prefix_words)]
+    count = max(rng.randint(*mix.prompt_words) - mix.prefix_words, 1)
+    return " ".join([*prefix_text, f"request-{number}", *rng.choices(WORDS, k=count - 1)])
--- a/hemlockswitch/standin/load_results.py
+++ b/hemlockswitch/standin/load_results.py
@@ -10,10 +10,10 @@
 from hemlockswitch.core.clock import MS_PER_SECOND
 
 US_PER_MS = 1_000
-LARGEST_US = 600_000_000
-DIGITS = 3
+MAX_DURATION_US = 600_000_000
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50, 90, 95, 99, 99.9)
-PROBLEMS_KEPT = 50
+MAX_RETAINED_PROBLEMS = 50
 
 
 class Verdict(StrEnum):
@@ -73,11 +73,11 @@
     """
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, LARGEST_US, DIGITS)
+        self._histogram = HdrHistogram(1, MAX_DURATION_US, SIGNIFICANT_DIGITS)
 
     def add(self, duration_ms: float) -> None:
         """Add one duration."""
-        self._histogram.record_value(min(max(int(duration_ms * US_PER_MS), 1), LARGEST_US))
+        self._histogram.record_value(min(max(int(duration_ms * US_PER_MS), 1), MAX_DURATION_US))
 
     def describe(self) -> dict[str, float]:
         """Return the count, and percentiles and maximum in milliseconds."""
@@ -119,9 +119,9 @@
         if outcome.recomputed_tokens is not None:
             self.totals["recomputed_tokens"] += outcome.recomputed_tokens
         self._add_times(outcome)
-        left = PROBLEMS_KEPT - len(self.problems)
-        told = [f"request {outcome.number}: {problem}" for problem in outcome.problems]
-        self.problems.extend(told[:left])
+        free = MAX_RETAINED_PROBLEMS - len(self.problems)
+        described = [f"request {outcome.number}: {problem}" for problem in outcome.problems]
+        self.problems.extend(described[:free])
 
     def _add_times(self, outcome: Outcome) -> None:
         if outcome.first_token_ms is not None:
--- a/hemlockswitch/standin/platform_state.py
+++ b/hemlockswitch/standin/platform_state.py
@@ -11,7 +11,7 @@
 from hemlockswitch.standin.platform_vms import VmRegistry
 from hemlockswitch.standin.server import SOCKET_KEY, cut_connection
 
-SILENCE_MS = 120_000
+SILENT_MODE_DELAY_MS = 120_000
 MAX_WAIT_MS = 60_000
 
 
@@ -59,7 +59,7 @@
         daemon = req.get_header("X-Daemon") or "none"
         self.counts.count(role, daemon, call)
         if faults.mode == "silent":
-            wait_ms(SILENCE_MS)
+            wait_ms(SILENT_MODE_DELAY_MS)
         if faults.mode in ("silent", "refused"):
             cut_connection(req.env[SOCKET_KEY])
         wait_ms(faults.delay_ms)
--- a/hemlockswitch/standin/platform_vms.py
+++ b/hemlockswitch/standin/platform_vms.py
@@ -134,17 +134,17 @@
         ]
 
     def _find_at(self, name: str, seen_at: float) -> StandinVm | None:
-        known = [vm for at, vm in self._history[name] if at <= seen_at]
-        return known[-1] if known else None
+        states = [vm for at, vm in self._history[name] if at <= seen_at]
+        return states[-1] if states else None
 
     def start(self, request: StartRequest, start_ms: float) -> StandinVm | None:
         """Start a VM from the spare pool; return None if no spare VM fits.
 
         A repeated call with the same token returns the VM that the first call started.
         """
-        known = self._by_token.get(request.token)
-        if known is not None:
-            return self.find(known)
+        started_name = self._by_token.get(request.token)
+        if started_name is not None:
+            return self.find(started_name)
         spare = self._take_spare(request)
         if spare is None:
             self.counts.refused_starts += 1
@@ -204,17 +204,17 @@
             if vm is None or vm.state == GONE:
                 continue
             self._record(replace(vm, state="leaving"))
-            given += [self._give_notice(vm, deadline) for _ in range(copies)]
-            gevent.spawn_later(notice_ms / MS_PER_SECOND, self._end, name)
+            given += [self._add_notice(vm, deadline) for _ in range(copies)]
+            gevent.spawn_later(notice_ms / MS_PER_SECOND, self._terminate, name)
         self.changed.announce()
         return given
 
-    def _give_notice(self, vm: StandinVm, deadline: int) -> Notice:
+    def _add_notice(self, vm: StandinVm, deadline: int) -> Notice:
         notice = Notice(len(self.notices) + 1, vm.name, vm.zone, deadline)
         self.notices.append(notice)
         return notice
 
-    def _end(self, name: str) -> None:
+    def _terminate(self, name: str) -> None:
         vm = self.find(name)
         if vm is not None and vm.state != GONE:
             self.counts.reclaimed += 1
@@ -222,9 +222,9 @@
 
     def end(self, name: str) -> bool:
         """Terminate a VM without notice, as a crash does; return whether the VM exists."""
-        known = self.find(name) is not None
-        self._end(name)
-        return known
+        exists = self.find(name) is not None
+        self._terminate(name)
+        return exists
 
     def watch_notices(self, zone: str | None, since: int, wait_ms: float) -> list[Notice]:
         """Return the notices after number `since`, waiting up to `wait_ms` for the first."""
--- a/hemlockswitch/standin/server.py
+++ b/hemlockswitch/standin/server.py
@@ -65,7 +65,7 @@
         self.body = {"error": error, "retry_after_ms": retry_after_ms}
 
 
-def _pass_on(
+def _reraise(
     request: falcon.Request, response: falcon.Response, error: Exception, params: Any
 ) -> None:
     raise error
@@ -127,7 +127,7 @@
 
 
 def listen(
-    application: Callable[..., Any], address: str, most_connections: int | None = None
+    application: Callable[..., Any], address: str, max_connections: int | None = None
 ) -> tuple[WSGIServer, str]:
     """Start serving `application` and return the server and its ``ip:port``.
 
@@ -138,7 +138,7 @@
         application,
         handler_class=_Handler,
         log=None,
-        spawn=most_connections or "default",
+        spawn=max_connections or "default",
     )
     server.start()
     return server, f"{server.server_host}:{server.server_port}"
@@ -169,6 +169,6 @@
 def make_application() -> falcon.App:
     """Return a falcon application that handles `RefusalError` and `CutError`."""
     application = falcon.App()
-    application.add_error_handler(CutError, _pass_on)
+    application.add_error_handler(CutError, _reraise)
     application.add_error_handler(RefusalError, _answer_refusal)
     return application
--- a/hemlockswitch/standin/service.py
+++ b/hemlockswitch/standin/service.py
@@ -9,7 +9,7 @@
 from pydantic import BaseModel, ConfigDict
 
 from hemlockswitch.core.clock import Clock, SystemClock
-from hemlockswitch.standin.faults import FaultBox, Faults
+from hemlockswitch.standin.faults import ActiveFaults, Faults
 from hemlockswitch.standin.server import (
     SOCKET_KEY,
     RefusalError,
@@ -61,14 +61,14 @@
     def __init__(self, settings: ServiceSettings, clock: Clock) -> None:
         self.settings = settings
         self.clock = clock
-        self.faults = FaultBox()
+        self.faults = ActiveFaults()
         self.counts = ServiceCounts()
         self.leaving_since_ms: float | None = None
-        self._held_answer: dict[str, Any] | None = None
-        self._reported_running = 0
-        self._reported_at_ms = clock.now_ms()
+        self._previous_answer: dict[str, Any] | None = None
+        self._recorded_running = 0
+        self._recorded_at_ms = clock.now_ms()
 
-    def note_run(self, request: falcon.Request) -> None:
+    def record_run(self, request: falcon.Request) -> None:
         """Count a run of a call."""
         self.counts.runs += 1
         self.counts.runs_by_path[f"{request.method} {request.path}"] += 1
@@ -82,11 +82,11 @@
 
     def report_load(self) -> dict[str, Any]:
         """Return the last recorded load and its age."""
-        age_ms = self.clock.now_ms() - self._reported_at_ms
+        age_ms = self.clock.now_ms() - self._recorded_at_ms
         slots = self.settings.slots
         return {
-            "running": min(self._reported_running, slots),
-            "waiting": max(self._reported_running - slots, 0),
+            "running": min(self._recorded_running, slots),
+            "waiting": max(self._recorded_running - slots, 0),
             "slots": slots,
             "age_ms": age_ms,
             "draining": False,
@@ -96,15 +96,15 @@
         """Record the load every `load_lag_ms`, indefinitely."""
         while True:
             self.clock.sleep_ms(self.settings.load_lag_ms)
-            self._reported_running = self.counts.running
-            self._reported_at_ms = self.clock.now_ms()
+            self._recorded_running = self.counts.running
+            self._recorded_at_ms = self.clock.now_ms()
 
     def swap_answer(self, answer: dict[str, Any]) -> dict[str, Any]:
         """Store `answer` for the next call, and return the answer of the previous call.
 
         The first call gets its own answer.
         """
-        earlier, self._held_answer = self._held_answer, answer
+        earlier, self._previous_answer = self._previous_answer, answer
         return earlier or answer
 
 
@@ -127,7 +127,7 @@
         if faults.cut_stage == "before_run":
             cut_connection(connection)
         body = request.bounded_stream.read().decode(errors="replace")
-        self._service.note_run(request)
+        self._service.record_run(request)
         delay_ms = (self._service.settings.delay_ms + faults.delay_ms) * faults.slow_factor
         counts = self._service.counts
         counts.running += 1
--- a/hemlockswitch/standin/streams.py
+++ b/hemlockswitch/standin/streams.py
@@ -22,13 +22,13 @@
     }
 
 
-def _name_end(stream: Stream) -> str:
+def _get_finish_reason(stream: Stream) -> str:
     return "stop" if stream.phase is Phase.FINISHED else "cancelled"
 
 
 def render_token(stream: Stream, position: int) -> bytes:
     """Return the event of a token."""
-    shown = stream.shown_as or stream
+    shown = stream.answered_with or stream
     return (
         f'id: {shown.stream_id}:{position}\ndata: {{"id": "{shown.stream_id}", '
         f'"object": "chat.completion.chunk", "model": "{shown.model}", "choices": '
@@ -39,7 +39,7 @@
 
 def render_end(stream: Stream) -> bytes:
     """Return the last event, at the position after the last token, and the end mark."""
-    choice = {"index": 0, "delta": {}, "finish_reason": _name_end(stream)}
+    choice = {"index": 0, "delta": {}, "finish_reason": _get_finish_reason(stream)}
     body = {
         "id": stream.stream_id,
         "object": "chat.completion.chunk",
@@ -51,15 +51,15 @@
     return event.encode() + DONE
 
 
-def render_whole(stream: Stream, faults: Faults) -> dict[str, Any]:
+def render_complete_answer(stream: Stream, faults: Faults) -> dict[str, Any]:
     """Return the answer of an ended stream as a single object."""
-    shown = stream.shown_as or stream
+    shown = stream.answered_with or stream
     stop = stream.produced
     if faults.truncate_after_tokens is not None:
         stop = min(stop, faults.truncate_after_tokens)
     content = "".join(shown.token(index) for index in range(stream.start, stop))
     message = {"role": "assistant", "content": content}
-    choice = {"index": 0, "message": message, "finish_reason": _name_end(stream)}
+    choice = {"index": 0, "message": message, "finish_reason": _get_finish_reason(stream)}
     return {
         "id": shown.stream_id,
         "object": "chat.completion",
@@ -110,7 +110,7 @@
         yield from map(b"".join, groups)
         return
     position = start
-    held = b""
+    delayed = b""
     for group in groups:
         for event in group:
             if position == faults.cut_after_tokens:
@@ -120,14 +120,14 @@
             out = event
             if faults.duplicate_every and position % faults.duplicate_every == 0:
                 out = event + event
-            if faults.reorder_every and position % faults.reorder_every == 0 and not held:
-                held = out
+            if faults.reorder_every and position % faults.reorder_every == 0 and not delayed:
+                delayed = out
             else:
-                yield out + held
-                held = b""
+                yield out + delayed
+                delayed = b""
             position += 1
-    if held:
-        yield held
+    if delayed:
+        yield delayed
 
 
 def _has_event_fault(faults: Faults) -> bool:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,7 +12,7 @@
 from hemlockswitch.standin.load_results import Verdict
 from hemlockswitch.standin.server import listen
 
-PATIENCE_MS = 10_000
+CALLER_TIMEOUT_MS = 10_000
 REQUEST_ID = "req-1"
 
 
@@ -39,7 +39,7 @@
 
     server, address = listen(application, "127.0.0.1:0")
     try:
-        return Caller(arrival, (address,), PATIENCE_MS, SystemClock()).run(), got
+        return Caller(arrival, (address,), CALLER_TIMEOUT_MS, SystemClock()).run(), got
     finally:
         server.stop()
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -10,7 +10,7 @@
 from hemlockswitch.standin.links import Link
 from hemlockswitch.standin.server import parse_address
 
-PATIENCE_S = 10
+READ_TIMEOUT_S = 10
 
 
 class Echo:
@@ -44,11 +44,11 @@
 
 def connect(link):
     connection = socket.create_connection(parse_address(link.address))
-    connection.settimeout(PATIENCE_S)
+    connection.settimeout(READ_TIMEOUT_S)
     return connection
 
 
-def ask(connection, text):
+def exchange(connection, text):
     connection.sendall(text)
     return connection.recv(4096)
 
@@ -61,18 +61,18 @@
 
 
 def test_passes_and_counts(link):
-    assert ask(connect(link), b"abc") == b"abc"
+    assert exchange(connect(link), b"abc") == b"abc"
     assert link.bytes_moved == {Direction.TO_TARGET: 3, Direction.TO_CALLER: 3}
 
 
 def test_cut_resets_old_and_new_connections(link):
     old = connect(link)
-    ask(old, b"a")
+    exchange(old, b"a")
     link.set_faults(LinkFaults(mode=Mode.CUT))
     with pytest.raises(ConnectionError):
-        ask(old, b"b")
+        exchange(old, b"b")
     with pytest.raises(ConnectionError):
-        ask(connect(link), b"b")
+        exchange(connect(link), b"b")
 
 
 def test_refuse_and_pass_again_on_the_same_port(link):
@@ -80,12 +80,12 @@
     with pytest.raises(ConnectionRefusedError):
         connect(link)
     link.set_faults(LinkFaults())
-    assert ask(connect(link), b"abc") == b"abc"
+    assert exchange(connect(link), b"abc") == b"abc"
 
 
 def test_black_hole_holds_back_and_passes_on_when_it_heals(link, echo):
     connection = connect(link)
-    ask(connection, b"a")
+    exchange(connection, b"a")
     link.set_faults(LinkFaults(mode=Mode.BLACK_HOLE))
     connection.sendall(b"b")
     assert is_silent(connection)
@@ -96,7 +96,7 @@
 
 def test_freeze_of_one_direction_lets_the_request_through(link, echo):
     connection = connect(link)
-    ask(connection, b"a")
+    exchange(connection, b"a")
     link.set_faults(LinkFaults(freeze=Direction.TO_CALLER))
     connection.sendall(b"b")
     assert is_silent(connection)
@@ -115,13 +115,13 @@
         assert is_silent(connection)
     assert echo.got == b"b"
     assert link.answers_lost == 1
-    assert ask(connect(link), b"c") == b"c"
+    assert exchange(connect(link), b"c") == b"c"
 
 
 def test_cut_after_bytes(link):
     link.set_faults(LinkFaults(cut_after_bytes=4))
     connection = connect(link)
-    assert ask(connection, b"abc") == b"abc"
+    assert exchange(connection, b"abc") == b"abc"
     connection.sendall(b"def")
     received = b""
     with pytest.raises(ConnectionError):
@@ -136,13 +136,13 @@
     connection = connect(link)
     clock = SystemClock()
     begun_ms = clock.now_ms()
-    ask(connection, b"abc")
+    exchange(connection, b"abc")
     assert clock.now_ms() - begun_ms >= 120
 
 
 def test_faults_of_one_source(link):
     link.set_faults(LinkFaults(source="127.0.2.", mode=Mode.CUT))
-    assert ask(connect(link), b"abc") == b"abc"
+    assert exchange(connect(link), b"abc") == b"abc"
     other = socket.create_connection(parse_address(link.address), source_address=("127.0.2.1", 0))
     with pytest.raises(ConnectionError):
-        ask(other, b"abc")
+        exchange(other, b"abc")
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -92,7 +92,7 @@
     clock.advance(300)
     report = engine.report_load()
     assert (report["waiting"], report["age_ms"]) == (0, 300)
-    engine.take_report()
+    engine.record_load()
     assert engine.report_load()["waiting"] == 1
 
 
@@ -103,9 +103,9 @@
     cache.store(list(hash_prefixes(prompt)))
     assert cache.list_events(0) == {"events": [], "number": 0}
     clock.advance(500)
-    told = cache.list_events(0)
-    assert told["number"] == 8
-    assert [event["number"] for event in told["events"]] == [1, 2, 4, 5, 7, 8]
+    published = cache.list_events(0)
+    assert published["number"] == 8
+    assert [event["number"] for event in published["events"]] == [1, 2, 4, 5, 7, 8]
     assert cache.used_tokens == 64
 
 
