--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,8 @@
-"""A caller of the load program follows advice, and judges what it gets."""
+"""The load generator's caller follows retry advice and checks the answers.
+
+A caller that restarts a moved stream, misses a duplicate token, or repeats a call of unknown
+outcome would make the results of a load run worthless.
+"""
 
 import json
 
@@ -18,7 +22,7 @@
 
 @pytest.fixture(autouse=True, scope="module")
 def patched():
-    """Let the standard library's client and the test's server share this thread."""
+    """Make the standard library's client cooperative; the test's server runs in its thread."""
     monkey.patch_all()
 
 
@@ -28,7 +32,7 @@
 
 
 def run_against(answers, arrival):
-    """Return the outcome and the requests that a server with these answers got."""
+    """Return the outcome and the requests received by a server that gives these answers."""
     got = []
 
     def application(environ, start_response):
@@ -45,7 +49,7 @@
 
 
 def make_events(first, last, end=b""):
-    """Return a stream's answer with the tokens of some positions."""
+    """Return a stream's answer with the tokens from position `first` up to `last`, exclusive."""
     words = make_answer("m", "user: two slots", last).split()
     events = b""
     for position in range(first, last):
@@ -75,7 +79,7 @@
 )
 
 
-def test_a_moved_stream_is_fetched_from_its_last_event_on():
+def test_moved_stream_resumes_after_last_event():
     answers = [make_events(0, 2, MOVED), make_events(2, 3, make_end(3))]
     outcome, got = run_against(answers, make_arrival(ChatMix(model="m")))
     assert (outcome.verdict, outcome.moved, outcome.resumed) == (Verdict.WHOLE, 1, 1)
@@ -83,19 +87,19 @@
     assert got[1]["HTTP_LAST_EVENT_ID"] == f"{REQUEST_ID}:1"
 
 
-def test_a_token_that_comes_twice_is_wrong():
+def test_duplicate_token_is_wrong():
     answers = [make_events(0, 2, MOVED), make_events(1, 3, make_end(3))]
     outcome, _ = run_against(answers, make_arrival(ChatMix(model="m")))
     assert outcome.verdict is Verdict.WRONG
 
 
-def test_a_refused_request_comes_back():
+def test_refused_request_is_retried():
     outcome, got = run_against(
         [REFUSAL, make_events(0, 3, make_end(3))], make_arrival(ChatMix(model="m"))
     )
     assert (outcome.verdict, outcome.refusals, len(got)) == (Verdict.WHOLE, ["leaving"], 2)
 
 
-def test_a_call_of_unknown_outcome_is_not_sent_again():
+def test_call_of_unknown_outcome_is_not_retried():
     outcome, got = run_against([UNKNOWN, UNKNOWN], make_arrival(CallMix(keyed=False)))
     assert (outcome.verdict, outcome.ran, len(got)) == (Verdict.FAILED, "unknown", 1)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,7 @@
-"""The fault-injecting proxy does to real sockets what it is told."""
+"""The fault-injecting proxy applies its faults to real sockets.
+
+A fault that has no effect, or a wrong one, would let the tests that rely on it pass for nothing.
+"""
 
 import gevent
 import pytest
@@ -14,7 +17,7 @@
 
 
 class Echo:
-    """A server that answers each piece with itself and keeps what it got."""
+    """A server that echoes each chunk and records the received bytes."""
 
     def __init__(self) -> None:
         self.got = b""
@@ -60,7 +63,7 @@
     return True
 
 
-def test_passes_and_counts(link):
+def test_forwards_and_counts_bytes(link):
     assert exchange(connect(link), b"abc") == b"abc"
     assert link.bytes_moved == {Direction.TO_TARGET: 3, Direction.TO_CALLER: 3}
 
@@ -75,7 +78,7 @@
         exchange(connect(link), b"b")
 
 
-def test_refuse_and_pass_again_on_the_same_port(link):
+def test_refusing_link_listens_again_on_same_port(link):
     link.set_faults(LinkFaults(mode=Mode.REFUSE))
     with pytest.raises(ConnectionRefusedError):
         connect(link)
@@ -83,7 +86,7 @@
     assert exchange(connect(link), b"abc") == b"abc"
 
 
-def test_black_hole_holds_back_and_passes_on_when_it_heals(link, echo):
+def test_black_hole_delays_bytes_until_it_heals(link, echo):
     connection = connect(link)
     exchange(connection, b"a")
     link.set_faults(LinkFaults(mode=Mode.BLACK_HOLE))
@@ -94,7 +97,7 @@
     assert connection.recv(10) == b"b"
 
 
-def test_freeze_of_one_direction_lets_the_request_through(link, echo):
+def test_freeze_of_one_direction_forwards_the_request(link, echo):
     connection = connect(link)
     exchange(connection, b"a")
     link.set_faults(LinkFaults(freeze=Direction.TO_CALLER))
@@ -140,7 +143,7 @@
     assert clock.now_ms() - begun_ms >= 120
 
 
-def test_faults_of_one_source(link):
+def test_faults_apply_to_their_source_only(link):
     link.set_faults(LinkFaults(source="127.0.2.", mode=Mode.CUT))
     assert exchange(connect(link), b"abc") == b"abc"
     other = socket.create_connection(parse_address(link.address), source_address=("127.0.2.1", 0))
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's batching, orders, reports and cache, on a clock moved by hand."""
+"""The stand-in engine's batching, orders, load reports and prefix cache, on a manual clock."""
 
 from hemlockswitch.core.clock import ManualClock
 from hemlockswitch.standin.answers import hash_prefixes, join_prompt
@@ -27,7 +27,7 @@
         engine.batch.step(clock.now_ms())
 
 
-def test_slots_bound_the_running_and_priority_orders_the_waiting():
+def test_slots_limit_running_streams_and_priority_orders_the_queue():
     engine, clock = make_engine(slots=1)
     first, late, urgent = begin(engine), begin(engine), begin(engine, x_priority="0")
     step(engine, clock, 1)
@@ -37,7 +37,7 @@
     assert (first.phase, late.phase) == (Phase.RUNNING, Phase.WAITING)
 
 
-def test_prefill_takes_time_by_uncached_prompt_tokens():
+def test_prefill_time_depends_on_uncached_prompt_tokens():
     engine, clock = make_engine(prefill_tokens_per_s=8_000)
     first = begin(engine, LONG)
     step(engine, clock, 2)
@@ -49,7 +49,7 @@
     assert (again.produced, again.cached_tokens) == (1, 320)
 
 
-def test_a_stream_past_its_deadline_is_cancelled_and_frees_its_slot():
+def test_stream_past_deadline_is_cancelled_and_frees_its_slot():
     engine, clock = make_engine(slots=1)
     stream = begin(engine, max_tokens=1_000, x_deadline_ms="50", x_request_id="s")
     step(engine, clock, 4)
@@ -57,7 +57,7 @@
     assert (engine.batch.running, engine.batch.cancelled) == (0, ["s"])
 
 
-def test_a_lost_stream_lingers_as_long_as_asked():
+def test_stream_without_reader_lingers_for_requested_time():
     engine, clock = make_engine()
     stream = begin(engine, max_tokens=1_000, x_linger_ms="100", x_request_id="s")
     engine.batch.attach(stream)
@@ -69,7 +69,7 @@
     assert "s" not in engine.batch.streams
 
 
-def test_a_stream_without_linger_ends_with_its_reader():
+def test_stream_without_linger_is_cancelled_with_its_last_reader():
     engine, _ = make_engine()
     stream = begin(engine, x_request_id="s")
     engine.batch.attach(stream)
@@ -86,7 +86,7 @@
         assert engine.counts.stale_orders_applied == int(not checks)
 
 
-def test_load_is_reported_as_it_was():
+def test_reported_load_is_the_last_recorded():
     engine, clock = make_engine()
     begin(engine)
     clock.advance(300)
@@ -96,7 +96,7 @@
     assert engine.report_load()["waiting"] == 1
 
 
-def test_cache_events_come_late_and_with_gaps():
+def test_cache_events_are_delayed_and_have_gaps():
     clock = ManualClock()
     cache = PrefixCache(64, 500, 3, clock)
     prompt = join_prompt([{"role": "user", "content": " ".join("a" * 95)}])
@@ -109,7 +109,7 @@
     assert cache.used_tokens == 64
 
 
-def test_continuations_of_another_answer_are_counted():
+def test_continuation_of_another_answer_is_counted():
     engine, _ = make_engine()
     messages = [{"role": "user", "content": "a"}]
     body = {"model": "assistant-llm", "messages": messages, "continue_tokens": ["nobody "]}
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in over real HTTP inside the test's process."""
+"""The platform stand-in, over real HTTP in the test's process."""
 
 import json
 from collections.abc import Iterator
@@ -46,7 +46,7 @@
     assert caller.call("GET", "/objects/claims/p1")[0] == 404
 
 
-def test_lost_answer_takes_effect(caller: Caller) -> None:
+def test_write_with_lost_answer_takes_effect(caller: Caller) -> None:
     caller.call(
         "POST", "/standin/faults", {"objects": {"lose_answers": 1, "lose_kinds": ["claims"]}}
     )
@@ -56,7 +56,7 @@
     assert caller.call("GET", "/objects/claims/p1")[1]["value"] == 1
 
 
-def test_old_reads_and_down(caller: Caller) -> None:
+def test_stale_reads_and_unavailable_service(caller: Caller) -> None:
     for value in (1, 2):
         caller.call("PUT", "/objects/claims/p1", value)
     caller.call("POST", "/standin/faults", {"objects": {"versions_back": 1}})
@@ -66,7 +66,7 @@
     assert caller.call("GET", "/vms")[0] == 200
 
 
-def test_value_size_rate_and_counts(caller: Caller) -> None:
+def test_value_size_limit_rate_limit_and_counts(caller: Caller) -> None:
     assert caller.call("PUT", "/objects/claims/p1", "x" * 1_048_574)[0] == 200
     assert caller.call("PUT", "/objects/claims/p1", "x" * 1_048_575)[0] == 413
     codes = [caller.call("PUT", "/objects/k/a", 1, X_Role="entry")[0] for _ in range(80)]
@@ -75,7 +75,7 @@
     assert calls["by_role"]["entry"]["write"] == 80
 
 
-def test_starts_reclaims_and_licence_count(caller: Caller) -> None:
+def test_starts_reclaims_and_max_running_count(caller: Caller) -> None:
     place = {"zone": "a", "machine_class": "reclaimable"}
     live = {"name": "v1", "address": "127.0.0.1:1", "serves": "m", **place}
     spare = {"name": "v2", "address": "127.0.0.1:2", "state": "spare", **place}
