--- a/hemlockswitch/standin/cache.py
+++ b/hemlockswitch/standin/cache.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's prefix cache and its late, gapped events."""
+"""The stand-in engine's prefix cache, whose events arrive late and with gaps."""
 
 from collections import OrderedDict, deque
 from collections.abc import Sequence
@@ -7,12 +7,12 @@
 from hemlockswitch.core.clock import Clock
 from hemlockswitch.standin.answers import BLOCK_WORDS
 
-EVENTS_KEPT = 4_096
+MAX_RETAINED_EVENTS = 4_096
 
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """One change of the cache, and when it may be told."""
+    """A change of the cache, and the time from which it is published."""
 
     number: int
     kind: str
@@ -21,14 +21,14 @@
 
 
 class PrefixCache:
-    """Prompt blocks in limited memory, least recently used out first.
+    """Prompt blocks in limited memory with least-recently-used eviction.
 
     Parameters
     ==========
 
-    capacity_tokens : memory, in tokens.
-    event_delay_ms : how late an event is told.
-    gap_every : every nth event is never told; 0 for none.
+    capacity_tokens : size of the memory, in tokens.
+    event_delay_ms : delay before an event is published.
+    gap_every : every nth event is never published; 0 disables gaps.
     clock : source of time.
 
     Examples
@@ -51,16 +51,16 @@
         self._gap_every = gap_every
         self._clock = clock
         self._blocks: OrderedDict[int, None] = OrderedDict()
-        self._events: deque[CacheEvent] = deque(maxlen=EVENTS_KEPT)
+        self._events: deque[CacheEvent] = deque(maxlen=MAX_RETAINED_EVENTS)
         self._number = 0
 
     @property
     def used_tokens(self) -> int:
-        """Tokens in the cache."""
+        """Number of tokens in the cache."""
         return len(self._blocks) * BLOCK_WORDS
 
     def count_cached_tokens(self, prefixes: Sequence[int]) -> int:
-        """Return how many leading tokens are cached, and mark them as used."""
+        """Return how many leading tokens are cached, and mark their blocks as recently used."""
         blocks = 0
         for prefix in prefixes:
             if prefix not in self._blocks:
@@ -70,31 +70,31 @@
         return blocks * BLOCK_WORDS
 
     def store(self, prefixes: Sequence[int]) -> None:
-        """Keep the blocks of a prompt, evicting others where memory is short."""
+        """Store the blocks of a prompt, evicting the least recently used over capacity."""
         for prefix in prefixes:
             if prefix not in self._blocks:
-                self._note("stored", prefix)
+                self._record_event("stored", prefix)
             self._blocks[prefix] = None
             self._blocks.move_to_end(prefix)
         while len(self._blocks) > self._capacity_blocks:
             oldest, _ = self._blocks.popitem(last=False)
-            self._note("evicted", oldest)
+            self._record_event("evicted", oldest)
 
     def list_events(self, since: int) -> dict[str, object]:
-        """Return the events after `since` that may be told, as the engine's API gives them."""
+        """Return the published events after number `since`, in the form of the engine's API."""
         now_ms = self._clock.now_ms()
-        ripe = [event for event in self._events if event.visible_at_ms <= now_ms]
-        told = [
+        published = [event for event in self._events if event.visible_at_ms <= now_ms]
+        events = [
             {"number": event.number, "kind": event.kind, "prefix": event.prefix}
-            for event in ripe
+            for event in published
             if event.number > since and not self._is_gap(event.number)
         ]
-        return {"events": told, "number": ripe[-1].number if ripe else 0}
+        return {"events": events, "number": published[-1].number if published else 0}
 
     def _is_gap(self, number: int) -> bool:
         return self._gap_every > 0 and number % self._gap_every == 0
 
-    def _note(self, kind: str, prefix: int) -> None:
+    def _record_event(self, kind: str, prefix: int) -> None:
         self._number += 1
         visible_at_ms = self._clock.now_ms() + self._event_delay_ms
         self._events.append(CacheEvent(self._number, kind, f"{prefix:016x}", visible_at_ms))
--- a/hemlockswitch/standin/load_results.py
+++ b/hemlockswitch/standin/load_results.py
@@ -1,4 +1,4 @@
-"""What a run of `hemlock-load` gives: counts, percentiles, and what was wrong."""
+"""Results of a run of `hemlock-load`: counts, percentiles and problems found."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -10,14 +10,14 @@
 from hemlockswitch.core.clock import MS_PER_SECOND
 
 US_PER_MS = 1_000
-LARGEST_US = 600_000_000
-DIGITS = 3
+MAX_DURATION_US = 600_000_000
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50, 90, 95, 99, 99.9)
-PROBLEMS_KEPT = 50
+MAX_RETAINED_PROBLEMS = 50
 
 
 class Verdict(StrEnum):
-    """How a request ended."""
+    """Result of a request."""
 
     WHOLE = "whole"
     WRONG = "wrong"
@@ -30,15 +30,15 @@
 
 @dataclass
 class Outcome:
-    """One request as its caller saw it.
+    """The outcome of a request from its caller's point of view.
 
     Parameters
     ==========
 
-    tries : exchanges, the first included.
-    refusals : error kinds of the refusals that were followed by another try.
-    problems : what the check of the answer found.
-    recomputed_tokens : what the answer's usage said; None when it did not say.
+    tries : number of exchanges, including the first.
+    refusals : error kinds of the refusals that were followed by a retry.
+    problems : problems that the check of the answer found.
+    recomputed_tokens : value reported in the answer's usage; None if it was not reported.
     """
 
     number: int
@@ -61,7 +61,7 @@
 
 
 class Distribution:
-    """Percentiles of durations.
+    """Histogram of durations.
 
     Examples
     ========
@@ -73,14 +73,14 @@
     """
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, LARGEST_US, DIGITS)
+        self._histogram = HdrHistogram(1, MAX_DURATION_US, SIGNIFICANT_DIGITS)
 
     def add(self, duration_ms: float) -> None:
         """Add one duration."""
-        self._histogram.record_value(min(max(int(duration_ms * US_PER_MS), 1), LARGEST_US))
+        self._histogram.record_value(min(max(int(duration_ms * US_PER_MS), 1), MAX_DURATION_US))
 
     def describe(self) -> dict[str, float]:
-        """Return count, percentiles and maximum in milliseconds."""
+        """Return the count, and percentiles and maximum in milliseconds."""
         found: dict[str, float] = {"count": self._histogram.get_total_count()}
         for percentile in PERCENTILES:
             value_us = self._histogram.get_value_at_percentile(percentile)
@@ -90,7 +90,7 @@
 
 
 class Results:
-    """Gathers the outcomes of a run."""
+    """Accumulates the outcomes of a run."""
 
     def __init__(self) -> None:
         self.verdicts: Counter[str] = Counter()
@@ -106,7 +106,7 @@
         self.start_lag = Distribution()
 
     def add(self, outcome: Outcome) -> None:
-        """Add one request."""
+        """Add the outcome of a request."""
         verdict = outcome.verdict.value
         self.verdicts[verdict] += 1
         self.by_account.setdefault(outcome.account, Counter())[verdict] += 1
@@ -119,9 +119,9 @@
         if outcome.recomputed_tokens is not None:
             self.totals["recomputed_tokens"] += outcome.recomputed_tokens
         self._add_times(outcome)
-        left = PROBLEMS_KEPT - len(self.problems)
-        told = [f"request {outcome.number}: {problem}" for problem in outcome.problems]
-        self.problems.extend(told[:left])
+        free = MAX_RETAINED_PROBLEMS - len(self.problems)
+        described = [f"request {outcome.number}: {problem}" for problem in outcome.problems]
+        self.problems.extend(described[:free])
 
     def _add_times(self, outcome: Outcome) -> None:
         if outcome.first_token_ms is not None:
@@ -132,7 +132,7 @@
             self.call.add(outcome.took_ms)
 
     def describe(self, took_ms: float) -> dict[str, Any]:
-        """Return the results, ready for JSON."""
+        """Return the results as a JSON-serializable dictionary."""
         return {
             "requests": sum(self.verdicts.values()),
             "took_ms": took_ms,
