--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -15,16 +15,16 @@
     read_reply,
     tokens,
 )
-from tests.soak.moving import Mover
-from tests.soak.world import DEADLY, GATEWAYS, MARKER, SoakWorld
+from tests.soak.moving import RolloutDriver
+from tests.soak.world import CRASHING_CONTENT, GATEWAYS, MARKER, SoakWorld
 
 CALLERS = 6
 PAUSE_S = (0.0, 0.25)
-CALL_LIMIT_S = 10.0
+CALL_TIMEOUT_S = 10.0
 STREAM_EVENTS = 30
 PATHS = ("/hold/x", "/check/x", "/draft/x", "/reply/x", "/open/x", "/frail/x")
-DEADLY_PATH = "/frail/deadly"
-DEADLY_PAUSE_S = 0.2
+CRASHING_PATH = "/frail/deadly"
+CRASHING_PAUSE_S = 0.2
 MOVED_PATH = "/moved/x"
 MOVED_PAUSE_S = 0.02
 AT_MOST_ONCE = ("/hold/x", "/draft/x")
@@ -68,13 +68,15 @@
             threading.Thread(target=self._run, args=(number, random.Random(f"{seed}/{number}")))
             for number in range(CALLERS)
         ]
-        self.mover = Mover(world, seed)
-        self._threads.append(threading.Thread(target=self.mover.run, args=(self._stop,)))
-        draws = random.Random(f"{seed}/moved")
-        self._threads.append(threading.Thread(target=self._ask_moved, args=(draws,)))
-        draws = random.Random(f"{seed}/deadly")
-        self._threads.append(threading.Thread(target=self._send_deadly, args=(draws,)))
-        self._threads.append(threading.Thread(target=world.keep_frail_runners, args=(self._stop,)))
+        self.rollout_driver = RolloutDriver(world, seed)
+        self._threads.append(threading.Thread(target=self.rollout_driver.run, args=(self._stop,)))
+        rng = random.Random(f"{seed}/moved")
+        self._threads.append(threading.Thread(target=self._call_moved_service, args=(rng,)))
+        rng = random.Random(f"{seed}/deadly")
+        self._threads.append(threading.Thread(target=self._send_crashing_content, args=(rng,)))
+        self._threads.append(
+            threading.Thread(target=world.replace_crashed_runners, args=(self._stop,))
+        )
 
     def start(self) -> None:
         """Begin to call."""
@@ -88,48 +90,48 @@
             thread.join()
         return self.calls
 
-    def _run(self, number: int, draws: random.Random) -> None:
+    def _run(self, number: int, rng: random.Random) -> None:
         connections: dict[str, socket.socket] = {}
         turn = 0
         while not self._stop.is_set():
             turn += 1
-            gateway = draws.choice(GATEWAYS)
+            gateway = rng.choice(GATEWAYS)
             call = make_call(
                 self._world,
                 connections,
                 gateway,
-                self._choose_path(draws),
+                self._choose_path(rng),
                 f"call-{number}-{turn}",
             )
             self.calls.append(call)
-            time.sleep(draws.uniform(*PAUSE_S))
+            time.sleep(rng.uniform(*PAUSE_S))
         for connection in connections.values():
             connection.close()
 
-    def _send_deadly(self, draws: random.Random) -> None:
+    def _send_crashing_content(self, rng: random.Random) -> None:
         """Send a content under which runners end, again and again, to any gateway."""
         turn = 0
-        while not self._stop.wait(DEADLY_PAUSE_S):
+        while not self._stop.wait(CRASHING_PAUSE_S):
             turn += 1
-            gateway = draws.choice(GATEWAYS)
-            self.calls.append(make_call(self._world, {}, gateway, DEADLY_PATH, f"deadly-{turn}"))
+            gateway = rng.choice(GATEWAYS)
+            self.calls.append(make_call(self._world, {}, gateway, CRASHING_PATH, f"deadly-{turn}"))
 
-    def _ask_moved(self, draws: random.Random) -> None:
+    def _call_moved_service(self, rng: random.Random) -> None:
         """Ask the service that moves, at any gateway."""
         turn = 0
         connections: dict[str, socket.socket] = {}
         while not self._stop.wait(MOVED_PAUSE_S):
             turn += 1
-            gateway = draws.choice(GATEWAYS)
+            gateway = rng.choice(GATEWAYS)
             call = make_call(self._world, connections, gateway, MOVED_PATH, f"moved-{turn}")
             self.calls.append(call)
 
-    def _choose_path(self, draws: random.Random) -> str:
-        if draws.random() < MARKER_SHARE:
-            back = draws.randrange(2)
+    def _choose_path(self, rng: random.Random) -> str:
+        if rng.random() < MARKER_SHARE:
+            back = rng.randrange(2)
             number = max(self._world.revision - back, 1)
             return f"/{MARKER.format(number=number)}/x"
-        return draws.choice(PATHS)
+        return rng.choice(PATHS)
 
 
 def make_call(
@@ -165,7 +167,7 @@
 ) -> Reply | None:
     """Return the answer; None where the connection ended first."""
     headers = tokens(STREAM_EVENTS) if path in STREAMS else {}
-    body = DEADLY.encode() if path == DEADLY_PATH else b"{}"
+    body = CRASHING_CONTENT.encode() if path == CRASHING_PATH else b"{}"
     try:
         connection = connections.pop(gateway, None) or _connect(world, gateway)
         connection.sendall(make_request(path, request_id, key=KEY, body=body, **headers))
@@ -181,7 +183,7 @@
 
 def _connect(world: SoakWorld, gateway: str) -> socket.socket:
     host, port = world.fronts[gateway].split(":")
-    return socket.create_connection((host, int(port)), timeout=CALL_LIMIT_S)
+    return socket.create_connection((host, int(port)), timeout=CALL_TIMEOUT_S)
 
 
 def _is_right(reply: Reply, path: str, request_id: str) -> bool:
--- a/tests/soak/injection.py
+++ b/tests/soak/injection.py
@@ -6,7 +6,7 @@
 from features.support.gateways import call_json
 from features.support.processes import HarnessError
 from tests.soak.plan import Fault, FaultKind
-from tests.soak.world import APART, GATEWAYS, SoakRunner, SoakWorld
+from tests.soak.world import GATEWAYS, UNLINKED_SERVICES, SoakRunner, SoakWorld
 
 DRAINING_S = 2.0
 """How long a runner that drains goes on serving; longer than gateways may take to notice."""
@@ -26,7 +26,7 @@
 def find_runner(world: SoakWorld, fault: Fault) -> SoakRunner:
     """Return the runner that a fault is for; one that has not registered yet serves nobody."""
     registered = [runner for runner in world.runners if runner.is_registered]
-    linked = [runner for runner in registered if runner.service not in APART]
+    linked = [runner for runner in registered if runner.service not in UNLINKED_SERVICES]
     running = [runner for runner in linked if runner.program.is_running]
     return running[fault.target % len(running)]
 
@@ -69,7 +69,7 @@
         world.start_gateway(name)
 
 
-def _spoil_link(find: Callable[[SoakWorld, Fault], str], **faults: object) -> Callable:
+def _make_link_action(find: Callable[[SoakWorld, Fault], str], **faults: object) -> Callable:
     """Return an action that puts `faults` on a link for the fault's time."""
 
     def act(world: SoakWorld, fault: Fault) -> None:
@@ -81,7 +81,7 @@
     return act
 
 
-def _spoil_store(**faults: object) -> Callable:
+def _make_store_action(**faults: object) -> Callable:
     def act(world: SoakWorld, fault: Fault) -> None:
         world.call_store("POST", "/standin/faults", faults)
         time.sleep(fault.for_s)
@@ -90,7 +90,7 @@
     return act
 
 
-def _spoil_runner(**faults: object) -> Callable:
+def _make_runner_action(**faults: object) -> Callable:
     def act(world: SoakWorld, fault: Fault) -> None:
         address = find_runner(world, fault).program.addresses["http"]
         call_json(address, "POST", "/standin/faults", faults)
@@ -149,21 +149,21 @@
     FaultKind.GATEWAY_FROZEN: _freeze_gateway,
     FaultKind.GATEWAY_RELOADED: _reload_gateway,
     FaultKind.ALL_GATEWAYS_KILLED: _kill_all_gateways,
-    FaultKind.CALLERS_RESET: _spoil_link(_find_front_link, mode="cut"),
-    FaultKind.STORE_LINK_CUT: _spoil_link(_find_store_link, mode="cut"),
-    FaultKind.STORE_LINK_SILENT: _spoil_link(_find_store_link, mode="black_hole"),
-    FaultKind.STORE_LINK_ONE_WAY: _spoil_link(_find_store_link, freeze="to_caller"),
-    FaultKind.STORE_LINK_SLOW: _spoil_link(_find_store_link, delay_ms=150),
-    FaultKind.STORE_BUSY: _spoil_store(mode="busy"),
-    FaultKind.STORE_SILENT: _spoil_store(mode="silent"),
-    FaultKind.STORE_ANSWERS_LOST: _spoil_store(lose_answers=5),
+    FaultKind.CALLERS_RESET: _make_link_action(_find_front_link, mode="cut"),
+    FaultKind.STORE_LINK_CUT: _make_link_action(_find_store_link, mode="cut"),
+    FaultKind.STORE_LINK_SILENT: _make_link_action(_find_store_link, mode="black_hole"),
+    FaultKind.STORE_LINK_ONE_WAY: _make_link_action(_find_store_link, freeze="to_caller"),
+    FaultKind.STORE_LINK_SLOW: _make_link_action(_find_store_link, delay_ms=150),
+    FaultKind.STORE_BUSY: _make_store_action(mode="busy"),
+    FaultKind.STORE_SILENT: _make_store_action(mode="silent"),
+    FaultKind.STORE_ANSWERS_LOST: _make_store_action(lose_answers=5),
     FaultKind.STORE_COMPACTED: _compact_store,
-    FaultKind.RUNNER_LINK_CUT: _spoil_link(find_runner_link, mode="cut"),
-    FaultKind.RUNNER_LINK_SILENT: _spoil_link(find_runner_link, mode="black_hole"),
-    FaultKind.RUNNER_ANSWERS_LOST: _spoil_runner(lose_answer=True, count=4),
-    FaultKind.RUNNER_DECLINES: _spoil_runner(decline=True, count=6),
-    FaultKind.RUNNER_FAILS: _spoil_runner(fail=True, count=6),
-    FaultKind.RUNNER_BREAKS_OFF: _spoil_runner(cut_after_events=3, count=4),
+    FaultKind.RUNNER_LINK_CUT: _make_link_action(find_runner_link, mode="cut"),
+    FaultKind.RUNNER_LINK_SILENT: _make_link_action(find_runner_link, mode="black_hole"),
+    FaultKind.RUNNER_ANSWERS_LOST: _make_runner_action(lose_answer=True, count=4),
+    FaultKind.RUNNER_DECLINES: _make_runner_action(decline=True, count=6),
+    FaultKind.RUNNER_FAILS: _make_runner_action(fail=True, count=6),
+    FaultKind.RUNNER_BREAKS_OFF: _make_runner_action(cut_after_events=3, count=4),
     FaultKind.RUNNER_FROZEN: _freeze_runner,
     FaultKind.RUNNER_KILLED: _kill_runner,
     FaultKind.RUNNER_DRAINED: _drain_runner,
--- a/tests/soak/moving.py
+++ b/tests/soak/moving.py
@@ -11,14 +11,14 @@
 RUNNERS = 2
 ORDER_AFTER_S, RUNNERS_AFTER_S = 1.0, 0.5
 TIME_LIMIT_S = 6.0
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 BAD = {"fail": True, "every": 2}
-SETTLED_S = 5.0
+SETTLE_S = 5.0
 """How long after the roll-back every gateway in touch knows of it."""
 
 
 @dataclass
-class Move:
+class Rollout:
     """The move of one soak, as the operator and the runners saw it."""
 
     is_bad: bool
@@ -29,11 +29,11 @@
     new: list[SoakRunner] = field(default_factory=list)
 
 
-class Mover:
+class RolloutDriver:
     """Gives the order, starts the new runners, and does at its end what the platform does."""
 
     def __init__(self, world: SoakWorld, seed: int) -> None:
-        self.move = Move(is_bad=seed % 2 == 1)
+        self.move = Rollout(is_bad=seed % 2 == 1)
         self._world = world
         self.move.old = [self._start("v1") for _ in range(RUNNERS)]
 
@@ -47,10 +47,10 @@
         if stop.wait(RUNNERS_AFTER_S):
             return
         move.new = [self._start("v2", **(BAD if move.is_bad else {})) for _ in range(RUNNERS)]
-        while not stop.wait(LOOK_S):
-            self._look()
+        while not stop.wait(POLL_INTERVAL_S):
+            self._poll()
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         """Read the state, and stop the old runners once the order is completed."""
         stored = self._world.call_store("GET", f"/standin/objects/rollouts/{MOVED}")
         state = (stored["status"] or {}).get("state", "")
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -39,8 +39,8 @@
 FREQUENT_WEIGHT = 3
 MEAN_GAP_S = 1.2
 """Mean time between two faults; each lasts about two seconds, so that one or two overlap."""
-LONGEST_S = 4.0
-SHORTEST_S = 0.3
+MAX_FAULT_S = 4.0
+MIN_FAULT_S = 0.3
 
 
 @dataclass(frozen=True)
@@ -72,14 +72,14 @@
     >>> all(fault.at_s < 20 for fault in draw_plan(7, 20))
     True
     """
-    draws = random.Random(seed)
+    rng = random.Random(seed)
     kinds = list(FaultKind)
     weights = [FREQUENT_WEIGHT if kind in FREQUENT else 1 for kind in kinds]
     faults = []
-    at_s = draws.expovariate(1 / MEAN_GAP_S)
+    at_s = rng.expovariate(1 / MEAN_GAP_S)
     while at_s < length_s:
-        (kind,) = draws.choices(kinds, weights)
-        for_s = draws.uniform(SHORTEST_S, LONGEST_S)
-        faults.append(Fault(round(at_s, 2), kind, draws.randrange(1_000), round(for_s, 2)))
-        at_s += draws.expovariate(1 / MEAN_GAP_S)
+        (kind,) = rng.choices(kinds, weights)
+        for_s = rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
+        faults.append(Fault(round(at_s, 2), kind, rng.randrange(1_000), round(for_s, 2)))
+        at_s += rng.expovariate(1 / MEAN_GAP_S)
     return tuple(faults)
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -4,23 +4,23 @@
 from collections.abc import Iterator
 from typing import Any
 
-from tests.soak.callers import AT_MOST_ONCE, DEADLY_PATH, Call
-from tests.soak.moving import SETTLED_S as MOVE_SETTLED_S
-from tests.soak.moving import Move
+from tests.soak.callers import AT_MOST_ONCE, CRASHING_PATH, Call
+from tests.soak.moving import SETTLE_S as ROLLBACK_SETTLE_S
+from tests.soak.moving import Rollout
 from tests.soak.world import ROLLOUT_SHARE, ROLLOUT_SLACK
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 SUCCESS = 200
-MOST_ENDS, MOST_RETRIES = 3, 3
-SETTLED_S = 5.0
+MAX_CRASHES, MAX_RETRIES = 3, 3
+SETTLE_S = 5.0
 """How long after the third server has ended under a content every gateway knows it."""
 
 
-def list_broken(
+def find_violations(
     calls: list[Call],
     runs: list[tuple[str, str]],
     cloud_calls: list[dict[str, Any]],
-    move: Move | None = None,
+    move: Rollout | None = None,
 ) -> list[str]:
     """Return a line for each promise that was broken."""
     counts = Counter(request_id for _, request_id in runs)
@@ -29,8 +29,8 @@
         *_check_runs(calls, counts),
         *_check_revisions(calls),
         *_check_duties(cloud_calls),
-        *_check_deadly(calls, counts),
-        *(_check_move(calls, runs, move) if move is not None else ()),
+        *_check_quarantine(calls, counts),
+        *(_check_rollout(calls, runs, move) if move is not None else ()),
     ]
 
 
@@ -43,8 +43,8 @@
 
 def _check_runs(calls: list[Call], counts: Counter) -> Iterator[str]:
     """Nothing unknown runs, nothing runs twice that may not, and "not run" is true."""
-    known = {call.request_id for call in calls}
-    for request_id in counts.keys() - known:
+    sent_ids = {call.request_id for call in calls}
+    for request_id in counts.keys() - sent_ids:
         yield f"nobody sent {request_id}, and it ran"
     for call in calls:
         count = counts[call.request_id]
@@ -56,28 +56,28 @@
 
 def _check_revisions(calls: list[Call]) -> Iterator[str]:
     """A gateway process never serves a route of a revision older than one it has served."""
-    newest: dict[str, tuple[int, float]] = defaultdict(lambda: (0, 0.0))
+    latest_seen: dict[str, tuple[int, float]] = defaultdict(lambda: (0, 0.0))
     markers = [call for call in calls if call.path.startswith("/marker-")]
     for call in sorted(markers, key=lambda one: one.ended_s):
         if call.status != SUCCESS:
             continue
         number = int(call.path.split("/")[1].rpartition("-")[2])
-        seen, seen_s = newest[call.incarnation]
+        seen, seen_s = latest_seen[call.incarnation]
         if number < seen and call.began_s > seen_s:
             yield f"revision {seen} was in force before: {call}"
         if number > seen:
-            newest[call.incarnation] = (number, call.ended_s)
+            latest_seen[call.incarnation] = (number, call.ended_s)
 
 
 def _check_duties(cloud_calls: list[dict[str, Any]]) -> Iterator[str]:
     """Numbers only rise, each belongs to one holder, and a window has one report."""
-    highest: dict[str, int] = defaultdict(int)
+    max_fences: dict[str, int] = defaultdict(int)
     holders: dict[int, str] = {}
     windows: dict[int, Any] = {}
     for call in cloud_calls:
-        if call["fence"] < highest[call["path"]]:
-            yield f"a lower number than {highest[call['path']]}: {call}"
-        highest[call["path"]] = max(highest[call["path"]], call["fence"])
+        if call["fence"] < max_fences[call["path"]]:
+            yield f"a lower number than {max_fences[call['path']]}: {call}"
+        max_fences[call["path"]] = max(max_fences[call["path"]], call["fence"])
         if holders.setdefault(call["fence"], call["holder"]) != call["holder"]:
             yield f"two holders of one number: {call}"
         if call["path"] == "/usage":
@@ -86,20 +86,20 @@
                 yield f"a window with two counts: {call}, before {windows[window]}"
 
 
-def _check_deadly(calls: list[Call], counts: Counter) -> Iterator[str]:
+def _check_quarantine(calls: list[Call], counts: Counter) -> Iterator[str]:
     """A content under which three servers have ended is sent three more times at most."""
-    deadly = [call for call in calls if call.path == DEADLY_PATH]
+    deadly = [call for call in calls if call.path == CRASHING_PATH]
     runs = [call for call in deadly for _ in range(counts[call.request_id])]
     runs.sort(key=lambda one: one.ended_s)
-    if len(runs) < MOST_ENDS:
+    if len(runs) < MAX_CRASHES:
         return
-    settled_s = runs[MOST_ENDS - 1].ended_s + SETTLED_S
-    late = [call for call in runs if call.began_s > settled_s]
-    if len(late) > MOST_RETRIES:
+    deadline_s = runs[MAX_CRASHES - 1].ended_s + SETTLE_S
+    late = [call for call in runs if call.began_s > deadline_s]
+    if len(late) > MAX_RETRIES:
         yield f"sent {len(late)} times more after {len(runs)} ends: {late}"
 
 
-def _check_move(calls: list[Call], runs: list[tuple[str, str]], move: Move) -> Iterator[str]:
+def _check_rollout(calls: list[Call], runs: list[tuple[str, str]], move: Rollout) -> Iterator[str]:
     """A bad version gets few requests, is not moved to, and gets nothing once it is rolled back."""
     if not move.is_bad:
         return
@@ -112,6 +112,6 @@
     sent = [request_id for name, request_id in moved if name in names]
     if len(sent) > ROLLOUT_SHARE * len(moved) + ROLLOUT_SLACK:
         yield f"a bad version got {len(sent)} of {len(moved)} requests"
-    late = [one for one in sent if began_s[one] > move.closed_s + MOVE_SETTLED_S]
+    late = [one for one in sent if began_s[one] > move.closed_s + ROLLBACK_SETTLE_S]
     if late:
         yield f"a version got requests after it was rolled back: {late}"
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -18,7 +18,7 @@
 from tests.soak.callers import Callers, make_call
 from tests.soak.injection import inject
 from tests.soak.plan import draw_plan
-from tests.soak.promises import list_broken
+from tests.soak.promises import find_violations
 from tests.soak.world import GATEWAYS, SoakWorld
 
 LENGTH_S = 15.0
@@ -48,22 +48,24 @@
     move: str = ""
 
 
-def play(seed: int, length_s: float = LENGTH_S, keep: Path | None = None) -> SoakResult:
+def run_seed(seed: int, length_s: float = LENGTH_S, keep: Path | None = None) -> SoakResult:
     """Play one seed."""
     world = SoakWorld()
     try:
         world.build()
-        broken = _check_service(world, "start")
+        violations = _check_service(world, "start")
         result = (
-            SoakResult(seed, 0, 0, 0, tuple(broken)) if broken else _play(world, seed, length_s)
+            SoakResult(seed, 0, 0, 0, tuple(violations))
+            if violations
+            else _run_with_faults(world, seed, length_s)
         )
-        logs = _keep_logs(world, seed, keep) if result.broken else None
+        logs = _save_logs(world, seed, keep) if result.broken else None
         return replace(result, logs=logs)
     finally:
         world.close()
 
 
-def _play(world: SoakWorld, seed: int, length_s: float) -> SoakResult:
+def _run_with_faults(world: SoakWorld, seed: int, length_s: float) -> SoakResult:
     """Inject the faults of a seed while callers call, and check the promises."""
     plan = draw_plan(seed, length_s)
     callers = Callers(world, seed)
@@ -71,19 +73,19 @@
     try:
         _inject_all(world, plan)
         world.heal()
-        broken = _check_service(world, "recovery")
+        violations = _check_service(world, "recovery")
     finally:
         calls = callers.stop()
-    broken += list_broken(
+    violations += find_violations(
         [*calls, *world.probes],
         world.list_runs(),
         world.call_store("GET", "/standin/cloud"),
-        callers.mover.move,
+        callers.rollout_driver.move,
     )
     answered = sum(call.is_right for call in calls)
-    move = callers.mover.move
+    move = callers.rollout_driver.move
     ended = f"{'bad' if move.is_bad else 'good'} {move.state or 'open'}"
-    return SoakResult(seed, len(calls), answered, len(plan), tuple(broken), move=ended)
+    return SoakResult(seed, len(calls), answered, len(plan), tuple(violations), move=ended)
 
 
 def _inject_all(world: SoakWorld, plan: tuple) -> None:
@@ -121,7 +123,7 @@
     return call.is_right
 
 
-def _keep_logs(world: SoakWorld, seed: int, keep: Path | None) -> Path | None:
+def _save_logs(world: SoakWorld, seed: int, keep: Path | None) -> Path | None:
     if keep is None:
         return None
     folder = keep / f"seed-{seed}"
@@ -141,7 +143,7 @@
     seeds = range(options.first, options.first + options.seeds)
     failed = 0
     with ThreadPoolExecutor(options.jobs) as pool:
-        for result in pool.map(lambda seed: play(seed, options.length, options.keep), seeds):
+        for result in pool.map(lambda seed: run_seed(seed, options.length, options.keep), seeds):
             print(result, flush=True)
             failed += bool(result.broken)
     print(f"{len(seeds)} seeds, {failed} with a broken promise")
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -20,13 +20,13 @@
 MOVED_ROUTE = {"kind": "idempotent", "service": MOVED, "max_attempts": 1}
 ROLLOUT_SHARE, ROLLOUT_SLACK = 0.3, 30
 """Few callers ask the service that moves; this lets a good version be judged within the order."""
-APART = (FRAIL, MOVED)
+UNLINKED_SERVICES = (FRAIL, MOVED)
 """Services whose runners meet no faults but their own."""
 FRAIL_ROUTE = {"kind": "idempotent", "service": FRAIL, "max_attempts": 2}
-DEADLY = "this content ends its server"
+CRASHING_CONTENT = "this content ends its server"
 """Ends each runner of the frail service that runs it; these have no links, as a link would accept the
 connection that tells an ended server from a lost answer."""
-FRAIL_LOOK_S = 0.05
+FRAIL_POLL_INTERVAL_S = 0.05
 MARKER = "marker-{number}"
 """A route that exists in one revision only: it shows which revision a gateway goes by."""
 
@@ -100,7 +100,7 @@
                 "rollout_share": ROLLOUT_SHARE,
                 "rollout_slack": ROLLOUT_SLACK,
             }
-            self._keep_output(name)
+            self._archive_output(name)
             program = self.cluster.launch(name, [GATEWAY], settings)
         self._point_front_when_ready(name, program)
 
@@ -125,7 +125,7 @@
         if program.is_running:
             program._process.send_signal(signal.SIGHUP)
 
-    def _keep_output(self, name: str) -> None:
+    def _archive_output(self, name: str) -> None:
         """Put the output of the process before aside: it explains a failure."""
         old = self.cluster.folder / f"{name}.out"
         if old.exists():
@@ -146,7 +146,7 @@
             name = f"{service}-{len(self.runners) + 1}"
             settings = {"name": name, "event_ms": EVENT_MS, "prints_runs": True}
             if service == FRAIL:
-                settings["ends_on"] = DEADLY
+                settings["ends_on"] = CRASHING_CONTENT
             program = self.cluster.launch(name, [STANDIN, "runner"], settings)
             runner = SoakRunner(name, service, program)
             self.runners.append(runner)
@@ -155,19 +155,21 @@
     def register(self, runner: SoakRunner, state: str) -> None:
         """Write a runner's entry of the registry."""
         address = runner.program.addresses["http"]
-        if runner.service not in APART:
+        if runner.service not in UNLINKED_SERVICES:
             address = self.cluster.add_link(f"runner-{runner.name}", address)
         self.put("servers", runner.name, make_entry(runner.service, address, state))
         runner.is_registered = True
 
-    def keep_frail_runners(self, stop: threading.Event) -> None:
+    def replace_crashed_runners(self, stop: threading.Event) -> None:
         """Start a new runner of the frail service for each that has ended, until told to stop."""
-        gone: set[str] = set()
-        while not stop.wait(FRAIL_LOOK_S):
-            frail = [one for one in self.runners if one.service == FRAIL and one.name not in gone]
+        replaced: set[str] = set()
+        while not stop.wait(FRAIL_POLL_INTERVAL_S):
+            frail = [
+                one for one in self.runners if one.service == FRAIL and one.name not in replaced
+            ]
             for runner in frail:
                 if not runner.program.is_running:
-                    gone.add(runner.name)
+                    replaced.add(runner.name)
                     self.unregister(runner)
                     self.start_runner(FRAIL)
 
@@ -193,7 +195,7 @@
             marker = {"kind": "idempotent", "service": "app", "max_attempts": 3, "public": True}
             routes = {MARKER.format(number=number): marker}
             routes |= {FRAIL: FRAIL_ROUTE, MOVED: MOVED_ROUTE}
-            self.put("config", "main", make_manifest(number, services=APART, **routes))
+            self.put("config", "main", make_manifest(number, services=UNLINKED_SERVICES, **routes))
             self.revision = number
             return number
 
@@ -217,7 +219,7 @@
                 self.start_gateway(name)
             self.point_front(name)
         for runner in self.runners:
-            if runner.service not in APART:
+            if runner.service not in UNLINKED_SERVICES:
                 self.cluster.set_link(f"runner-{runner.name}")
             if runner.program.is_running:
                 runner.program.thaw()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,10 +8,10 @@
 
 from tests.soak.callers import Call
 from tests.soak.injection import find_runner
-from tests.soak.moving import Move
+from tests.soak.moving import Rollout
 from tests.soak.plan import Fault, FaultKind, draw_plan
-from tests.soak.promises import list_broken
-from tests.soak.run import play
+from tests.soak.promises import find_violations
+from tests.soak.run import run_seed
 from tests.soak.world import SoakRunner
 
 CI_SEED, CI_LENGTH_S = 101, 8.0
@@ -27,7 +27,7 @@
 USAGE = {"path": "/usage", "holder": "one", "fence": 7, "body": {"window": 1, "counts": {"a": 1}}}
 
 
-def change(record, **fields):
+def replace_fields(record, **fields):
     if isinstance(record, dict):
         return {**record, **fields}
     return dataclasses.replace(record, **fields)
@@ -45,20 +45,20 @@
 
 
 def test_a_calm_run_breaks_nothing():
-    assert list_broken([CALL], [("r1", "id-1")], [USAGE, USAGE]) == []
+    assert find_violations([CALL], [("r1", "id-1")], [USAGE, USAGE]) == []
 
 
 @pytest.mark.parametrize(
     ("calls", "runs"),
     [
-        ([change(CALL, is_right=False)], ["id-1"]),
+        ([replace_fields(CALL, is_right=False)], ["id-1"]),
         ([CALL], ["id-1", "id-1"]),
         ([CALL], ["id-1", "smuggled"]),
-        ([change(CALL, status=503, is_right=False)], ["id-1"]),
-        ([change(CALL, status=429, path="/check/x", is_right=False)], ["id-1"]),
+        ([replace_fields(CALL, status=503, is_right=False)], ["id-1"]),
+        ([replace_fields(CALL, status=429, path="/check/x", is_right=False)], ["id-1"]),
         (
             [
-                change(
+                replace_fields(
                     CALL,
                     path="/frail/deadly",
                     request_id=f"d{number}",
@@ -73,57 +73,59 @@
         ),
         (
             [
-                change(CALL, path="/marker-4/x", request_id="a"),
-                change(CALL, path="/marker-3/x", request_id="b", began_s=3.0, ended_s=4.0),
+                replace_fields(CALL, path="/marker-4/x", request_id="a"),
+                replace_fields(CALL, path="/marker-3/x", request_id="b", began_s=3.0, ended_s=4.0),
             ],
             ["a", "b"],
         ),
     ],
 )
 def test_each_broken_promise_of_calls_is_seen(calls, runs):
-    assert len(list_broken(calls, [("r1", request_id) for request_id in runs], [])) == 1
+    assert len(find_violations(calls, [("r1", request_id) for request_id in runs], [])) == 1
 
 
 @pytest.mark.parametrize(
     "later",
     [
-        change(USAGE, fence=6, body={"window": 2, "counts": {}}),
-        change(USAGE, holder="two", body={"window": 2, "counts": {}}),
-        change(USAGE, fence=8, body={"window": 1, "counts": {"a": 2}}),
+        replace_fields(USAGE, fence=6, body={"window": 2, "counts": {}}),
+        replace_fields(USAGE, holder="two", body={"window": 2, "counts": {}}),
+        replace_fields(USAGE, fence=8, body={"window": 1, "counts": {"a": 2}}),
     ],
 )
 def test_each_broken_promise_of_duties_is_seen(later):
-    assert len(list_broken([], [], [USAGE, later])) == 1
+    assert len(find_violations([], [], [USAGE, later])) == 1
 
 
 def test_a_revision_that_another_process_serves_later_is_no_step_back():
     calls = [
-        change(CALL, path="/marker-4/x", request_id="a"),
-        change(CALL, path="/marker-3/x", request_id="b", incarnation="one/2", began_s=3.0),
+        replace_fields(CALL, path="/marker-4/x", request_id="a"),
+        replace_fields(CALL, path="/marker-3/x", request_id="b", incarnation="one/2", began_s=3.0),
     ]
-    assert list_broken(calls, [("r1", "a"), ("r1", "b")], []) == []
+    assert find_violations(calls, [("r1", "a"), ("r1", "b")], []) == []
 
 
-MOVE = Move(is_bad=True, ordered_s=0.5, state="rolled_back", closed_s=3.0)
+MOVE = Rollout(is_bad=True, ordered_s=0.5, state="rolled_back", closed_s=3.0)
 
 
-def make_moved(count, began_s=1.0):
+def make_moved_calls(count, began_s=1.0):
     return [
-        change(CALL, path="/moved/x", request_id=f"moved-{began_s}-{number}", began_s=began_s)
+        replace_fields(
+            CALL, path="/moved/x", request_id=f"moved-{began_s}-{number}", began_s=began_s
+        )
         for number in range(count)
     ]
 
 
 def test_each_broken_promise_of_a_move_is_seen():
     move = dataclasses.replace(MOVE, new=[SoakRunner("new", "moved", None)])
-    calls = make_moved(100)
+    calls = make_moved_calls(100)
     few = [("new" if number < 55 else "old", one.request_id) for number, one in enumerate(calls)]
-    assert list_broken(calls, few, [], move) == []
+    assert find_violations(calls, few, [], move) == []
     many = [("new", one.request_id) for one in calls]
-    assert len(list_broken(calls, many, [], move)) == 1
-    late = make_moved(1, began_s=60.0)
-    assert len(list_broken(late, [("new", late[0].request_id)], [], move)) == 1
-    assert len(list_broken(calls, few, [], dataclasses.replace(move, state="completed"))) == 1
+    assert len(find_violations(calls, many, [], move)) == 1
+    late = make_moved_calls(1, began_s=60.0)
+    assert len(find_violations(late, [("new", late[0].request_id)], [], move)) == 1
+    assert len(find_violations(calls, few, [], dataclasses.replace(move, state="completed"))) == 1
 
 
 def test_every_kind_of_fault_is_drawn():
@@ -132,12 +134,12 @@
 
 
 def test_a_short_soak_breaks_no_promise():
-    result = play(CI_SEED, CI_LENGTH_S)
+    result = run_seed(CI_SEED, CI_LENGTH_S)
     assert result.broken == ()
     assert result.answered > 0.3 * result.calls
 
 
 def test_seeds_that_once_broke_a_promise_break_none():
     with ThreadPoolExecutor(len(REGRESSION_SEEDS)) as pool:
-        results = list(pool.map(play, REGRESSION_SEEDS))
+        results = list(pool.map(run_seed, REGRESSION_SEEDS))
     assert {result.seed: result.broken for result in results if result.broken} == {}
