--- a/features/environment.py
+++ b/features/environment.py
@@ -1,11 +1,12 @@
-"""Hooks of behave: each scenario has its own cluster, and nothing of it stays behind.
+"""Hooks of behave: each scenario gets its own cluster, which is removed afterwards.
 
-A feature with the tag ``one_cluster`` has one cluster for all its scenarios.
+The scenarios of a feature with the tag ``one_cluster`` share one cluster.
 """
 
 from gevent import monkey
 
-# Threads must be of one kernel thread: the processes that a step starts end with the one that did.
+# Each child process is killed when the kernel thread that started it ends (PR_SET_PDEATHSIG), so
+# all Python threads must share one kernel thread.
 monkey.patch_all()
 
 from behave.model_core import Status
--- a/features/support/calls.py
+++ b/features/support/calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls of the tests: one call, JSON or raw, and a stream read event by event."""
+"""HTTP calls of the tests: single JSON or raw calls, and streams read event by event."""
 
 import contextlib
 import http.client
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """A whole HTTP answer; header names are in lower case."""
+    """A complete HTTP answer; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -35,7 +35,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = TIMEOUT_S,
 ) -> tuple[http.client.HTTPConnection, http.client.HTTPResponse]:
-    """Send a call and return its connection and its answer, of which only the head is read."""
+    """Send a request and return its connection and its answer, of which only the head is read."""
     content = body if isinstance(body, bytes | None) else json.dumps(body).encode()
     all_headers = {"Content-Type": "application/json", **(headers or {})}
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
@@ -55,7 +55,7 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = TIMEOUT_S,
 ) -> Reply:
-    """Return the whole answer to one call; `body` is JSON-ready, bytes go out as they are."""
+    """Return the complete answer to one call; `body` is encoded as JSON unless it is bytes."""
     connection, answer = open_call(address, method, path, body, headers, timeout_s)
     with contextlib.closing(connection):
         return Reply(answer.status, _lower(answer), answer.read())
@@ -71,7 +71,7 @@
 
 
 def post_json(address: str, path: str, body: Any = None) -> Any:
-    """Return the JSON answer of a POST, which must succeed."""
+    """Return the JSON answer of a POST; fail on an error status."""
     reply = call(address, "POST", path, {} if body is None else body)
     if reply.status >= 400:
         raise AssertionError(f"POST {path}: {reply.status} {reply.body!r}")
@@ -91,8 +91,8 @@
     Explanation
     ===========
 
-    Read with `read_tokens` (some) or `read_all` (the rest). `named` gathers events that are not
-    of the usual kind (``error``, ``moved``). A lost connection is noted in `lost`, not raised.
+    Read with `read_tokens` (a number of tokens) or `read_all` (to the end). `named` collects events
+    with an event name (``error``, ``moved``). A lost connection is recorded in `lost`, not raised.
     """
 
     body: dict[str, Any]
@@ -110,19 +110,19 @@
         self._connection: http.client.HTTPConnection | None = None
 
     def open(self, address: str, timeout_s: float = TIMEOUT_S) -> "ChatStream":
-        """Send the request; an answer that is not a stream is kept whole in `reply`."""
+        """Send the request; an answer that is not a stream is stored in `reply`."""
         opened = open_call(
             address, "POST", "/v1/chat/completions", self.body, self.headers, timeout_s
         )
         return self._follow(*opened)
 
     def resume(self, address: str, timeout_s: float = TIMEOUT_S) -> "ChatStream":
-        """Ask for the rest with the id of the last event that came."""
+        """Request the remaining events, with the id of the last received event."""
         self.headers["Last-Event-ID"] = self.check.last_event_id
         return self.follow(address, f"/v1/requests/{self.check.request_id}", timeout_s)
 
     def follow(self, address: str, path: str, timeout_s: float = TIMEOUT_S) -> "ChatStream":
-        """Ask for the rest at a path."""
+        """Request the remaining events from a path."""
         self.lost = ""
         return self._follow(*open_call(address, "GET", path, None, self.headers, timeout_s))
 
@@ -167,6 +167,6 @@
         return self
 
     def close(self) -> None:
-        """Close the connection, as a caller that gives up."""
+        """Close the connection, as a caller does that abandons its request."""
         if self._connection is not None:
             self._connection.close()
--- a/features/support/cluster.py
+++ b/features/support/cluster.py
@@ -3,9 +3,9 @@
 Explanation
 ===========
 
-Nothing waits more than it must: the `launch_*` methods return at once, and the first look at a
-program's `addresses` waits for its ready line. `Cluster.close` ends every process; a process
-whose test run is killed ends with it.
+Processes start in parallel: the `launch_*` methods return at once, and the first access to a
+program's `addresses` waits for its ready line. `Cluster.close` ends every process. The processes
+also end when the test run is killed.
 """
 
 import json
@@ -35,8 +35,8 @@
     Examples
     ========
 
-    ``cluster = Cluster(); cluster.build(); cluster.chat("two slots").read_all()`` and, whatever
-    happens, ``cluster.close()``.
+    ``cluster = Cluster(); cluster.build(); cluster.chat("two slots").read_all()`` and finally
+    ``cluster.close()``.
     """
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
     # Starting and ending processes
 
     def launch(self, name: str, command: list[str], settings: dict[str, Any]) -> Program:
-        """Start any program of the project and return at once."""
+        """Start a program of the project and return at once; kill a previous one of that name."""
         program = Program(name, command, settings, self.folder)
         old = self.programs.get(name)
         if old is not None:
@@ -62,16 +62,16 @@
         return self.launch("platform", [STANDIN, "platform"], {"name": "platform", **settings})
 
     def launch_engine(self, name: str, **settings: Any) -> Program:
-        """Start a model engine; `register` makes it a VM."""
+        """Start a model engine; `register` lists it as a VM."""
         content = {"name": name, "models": [MODEL], **settings}
         return self.launch(name, [STANDIN, "engine"], content)
 
     def launch_service(self, name: str, **settings: Any) -> Program:
-        """Start a plain service; `register` makes it a VM."""
+        """Start a plain service; `register` lists it as a VM."""
         return self.launch(name, [STANDIN, "service"], {"name": name, **settings})
 
     def launch_entry(self, name: str, zone: str, **settings: Any) -> Program:
-        """Start an entry daemon that joins through those which are ready."""
+        """Start an entry daemon that joins through the first running daemons."""
         return self._launch_daemon(name, zone, ENTRY, settings)
 
     def launch_controller(self, name: str, zone: str, **settings: Any) -> Program:
@@ -91,7 +91,7 @@
         return self.launch(name, [module], content)
 
     def list_seeds(self) -> list[str]:
-        """Return the peer addresses of the first daemons, to join through."""
+        """Return the peer addresses of the first two running entry daemons, to join through."""
         addresses = [item.addresses for item in self.list_daemons()[:2]]
         return [item["peers"] for item in addresses if "peers" in item]
 
@@ -102,11 +102,11 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def describe_logs(self) -> str:
-        """Return the end of every process's log, for a failure's report."""
+        """Return the last log lines of every process, for failure reports."""
         parts = [f"--- {item.name}\n{item.read_log()}" for item in self.programs.values()]
         return "\n".join(parts)
 
-    # What runs
+    # Running programs
 
     @property
     def platform(self) -> Program:
@@ -118,7 +118,7 @@
         return self.programs[name]
 
     def list_daemons(self, module: str = ENTRY, zone: str | None = None) -> list[Program]:
-        """Return the running daemons of one program, of one zone or of all."""
+        """Return the running daemons of one program, in one zone or in all."""
         return [
             item
             for item in self.programs.values()
@@ -128,7 +128,7 @@
     # The platform's VMs and notices
 
     def register(self, name: str, zone: str, serves: str, **fields: Any) -> None:
-        """Tell the platform that a program is a VM; fields as in its VM list."""
+        """Add a program to the VM list of the platform; `fields` as in that list."""
         address = fields.pop("address", None) or self.get(name).addresses["http"]
         vm = {"name": name, "zone": zone, "serves": serves, "address": address}
         vm = {**vm, "control_address": address, **fields}
@@ -136,7 +136,7 @@
         self.vms[name] = vm
 
     def reclaim(self, *names: str, notice_ms: int = 5_000) -> None:
-        """Announce that VMs are reclaimed."""
+        """Announce the reclaim of VMs to the platform and to the VMs' stand-ins."""
         body = {"vms": list(names), "notice_ms": notice_ms}
         post_json(self.platform.addresses["http"], "/standin/reclaim", body)
         for name in names:
@@ -149,11 +149,11 @@
         post_json(self.platform.addresses["http"], "/standin/faults", faults)
 
     def set_faults(self, name: str, **faults: Any) -> None:
-        """Replace the faults of an engine or a service; none given mends it."""
+        """Replace the faults of an engine or a service; without arguments, end them."""
         post_json(self.get(name).addresses["http"], "/standin/faults", faults)
 
     def read_stats(self, name: str) -> dict[str, Any]:
-        """Return what a stand-in counted."""
+        """Return the counters of a stand-in."""
         return get_json(self.get(name).addresses["http"], "/standin/stats")
 
     # The proxy
@@ -166,16 +166,16 @@
         return self._proxy
 
     def add_link(self, name: str, target: str = "", listen: str = "127.0.0.1:0") -> str:
-        """Make a link through the proxy, or point it at another target; return its address."""
+        """Create a link through the proxy, or change its target; return its address."""
         body = {"name": name, "target": target, "listen": listen}
         return post_json(self.proxy.addresses["http"], "/links", body)["address"]
 
     def set_link(self, name: str, **faults: Any) -> None:
-        """Replace the faults of a link; none given mends it."""
+        """Replace the faults of a link; without arguments, end them."""
         post_json(self.proxy.addresses["http"], f"/links/{name}/faults", faults)
 
     def read_link(self, name: str) -> dict[str, Any]:
-        """Return the state and the counts of a link."""
+        """Return the state and the counters of a link."""
         return get_json(self.proxy.addresses["http"], f"/links/{name}")
 
     # Configuration
@@ -195,8 +195,8 @@
         Explanation
         ===========
 
-        The same objects as ``hemlock-ctl apply`` writes, without starting a process for each
-        scenario; what the command itself does is proved in ``apply_whole.feature``.
+        Writes the same objects as ``hemlock-ctl apply``, which saves a process in each scenario.
+        ``apply_whole.feature`` tests the command itself.
         """
         checked = parse_file(json.dumps(file))
         wall_ms = int(time.time() * 1_000)
@@ -214,7 +214,7 @@
         reply = call(address, "PUT", path, value)
         assert reply.status == 200, f"PUT {path}: {reply.status} {reply.body!r}"
 
-    # The whole
+    # Complete clusters
 
     def build(
         self,
@@ -227,12 +227,12 @@
         entry_settings: dict[str, Any] | None = None,
         as_operator: bool = False,
     ) -> "Cluster":
-        """Start a whole cluster, apply its file, and return when every entry daemon serves.
+        """Start a complete cluster, apply its file, and return when every entry daemon serves.
 
         Parameters
         ==========
 
-        entries, engines, services : how many in each zone. Names are ``entry-<zone>-1``,
+        entries, engines, services : number of each in each zone. Names are ``entry-<zone>-1``,
             ``engine-<zone>-1``, ``service-<zone>-1`` and so on.
         as_operator : apply the file with ``hemlock-ctl`` instead of writing its objects.
         """
@@ -264,7 +264,7 @@
             self.wait_until_serving(program)
 
     def wait_until_serving(self, program: Program) -> None:
-        """Return when an entry daemon takes new work."""
+        """Wait until an entry daemon accepts requests."""
         address = program.addresses["callers"]
         wait_until(lambda: call(address, "GET", "/healthz").status == 200, f"{program.name} serves")
 
@@ -282,7 +282,7 @@
         model: str = MODEL,
         **headers: str,
     ) -> ChatStream:
-        """Open a streamed model request; header names are given with ``_`` for ``-``."""
+        """Open a streamed model request; in header names, ``_`` stands for ``-``."""
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         stream = ChatStream(
             make_chat(model, text, max_tokens), {"Authorization": f"Bearer {key}", **named}
--- a/features/support/controllers.py
+++ b/features/support/controllers.py
@@ -1,4 +1,4 @@
-"""What the tests ask of controllers."""
+"""Status, leases and copy records of controllers."""
 
 import json
 from typing import Any
@@ -14,31 +14,31 @@
 
 
 def is_holder(cluster: Cluster, name: str) -> bool:
-    """Return whether a controller says that it may give orders now."""
+    """Return whether a controller reports that it holds the lease."""
     return read_status(cluster, name)["lease"]["held"]
 
 
 def wait_for_holder(cluster: Cluster, name: str) -> None:
-    """Return when the controller holds its zone's lease."""
+    """Wait until the controller holds the lease of its zone."""
     wait_until(lambda: is_holder(cluster, name), f"{name} holds the lease")
 
 
 def read_lease(cluster: Cluster, zone: str) -> dict[str, Any]:
-    """Return the lease as the platform has it, past all faults."""
+    """Return the lease stored by the platform, bypassing injected faults."""
     address = cluster.platform.addresses["http"]
     items = get_json(address, f"/standin/objects/leases?prefix={zone}")["items"]
     return items[0]
 
 
 def read_copies(cluster: Cluster, target: str) -> list[dict[str, Any]]:
-    """Return the records of a target's copies as the platform has them."""
+    """Return the platform's records of the copies of a target, bypassing injected faults."""
     address = cluster.platform.addresses["http"]
     items = get_json(address, f"/standin/objects/copies?prefix={target}")["items"]
     return list(items[0]["value"]["copies"].values()) if items else []
 
 
 def count_events(cluster: Cluster, name: str, event: str) -> int:
-    """Return how often a program logged an event."""
+    """Return the number of times that a program logged an event."""
     lines = cluster.get(name).log_file.read_text().splitlines()
     events = [json.loads(line).get("event") for line in lines if line.startswith("{")]
     return events.count(event)
--- a/features/support/gateways.py
+++ b/features/support/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways as real processes, beside the stand-ins of the users' platform."""
+"""Gateway processes and the stand-ins of the platform that they use."""
 
 import json
 import socket
@@ -17,7 +17,7 @@
 
 
 class GatewaySite:
-    """The processes of one scenario, on a cluster that ends them."""
+    """The gateways, runners and store of one scenario; the cluster ends them."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
@@ -31,7 +31,7 @@
         return self.store.addresses["http"]
 
     def apply(self, **changes: Any) -> None:
-        """Write a manifest with the next revision."""
+        """Write a manifest with the next revision number."""
         self.revision += 1
         self.put("config", "main", make_manifest(self.revision, **changes))
 
@@ -40,7 +40,7 @@
         self.call_store("PUT", f"/standin/objects/{kind}/{name}", spec)
 
     def call_store(self, method: str, path: str, body: Any = None) -> Any:
-        """Call the store stand-in's harness."""
+        """Call the test interface of the store stand-in."""
         return call_json(self.store_address, method, path, body)
 
     def launch_runner(self, name: str, service: str, **settings: Any) -> Program:
@@ -64,7 +64,7 @@
         return self.cluster.launch(name, [GATEWAY], settings)
 
     def wait_ready(self, gateway: Program) -> None:
-        """Wait until the gateway says that it is ready and serves a request."""
+        """Wait until the gateway reports readiness and serves a request."""
         wait_until(lambda: is_ready(gateway), f"{gateway.name} ready")
         wait_until(lambda: self.ask(gateway, "/check/x", "probe").status == 200, "served")
 
@@ -76,17 +76,17 @@
             return read_reply(connection)
 
     def list_cloud_calls(self, path: str) -> list[dict[str, Any]]:
-        """Return the calls that the cloud API has had."""
+        """Return the calls to a path of the cloud API."""
         return [call for call in self.call_store("GET", "/standin/cloud") if call["path"] == path]
 
     def count_runs(self, runner: str, request_id: str) -> int:
-        """Return how often a runner ran a request."""
+        """Return the number of times that a runner ran a request."""
         address = self.cluster.programs[runner].addresses["http"]
         return call_json(address, "GET", "/standin/stats")["runs"].get(request_id, 0)
 
 
 class Streams:
-    """Streams that are read at the same time."""
+    """Concurrently read streams."""
 
     def __init__(self, site: GatewaySite, gateway: Program, count: int, events: int) -> None:
         self.replies: dict[str, Reply] = {}
@@ -117,7 +117,7 @@
 
 
 def is_ready(gateway: Program) -> bool:
-    """Return what the gateway tells the balancer."""
+    """Return whether the readiness page for the load balancer answers 200."""
     try:
         url = f"http://{gateway.addresses['ready']}/readyz"
         with urllib.request.urlopen(url, timeout=5) as answer:
--- a/features/support/gathering.py
+++ b/features/support/gathering.py
@@ -1,4 +1,4 @@
-"""Several callers at once: open streams together, act in the middle, and read all to the end."""
+"""Concurrent callers: open streams together, act while they run, and read them to the end."""
 
 import threading
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 def run_together(actions: list[Callable[[], Any]]) -> list[Any]:
-    """Return what the actions return, run in threads at the same time."""
+    """Run actions in concurrent threads and return their results."""
     results: list[Any] = [None] * len(actions)
 
     def run(index: int) -> None:
@@ -22,17 +22,17 @@
         thread.start()
     for thread in threads:
         thread.join(JOIN_LIMIT_S)
-    assert not any(thread.is_alive() for thread in threads), "a caller is still waiting"
+    assert not any(thread.is_alive() for thread in threads), "a caller thread is still running"
     return results
 
 
 class Gathering:
-    """Streams of one scenario, read on by threads while the test acts.
+    """Streams of one scenario, read by threads while the test acts.
 
     Parameters
     ==========
 
-    cluster : where the streams go.
+    cluster : the cluster that serves the streams.
     """
 
     def __init__(self, cluster: Cluster) -> None:
@@ -47,20 +47,20 @@
         self.streams = run_together(actions)
 
     def read_some(self, count: int) -> None:
-        """Read the first tokens of every stream, then read on in the background."""
+        """Read `count` tokens of every stream, then the remaining ones in the background."""
         run_together([lambda one=one: one.read_tokens(count) for one in self.streams])
         self._threads = [threading.Thread(target=one.read_all) for one in self.streams]
         for thread in self._threads:
             thread.start()
 
     def finish(self) -> None:
-        """Return when every stream has ended."""
+        """Wait until every stream has ended."""
         for thread in self._threads:
             thread.join(JOIN_LIMIT_S)
         assert not any(thread.is_alive() for thread in self._threads), "a stream has not ended"
 
     def list_problems(self) -> list[str]:
-        """Return what is wrong with any stream."""
+        """Return the problems of all streams."""
         found = []
         for number, stream in enumerate(self.streams):
             problems = list(stream.check.list_problems())
@@ -73,15 +73,15 @@
         return found
 
     def check_whole(self) -> None:
-        """Fail unless every answer is whole, its own, and under an id of its own."""
+        """Fail unless every answer is complete and correct and has a unique request id."""
         problems = self.list_problems()
         assert not problems, f"{len(problems)} problems: " + "; ".join(problems[:8])
         ids = {stream.check.request_id for stream in self.streams}
-        assert len(ids) == len(self.streams), "two answers share a request id"
+        assert len(ids) == len(self.streams), "two answers have the same request id"
 
 
 def read_metric(cluster: Cluster, entry: str, name: str, **labels: str) -> float:
-    """Return one sample of an entry daemon's metrics, 0 when it is not there."""
+    """Return one sample of an entry daemon's metrics, 0 if it does not exist."""
     address = cluster.get(entry).addresses["control"]
     text = call(address, "GET", "/metrics").body.decode()
     wanted = ",".join(f'{key}="{value}"' for key, value in sorted(labels.items()))
--- a/features/support/keyed_calls.py
+++ b/features/support/keyed_calls.py
@@ -1,4 +1,4 @@
-"""Calls with an idempotency key to the entry daemons of two zones, and what became of them."""
+"""Calls with an idempotency key to the entry daemons of two zones, and their outcomes."""
 
 from features.support.calls import call
 from features.support.operator_files import ACCOUNT, KEY, SERVICE, ZONES
@@ -13,7 +13,7 @@
 
 
 def send(context, key, entry, body="slot 7", **options):
-    """Send a keyed call and keep what came back."""
+    """Send a call with an idempotency key and record the reply."""
     headers = {"Authorization": f"Bearer {KEY}", "Idempotency-Key": key}
     address = context.cluster.find_entry(entry)
     path = f"/services/{SERVICE}{PATH}"
@@ -33,14 +33,14 @@
 
 
 def choose_key(context, home):
-    """Return an unused key, and its partition, of which the daemon is the home."""
+    """Return an unused key whose claim partition is owned by the daemon, and that partition."""
     for number in range(10_000):
         key = f"chosen{number}"
         partition = find_partition(digest_key(ACCOUNT, key))
         is_home = rank_rendezvous(f"claims/{partition}", ENTRIES)[0] == home
         if is_home and key not in context.sent:
             return key, partition
-    raise AssertionError(f"{home} is no partition's home")
+    raise AssertionError(f"{home} owns no claim partition")
 
 
 def make_key_beside(context, key):
--- a/features/support/operator_files.py
+++ b/features/support/operator_files.py
@@ -1,4 +1,4 @@
-"""Small operator files for the scenarios."""
+"""Minimal operator files for the scenarios."""
 
 import hashlib
 from collections.abc import Iterable
@@ -12,18 +12,18 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the form of an account's key that operator files hold."""
+    """Return the hash of an account's key, as written in operator files."""
     return f"sha256:{hashlib.sha256(key.encode()).hexdigest()}"
 
 
 def make_account(name: str, key: str, **limits: float) -> dict[str, Any]:
-    """Return a client account of an operator file; limits not given are wide."""
+    """Return a client account of an operator file; omitted limits are high."""
     wide = {"requests_per_second": 1_000, "tokens_per_second": 100_000, "concurrent_requests": 500}
     return {"name": name, "key_hash": hash_key(key), "limits": {**wide, **limits}}
 
 
 def make_operator_file(zones: Iterable[str] = ZONES, **fields: Any) -> dict[str, Any]:
-    """Return a small operator file: one model, one service, one account; `fields` replace."""
+    """Return an operator file with one model, service and client account, updated with `fields`."""
     operations = [
         {"path": "/slots", "idempotent": True},
         {"path": "/confirmations", "idempotent": False},
--- a/features/support/operators.py
+++ b/features/support/operators.py
@@ -1,4 +1,4 @@
-"""Operators' commands as processes, and the files that they apply."""
+"""Operator commands, run as processes."""
 
 import json
 import subprocess
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a command answered."""
+    """Exit code and output of a command."""
 
     code: int
     answer: dict[str, Any]
@@ -23,7 +23,7 @@
 
 
 class Operator:
-    """One operator with a folder for files and an address of the platform."""
+    """Runs operator commands, with a folder for files and the address of the platform."""
 
     def __init__(self, folder: Path, platform: str, name: str = "operator") -> None:
         self._folder = folder
@@ -31,7 +31,7 @@
         self._name = name
 
     def start(self, command: str, file: Any = None, *options: str) -> subprocess.Popen:
-        """Start a command; a file is given as its text or its JSON tree."""
+        """Start a command; `file` is the text or the JSON tree of its file."""
         arguments = [*COMMAND, command]
         if file is not None:
             path = self._folder / f"{self._name}.json"
@@ -49,12 +49,12 @@
         )
 
     def run(self, command: str, file: Any = None, *options: str) -> Outcome:
-        """Run a command to its end."""
+        """Run a command to completion."""
         return finish(self.start(command, file, *options))
 
 
 def finish(process: subprocess.Popen) -> Outcome:
-    """Wait for a command and read its answer."""
+    """Wait for a command and parse its output."""
     output, errors = process.communicate(timeout=LIMIT_S)
     answer = json.loads(output.splitlines()[-1]) if output.strip() else {}
     return Outcome(process.returncode, answer, errors)
--- a/features/support/processes.py
+++ b/features/support/processes.py
@@ -1,4 +1,4 @@
-"""Real processes for the tests: start, wait until ready, freeze, stop, and leave nothing."""
+"""Child processes of the tests: start, wait until ready, freeze, stop and kill."""
 
 import ctypes
 import json
@@ -21,7 +21,7 @@
 
 
 class HarnessError(AssertionError):
-    """A process or a condition did not come as it should."""
+    """A process failed to start or stop, or a condition did not become true in time."""
 
 
 def wait_until(condition: Callable[[], Any], what: str, limit_s: float = 20) -> Any:
@@ -30,8 +30,8 @@
     Explanation
     ===========
 
-    Connection failures while asking count as not yet; any other exception is a mistake of the
-    test and passes through.
+    Connection failures in `condition` count as false; any other exception is an error in the
+    test and propagates.
     """
     deadline = time.monotonic() + limit_s
     last: Any = None
@@ -44,7 +44,7 @@
             if last:
                 return last
         time.sleep(POLL_S * 2)
-    raise HarnessError(f"{what}: not within {limit_s} s, last saw {last!r}")
+    raise HarnessError(f"{what}: not true within {limit_s} s, last result {last!r}")
 
 
 def _die_with_parent() -> None:
@@ -57,10 +57,10 @@
     Parameters
     ==========
 
-    name : for logs and messages.
-    command : arguments behind ``python -m``; the settings file is added.
+    name : name in file names and messages.
+    command : arguments after ``python -m``; the settings file is appended.
     settings : content of the settings file.
-    folder : where the settings, output and log files go.
+    folder : folder for the settings, output and log files.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
 
     @property
     def addresses(self) -> dict[str, str]:
-        """The addresses of the ready line; waits for it."""
+        """The addresses in the ready line, for which the first access waits."""
         if not self._addresses:
             self._addresses = wait_until(self._read_ready, f"{self.name} ready", READY_LIMIT_S)
         return self._addresses
@@ -110,37 +110,37 @@
         return None
 
     def list_events(self, label: str) -> list[dict[str, Any]]:
-        """Return the log's events of one kind."""
+        """Return the log events with a label."""
         lines = self.log_file.read_text(errors="replace").splitlines(keepends=True)
         events = [json.loads(line) for line in lines if line[0] == "{" and line.endswith("\n")]
         return [event for event in events if event.get("event") == label]
 
     def read_log(self, lines: int = LOG_TAIL_LINES) -> str:
-        """Return the end of what the process wrote to standard error."""
+        """Return the last lines that the process wrote to standard error."""
         text = self.log_file.read_text(errors="replace")
         return "\n".join(text.splitlines()[-lines:])
 
     def freeze(self) -> None:
-        """Halt the process, as a paused VM."""
+        """Suspend the process, as a paused VM is."""
         self._process.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self._process.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask the process to stop, and return at once."""
+        """Request a graceful stop and return at once."""
         self._process.terminate()
 
     def wait(self, limit_s: float = STOP_LIMIT_S) -> int:
-        """Return the exit code once the process has ended."""
+        """Wait for the end of the process and return its exit code."""
         try:
             return self._process.wait(limit_s)
         except subprocess.TimeoutExpired:
             raise HarnessError(f"{self.name} did not end within {limit_s} s") from None
 
     def stop(self, limit_s: float = STOP_LIMIT_S) -> int:
-        """Stop the process gracefully and return its exit code; kill it if it does not."""
+        """Stop the process gracefully and return its exit code; kill it after `limit_s` and fail."""
         self.terminate()
         try:
             return self.wait(limit_s)
@@ -149,7 +149,7 @@
             raise
 
     def kill(self) -> None:
-        """End the process at once, frozen or not."""
+        """Kill the process, suspended or not, and wait for its end."""
         if self.is_running:
             self._process.kill()
         self._process.wait()
--- a/features/support/raw_calls.py
+++ b/features/support/raw_calls.py
@@ -1,4 +1,4 @@
-"""Callers that do not keep to HTTP's good manners, on bare sockets."""
+"""Raw socket calls, for callers that violate HTTP or do not read."""
 
 import contextlib
 import http.client
@@ -14,7 +14,7 @@
 
 
 def connect(address: str, receive_bytes: int = 0) -> socket.socket:
-    """Return a connection; a small receive buffer makes a caller that does not read felt."""
+    """Return a connection; a small receive buffer makes an unread answer block its sender."""
     host, port = address.rsplit(":", 1)
     connection = socket.socket()
     if receive_bytes:
@@ -25,19 +25,19 @@
 
 
 def make_head(path: str, headers: dict[str, str], method: str = "POST") -> bytes:
-    """Return a request's head as it is told, right or wrong."""
+    """Return the head of a request, without validation."""
     fields = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     return f"{method} {path} HTTP/1.1\r\nHost: test\r\n{fields}\r\n".encode()
 
 
 def send_most(connection: socket.socket, content: bytes) -> None:
-    """Send as much of `content` as the other side takes before it closes."""
+    """Send as much of `content` as the peer reads before it closes the connection."""
     with contextlib.suppress(OSError):
         connection.sendall(content)
 
 
 def read_reply(connection: socket.socket) -> Reply | None:
-    """Return the answer, or None when the connection was closed without one."""
+    """Return the answer, or None if the connection was closed without a complete one."""
     answer = http.client.HTTPResponse(connection)
     try:
         answer.begin()
@@ -48,14 +48,14 @@
 
 
 def exchange_raw(address: str, content: bytes) -> Reply | None:
-    """Send bytes as they are and return the answer."""
+    """Send raw bytes and return the answer."""
     with contextlib.closing(connect(address)) as connection:
         send_most(connection, content)
         return read_reply(connection)
 
 
 def is_closed(connection: socket.socket) -> bool:
-    """Return whether the other side has closed, reading off what it sent before."""
+    """Return whether the peer has closed the connection; discards received data."""
     connection.settimeout(0.05)
     try:
         while connection.recv(READ_BYTES):
@@ -68,7 +68,7 @@
 
 
 def make_chunks(size_bytes: int, chunk_bytes: int = READ_BYTES) -> bytes:
-    """Return a chunked body of so many bytes."""
+    """Return a body of `size_bytes` in chunked encoding."""
     chunk = f"{chunk_bytes:x}\r\n".encode() + b"x" * chunk_bytes + b"\r\n"
     return chunk * (size_bytes // chunk_bytes) + b"0\r\n\r\n"
 
--- a/features/support/stopped_vms.py
+++ b/features/support/stopped_vms.py
@@ -1,4 +1,4 @@
-"""Ends the process of each VM that the platform stops, as the end of a VM does."""
+"""Kills the process of each VM that the platform stops, as the stop of a real VM does."""
 
 import threading
 from typing import Any
@@ -10,12 +10,12 @@
 
 
 class StoppedVms:
-    """Watches the platform's true VM states from a thread.
+    """Polls the actual VM states of the platform stand-in in a thread.
 
     Parameters
     ==========
 
-    cluster : whose programs are ended; `stats` keeps what each counted until then.
+    cluster : the cluster whose programs are killed; `stats` has their last counters.
     """
 
     def __init__(self, cluster: Cluster) -> None:
@@ -28,12 +28,12 @@
         self._thread.start()
 
     def read_stats(self, name: str) -> dict[str, Any]:
-        """Return what a program counted, also after its end."""
+        """Return the counters of a program, the last ones if it has been killed."""
         with self._ending:
             return self.stats.get(name) or self._cluster.read_stats(name)
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop the polling thread."""
         self._stopping.set()
         self._thread.join()
 
@@ -43,7 +43,7 @@
             try:
                 listed = {vm["name"] for vm in get_json(address, "/standin/stats")["vms"]}
             except OSError:
-                return  # the scenario is over
+                return  # The scenario has ended.
             for name in self._seen - listed:
                 with self._ending:
                     self.stats[name] = self._cluster.read_stats(name)
--- a/features/support/traffic.py
+++ b/features/support/traffic.py
@@ -1,4 +1,4 @@
-"""Steady traffic of short requests through several entry daemons, judged answer by answer."""
+"""Steady traffic of short requests through several entry daemons, with a check of each answer."""
 
 import http.client
 import threading
@@ -18,7 +18,7 @@
     Parameters
     ==========
 
-    send : sends one request through the named daemon and returns the read stream.
+    send : sends one request through the named daemon and returns the fully read stream.
     """
 
     send: Callable[[str], ChatStream]
@@ -28,7 +28,7 @@
     _stopped: threading.Event = field(default_factory=threading.Event)
 
     def start(self, names: list[str], threads_each: int = 2) -> "Traffic":
-        """Begin to send through the named daemons."""
+        """Start to send through the named daemons."""
         for name in names:
             self.streams[name] = []
             for _ in range(threads_each):
@@ -46,13 +46,13 @@
             time.sleep(PAUSE_S)
 
     def stop(self) -> None:
-        """Send no more, and wait for what is on its way."""
+        """Stop sending, and wait for the requests in transit."""
         self._stopped.set()
         for thread in self._threads:
             thread.join(30)
 
     def list_wrong(self) -> list[str]:
-        """Return a line for each answer that is not whole."""
+        """Return a line for each lost request and each incomplete or wrong answer."""
         return self.lost + [
             f"{name}: {stream.status} {stream.lost} {stream.reply} {stream.check.problems}"
             for name, streams in self.streams.items()
--- a/features/support/zone_links.py
+++ b/features/support/zone_links.py
@@ -1,11 +1,12 @@
-"""Entry daemons whose streams to one another and to the platform go through the proxy.
+"""Entry daemons that connect to each other and to the platform through the proxy.
 
 Explanation
 ===========
 
-Each zone has an IP prefix of the loopback network, from which its daemons connect, and a link of
-its own to the platform. Each daemon advertises a link as its peer address. So a cut between two
-zones, or between a zone and the platform, is a fault on the links by source.
+Each zone has a link to the platform and an IP prefix of the loopback network, from which its
+daemons connect. Each daemon advertises a link as its peer address. A cut between two zones, or
+between a zone and the platform, is a fault on these links, between zones restricted by source
+address.
 """
 
 from typing import Any
@@ -24,13 +25,13 @@
         self._zones = zones
         self._names: dict[str, list[str]] = {zone: [] for zone in zones}
         self._platform: dict[str, str] = {}
-        cluster.proxy  # noqa: B018 - starts beside the platform instead of after it
+        cluster.proxy  # noqa: B018 - starts the proxy in parallel with the platform
         for zone in zones:
             target = cluster.platform.addresses["http"]
             self._platform[zone] = cluster.add_link(f"platform-{zone}", target)
 
     def launch_entries(self, count: int) -> None:
-        """Start `count` entry daemons in each zone together, ``entry-<zone>-1`` and so on."""
+        """Start `count` entry daemons in each zone in parallel, ``entry-<zone>-1`` and so on."""
         wanted = [
             (f"entry-{zone}-{at}", zone) for at in range(1, 1 + count) for zone in self._zones
         ]
@@ -40,7 +41,7 @@
             self._connect(program)
 
     def launch_entry(self, name: str, zone: str) -> None:
-        """Start one more entry daemon, or one again, and return when it is reachable."""
+        """Start or restart one entry daemon, and return when it is reachable."""
         self._connect(self._launch(name, zone))
 
     def _launch(self, name: str, zone: str, **settings: Any) -> Program:
@@ -59,19 +60,19 @@
         self._cluster.add_link(f"peers-{program.name}", program.addresses["peer_listen"])
 
     def cut_platform(self, zone: str) -> None:
-        """Cut a zone off from the platform."""
+        """Disconnect a zone from the platform."""
         self._cluster.set_link(f"platform-{zone}", **CUT)
 
     def heal_platform(self, zone: str) -> None:
-        """Join a zone to the platform again."""
+        """Reconnect a zone to the platform."""
         self._cluster.set_link(f"platform-{zone}")
 
     def cut_zone(self, zone: str) -> None:
-        """Cut a zone off from every other zone."""
+        """Disconnect a zone from every other zone."""
         self._set_zone(zone, CUT)
 
     def heal_zone(self, zone: str) -> None:
-        """Join a zone to every other zone again."""
+        """Reconnect a zone to every other zone."""
         self._set_zone(zone, {})
 
     def _set_zone(self, zone: str, faults: dict[str, str]) -> None:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -58,7 +58,7 @@
 
 
 class Callers:
-    """Caller threads that run until `stop`, and the threads that drive the rollout and the runners."""
+    """Caller threads, and the threads that drive the rollout and replace runners."""
 
     def __init__(self, world: SoakWorld, seed: int) -> None:
         self.calls: list[Call] = []
--- a/tests/soak/moving.py
+++ b/tests/soak/moving.py
@@ -38,7 +38,7 @@
 
 
 class RolloutDriver:
-    """Orders a rollout, starts the new runners and, on completion, ends the old ones as a platform does."""
+    """Orders a rollout, starts the new runners and, once completed, ends the old ones."""
 
     def __init__(self, world: SoakWorld, seed: int) -> None:
         self.move = Rollout(is_bad=seed % 2 == 1)
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -35,8 +35,8 @@
 
 
 FREQUENT = (FaultKind.CONFIGURATION_CHANGED, FaultKind.GATEWAY_STOPPED, FaultKind.GATEWAY_KILLED)
-"""Kinds that are drawn more often, so that stops, restarts and configuration changes occur in series
-and overlap with the other faults."""
+"""Kinds that are drawn more often, so that stops, restarts and configuration changes occur in
+series and overlap with the other faults."""
 FREQUENT_WEIGHT = 3
 MEAN_GAP_S = 1.2
 """Mean time between two faults. A fault lasts about two seconds, so that one or two overlap."""
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -60,7 +60,7 @@
 
 
 def _check_revisions(calls: list[Call]) -> Iterator[str]:
-    """Check that no gateway process serves a route of a revision older than one it served before."""
+    """Check that no gateway process serves an older revision than it served before."""
     latest_seen: dict[str, tuple[int, float]] = defaultdict(lambda: (0, 0.0))
     markers = [call for call in calls if call.path.startswith("/marker-")]
     for call in sorted(markers, key=lambda one: one.ended_s):
@@ -92,7 +92,7 @@
         if call["path"] == "/usage":
             window, counts = call["body"]["window"], call["body"]["counts"]
             if windows.setdefault(window, counts) != counts:
-                yield f"usage window reported with different counts: {call}, earlier {windows[window]}"
+                yield f"usage window with two counts: {call}, earlier {windows[window]}"
 
 
 def _check_quarantine(calls: list[Call], counts: Counter) -> Iterator[str]:
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -25,8 +25,8 @@
 """Services whose runners have no link and get none of the injected faults."""
 FRAIL_ROUTE = {"kind": "idempotent", "service": FRAIL, "max_attempts": 2}
 CRASHING_CONTENT = "this content ends its server"
-"""Content that crashes each runner of the frail service that runs it. These runners have no links: a
-refused connection tells a crashed server from a lost answer, and a link would accept it."""
+"""Content that crashes each runner of the frail service that runs it. These runners have no links:
+a refused connection tells a crashed server from a lost answer, and a link would accept it."""
 FRAIL_POLL_INTERVAL_S = 0.05
 MARKER = "marker-{number}"
 """A route that exists in a single revision, which shows the revision that a gateway serves."""
@@ -127,7 +127,7 @@
             program._process.send_signal(signal.SIGHUP)
 
     def _archive_output(self, name: str) -> None:
-        """Rename the output file of the previous process, to preserve it for the diagnosis of failures."""
+        """Rename the output file of the previous process, to preserve it for diagnosis."""
         old = self.cluster.folder / f"{name}.out"
         if old.exists():
             old.rename(self.cluster.folder / f"{name}.{self.starts[name] - 1}.out")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Tests of the soak's components, a short seeded soak, and the seeds that once violated a guarantee."""
+"""Tests of the soak's components, a short seeded soak, and seeds that once violated a guarantee."""
 
 import dataclasses
 from concurrent.futures import ThreadPoolExecutor
@@ -16,8 +16,8 @@
 
 CI_SEED, CI_LENGTH_S = 101, 8.0
 REGRESSION_SEEDS: dict[int, str] = {
-    72: "run from the command line without patched threads, runners ended with the fault thread that had "
-    "started them, and none remained for plain calls",
+    72: "run from the command line without patched threads, runners ended with the fault thread "
+    "that had started them, and none remained for plain calls",
     74: "same cause as 72, and no runner remained for streams",
     75: "same cause as 74",
 }
