--- a/features/steps/apply_whole_steps.py
+++ b/features/steps/apply_whole_steps.py
@@ -27,7 +27,7 @@
     return make_operator_file(ZONES, **{"models": models, **fields})
 
 
-def make_wrong_file(mistake):
+def make_invalid_file(mistake):
     if mistake == "an unknown reference":
         file = make_file(1)
         file["client_accounts"][0]["uses"] = ["no-such-model"]
@@ -40,7 +40,7 @@
     return reply.json["value"] if reply.status == 200 else None
 
 
-def find_in_force(context):
+def read_current_number(context):
     return read_object(context, "pointers", "current")["number"]
 
 
@@ -53,7 +53,7 @@
 def start_platform(context):
     cluster = context.cluster
     cluster.launch_platform()
-    cluster.proxy  # noqa: B018 - starts beside the platform instead of after it
+    cluster.proxy  # noqa: B018 - starts the proxy in parallel with the platform
     context.platform = cluster.platform.addresses["http"]
     context.operators = {
         name: Operator(cluster.folder, cluster.add_link(name, context.platform), name)
@@ -67,8 +67,10 @@
 
 
 @when('"{name}" applies a file with {mistake}')
-def apply_wrong(context, name, mistake):
-    context.outcome = context.operators[name].run("apply", make_wrong_file(mistake), "--from", "1")
+def apply_invalid_file(context, name, mistake):
+    context.outcome = context.operators[name].run(
+        "apply", make_invalid_file(mistake), "--from", "1"
+    )
 
 
 @then('the command refuses it at "{path}" because of "{reason}"')
@@ -88,8 +90,8 @@
 
 
 @then("revision 1 alone is in the platform")
-def check_alone(context):
-    assert (find_in_force(context), list_revisions(context)) == (1, [1])
+def check_only_first_revision(context):
+    assert (read_current_number(context), list_revisions(context)) == (1, [1])
 
 
 @given("the links are slow")
@@ -99,7 +101,7 @@
 
 
 @when('"{first}" and "{second}" apply different files at the same time')
-def race(context, first, second):
+def apply_concurrently(context, first, second):
     context.files = {first: make_file(5), second: make_file(7)}
     running = {
         name: context.operators[name].start("apply", file, "--from", "1")
@@ -122,7 +124,7 @@
 
 @then("the winner's file is in the platform, whole")
 def check_winner(context):
-    number = find_in_force(context)
+    number = read_current_number(context)
     assert number == context.outcomes[context.winner].answer["number"]
     stored = read_object(context, "revisions", str(number))
     assert stored["file"]["models"][0]["licensed_copies"] == (5 if context.winner == "first" else 7)
@@ -145,7 +147,7 @@
     assert context.outcome.code == 3, context.outcome
     changes = context.outcome.answer["their_changes"]
     assert changes == [f"models/{MODEL}/licensed_copies = 3"], changes
-    assert find_in_force(context) == 2
+    assert read_current_number(context) == 2
 
 
 @given('the answer to the next write of "{kind}" is lost')
@@ -173,22 +175,22 @@
 @then('it is applied as revision {number:d} with one write of "{kind}"')
 def check_applied(context, number, kind):
     assert context.outcome.code == 0, context.outcome
-    assert context.outcome.answer["number"] == number == find_in_force(context)
+    assert context.outcome.answer["number"] == number == read_current_number(context)
     assert read_counts(context)["lost_answers"] == 1
     assert count_writes(context, kind) == context.writes + 1
 
 
 @when('"{name}" applies a change and is killed after the first write')
-def kill_between(context, name):
+def kill_between_writes(context, name):
     process = context.operators[name].start("apply", make_file(2), "--from", "1")
-    wait_until(lambda: read_object(context, "revisions", "2"), "the first write")
+    wait_until(lambda: read_object(context, "revisions", "2"), "the write of the revision object")
     process.kill()
     process.communicate()
 
 
 @then("revision {number:d} is still in force")
 def check_in_force(context, number):
-    assert find_in_force(context) == number
+    assert read_current_number(context) == number
 
 
 @step('"{name}" can apply a change, as revision {number:d}')
@@ -196,7 +198,7 @@
     context.cluster.set_link(name)
     outcome = context.operators[name].run("apply", make_file(9), "--from", "1")
     assert outcome.code == 0 and outcome.answer["number"] == number, outcome
-    assert find_in_force(context) == number
+    assert read_current_number(context) == number
 
 
 @then("the history shows revision {number:d} as never in force")
@@ -215,7 +217,7 @@
 def check_unavailable(context):
     assert context.outcome.code == 4, context.outcome
     context.cluster.set_platform_faults(objects={})
-    assert find_in_force(context) == 1
+    assert read_current_number(context) == 1
 
 
 @when('"{name}" applies the example "{example}"')
@@ -227,7 +229,7 @@
 
 @then("it is in the platform, whole, as revision {number:d}")
 def check_example(context, number):
-    assert context.outcome.code == 0 and find_in_force(context) == number, context.outcome
+    assert context.outcome.code == 0 and read_current_number(context) == number, context.outcome
     stored = read_object(context, "revisions", str(number))["file"]
     for field in ("client_accounts", "models", "services"):
         wanted = {row["name"] for row in context.example[field]}
--- a/features/steps/at_most_once_checks.py
+++ b/features/steps/at_most_once_checks.py
@@ -1,4 +1,4 @@
-"""Steps of at_most_once.feature: what must have run, how often, and what callers were told."""
+"""Steps of at_most_once.feature: checks of the runs and of the replies to callers."""
 
 import time
 
@@ -21,7 +21,7 @@
         wait_until(
             lambda key=key: send(context, key, ENTRIES[1]).status == 200, f"{key} served", LIMIT_S
         )
-    check_each_ran(context)
+    check_each_ran_once(context)
 
 
 @then('"{key}" has run {count:d} time')
@@ -46,14 +46,16 @@
 @then('a repeat of "{key}" at "{entry}" gets the kept answer')
 def check_repeat(context, key, entry):
     first = context.sent.get(key, [None])[0]
-    reply = wait_until(lambda: find_good(send(context, key, entry)), "a kept answer", LIMIT_S)
+    reply = wait_until(
+        lambda: expect_success_or_conflict(send(context, key, entry)), "a stored answer", LIMIT_S
+    )
     answer = reply.json
     assert answer["body"] == "slot 7", answer
     assert first is None or first.status != 200 or reply.body == first.body
 
 
-def find_good(reply):
-    """Return the reply if it is good; a claim_conflict asks to come back."""
+def expect_success_or_conflict(reply):
+    """Return a successful reply, or None for a claim_conflict, which asks to retry."""
     assert reply.status == 200 or list_kinds([reply]) == ["claim_conflict"], reply.body
     return reply if reply.status == 200 else None
 
@@ -76,10 +78,10 @@
     check_error(reply, kind, ran)
 
 
-def find_served(reply):
-    """Return the reply if it is good; refusals that ask to come back pass."""
-    coming_back = (["claim_conflict"], ["claim_unavailable"])
-    assert reply.status == 200 or list_kinds([reply]) in coming_back, reply.body
+def expect_success_or_claim_refusal(reply):
+    """Return a successful reply, or None for a claim refusal, which asks to retry."""
+    retryable = (["claim_conflict"], ["claim_unavailable"])
+    assert reply.status == 200 or list_kinds([reply]) in retryable, reply.body
     return reply if reply.status == 200 else None
 
 
@@ -90,10 +92,10 @@
 
 @then('a repeat of the key at "{entry}" is refused with ran unknown')
 def check_repeat_unknown(context, entry):
-    # After an outage the daemon leaves the platform alone for a moment; a caller comes back.
+    # After an outage the daemon briefly pauses its calls to the platform, so the caller retries.
     reply = wait_until(
         lambda: find_other_kind(send(context, context.key, entry), "claim_unavailable"),
-        "a word on the claim",
+        "reply with the state of the claim",
         LIMIT_S,
     )
     assert reply.json["error"]["ran"] == "unknown", reply.body
@@ -101,10 +103,10 @@
 
 
 @then("once the daemon is known to be dead a repeat is refused with outcome_unknown")
-def check_dead_holder(context):
+def check_refused_after_holder_death(context):
     reply = wait_until(
         lambda: find_other_kind(send(context, context.key, context.entry), "claim_conflict"),
-        "the holder's death is known",
+        "the holder is recorded as dead",
         LIMIT_S,
     )
     check_error(reply, "outcome_unknown", "unknown")
@@ -117,7 +119,7 @@
 
 
 @then("every key whose answer was good has run 1 time")
-def check_good_ran(context):
+def check_successes_ran_once(context):
     for key, replies in context.sent.items():
         if any(reply.status == 200 for reply in replies):
             assert count_runs(context, key) == 1, key
@@ -131,7 +133,7 @@
 
 
 @then("a time to come back is given")
-def check_come_back(context):
+def check_retry_after(context):
     assert context.reply.json["error"]["retry_after_ms"] > 0
     assert int(context.reply.headers["retry-after"]) > 0
 
@@ -145,7 +147,9 @@
 @then('when the platform is up again the key "{key}" runs 1 time')
 def check_after_outage(context, key):
     context.cluster.set_platform_faults(objects={"mode": "up"})
-    wait_until(lambda: find_served(send(context, key, ENTRIES[0])), "served", LIMIT_S)
+    wait_until(
+        lambda: expect_success_or_claim_refusal(send(context, key, ENTRIES[0])), "served", LIMIT_S
+    )
     assert count_runs(context, key) == 1
 
 
@@ -155,7 +159,7 @@
 
 
 @then("every key has run 1 time")
-def check_each_ran(context):
+def check_each_ran_once(context):
     runs = {key: count_runs(context, key) for key in context.sent}
     assert all(count == 1 for count in runs.values()), runs
 
@@ -187,11 +191,13 @@
 
 
 @then("when the daemon thaws it has run 1 time")
-def check_thawed_home(context):
+def check_thawed_owner(context):
     context.frozen.thaw()
     first = context.sent[context.key][0]
     reply = wait_until(
-        lambda: find_good(send(context, context.key, context.frozen.name)), "an answer", LIMIT_S
+        lambda: expect_success_or_conflict(send(context, context.key, context.frozen.name)),
+        "an answer",
+        LIMIT_S,
     )
     assert reply.body == first.body
     assert count_runs(context, context.key) == 1
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -1,4 +1,4 @@
-"""Steps of at_most_once.feature: what is set up, done and disturbed."""
+"""Steps of at_most_once.feature: setup, calls and faults."""
 
 import threading
 
@@ -47,7 +47,9 @@
         cluster.add_link(f"peers-{name}", program.addresses["peers"])
         cluster.wait_until_serving(program)
     for name in ENTRIES:
-        wait_until(lambda name=name: has_joined(cluster, name), f"{name} knows all", LIMIT_S)
+        wait_until(
+            lambda name=name: has_joined(cluster, name), f"{name} has recorded all members", LIMIT_S
+        )
     context.sent = {}
 
 
@@ -94,7 +96,7 @@
 
 
 @when('the key "{key}" is sent to "{entry}" and the caller loses the answer')
-def send_and_lose(context, key, entry):
+def send_and_lose_answer(context, key, entry):
     link = context.cluster.add_link("caller", context.cluster.find_entry(entry))
     context.cluster.set_link("caller", lose_answer="reset", lose_count=1)
     headers = {"Authorization": f"Bearer {KEY}", "Idempotency-Key": key}
@@ -102,7 +104,7 @@
         call(link, "POST", f"/services/{SERVICE}{PATH}", b"slot 7", headers)
     except OSError:
         return
-    raise AssertionError("the answer came")
+    raise AssertionError("the call was answered, but its answer should have been lost")
 
 
 @when('the key "{key}" is sent to "{entry}" and it is stopped gracefully at once')
@@ -120,7 +122,7 @@
 
 
 def send_in_background(context, key, entry):
-    """Send a call whose daemon may die meanwhile."""
+    """Send a call in a thread; its daemon may be killed before it answers."""
 
     def run():
         try:
@@ -134,21 +136,21 @@
 
 @given('"{entry}" writes its claims itself and their answers are held back')
 def hold_answers(context, entry):
-    # A first claim of the same partition, so that the next needs no read before its write.
+    # A first claim in the same partition, after which the next one writes without reading first.
     warm, partition = choose_key(context, entry)
     context.partition = f"p{partition:03d}"
     served = wait_until(
         lambda: find_other_kind(send(context, warm, entry), "claim_unavailable"), "served", LIMIT_S
     )
     assert served.status == 200, served.body
-    wait_until(lambda: not list_pending(context), "the outcomes are written")
+    wait_until(lambda: not list_pending(context), "all outcomes are written")
     context.key = make_key_beside(context, warm)
     for name in ENTRIES:
         context.cluster.set_link(name, freeze="to_caller")
 
 
 def list_pending(context):
-    """Return the partition's claims that have no outcome, past all faults."""
+    """Return the claims of the partition without an outcome, bypassing injected faults."""
     address = context.cluster.platform.addresses["http"]
     items = get_json(address, f"/standin/objects/claims?prefix={context.partition}")["items"]
     claims = [claim for item in items for claim in item["value"]["claims"].values()]
@@ -156,7 +158,7 @@
 
 
 def wait_until_claimed(context):
-    wait_until(lambda: len(list_pending(context)) == 1, "the claim stands", LIMIT_S)
+    wait_until(lambda: len(list_pending(context)) == 1, "the claim is written", LIMIT_S)
 
 
 @when('a key is sent to "{entry}" and it is killed once the claim stands')
@@ -185,7 +187,7 @@
 def kill_when_run(context, entry):
     context.key = "k1"
     send_in_background(context, context.key, entry)
-    wait_until(lambda: count_runs(context, context.key), "the service runs it", LIMIT_S)
+    wait_until(lambda: count_runs(context, context.key), "the service runs the call", LIMIT_S)
     context.cluster.get(entry).kill()
 
 
@@ -206,7 +208,7 @@
 
 
 @when("the platform also answers reads from {count:d} version before")
-def answer_old_reads(context, count):
+def answer_stale_reads(context, count):
     faults = {"lose_answers": 3, "lose_kinds": ["claims"], "versions_back": count}
     context.cluster.set_platform_faults(objects=faults)
 
@@ -219,7 +221,7 @@
 
 
 @step('"{zone}" is cut from the platform and from other zones')
-def cut_from_everything(context, zone):
+def isolate_zone(context, zone):
     cut_from_platform(context, zone)
     for name in ENTRIES:
         others = [host for other, host in ZONE_HOSTS.items() if other not in name]
@@ -227,14 +229,14 @@
 
 
 @when('"{entry}" is frozen, which writes the claims of the next key')
-def freeze_home(context, entry):
+def freeze_owner(context, entry):
     context.key, _ = choose_key(context, entry)
     context.frozen = context.cluster.get(entry)
     context.frozen.freeze()
 
 
 @when('a new key of the partition of "{key}" is sent to "{entry}"')
-def send_beside(context, key, entry):
+def send_in_same_partition(context, key, entry):
     context.key = make_key_beside(context, key)
     send(context, context.key, entry)
 
--- a/features/steps/backend_reclaim_steps.py
+++ b/features/steps/backend_reclaim_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from features.steps.whole_answer_steps import ask_whole
+from features.steps.whole_answer_steps import request_unstreamed
 from features.support.gathering import Gathering, read_metric
 from features.support.processes import wait_until
 
@@ -18,23 +18,23 @@
     return [f"engine-{zone}-{number.strip()}" for number in numbers.split(",")]
 
 
-def begin(context, count, tokens):
-    """Open the streams and return once each has its first tokens."""
+def begin_streams(context, count, tokens):
+    """Open the streams and read the first tokens of each."""
     texts = [f"condition report of object {number} for the lender" for number in range(count)]
     context.gathering.open(texts, tokens, entry=ENTRY)
     context.gathering.read_some(FIRST_TOKENS)
 
 
 def reclaim(context, names, notice_ms):
-    """Announce the reclaim, and kill the processes when the notice is over."""
+    """Announce a reclaim, and kill the processes when the notice ends."""
     cluster = context.cluster
     cluster.reclaim(*names, notice_ms=notice_ms)
 
-    def end():
+    def kill_all():
         for name in names:
             cluster.get(name).kill()
 
-    timer = threading.Timer(notice_ms / 1_000, end)
+    timer = threading.Timer(notice_ms / 1_000, kill_all)
     timer.start()
     return timer
 
@@ -56,7 +56,7 @@
     " with {notice_ms:d} ms of notice"
 )
 def reclaim_some(context, count, tokens, numbers, notice_ms):
-    begin(context, count, tokens)
+    begin_streams(context, count, tokens)
     finish(context, reclaim(context, name_engines(numbers), notice_ms))
 
 
@@ -65,7 +65,7 @@
     " with {notice_ms:d} ms of notice"
 )
 def reclaim_zone(context, count, tokens, notice_ms):
-    begin(context, count, tokens)
+    begin_streams(context, count, tokens)
     finish(context, reclaim(context, name_engines("1, 2"), notice_ms))
 
 
@@ -74,7 +74,7 @@
     " with {notice_ms:d} ms of notice"
 )
 def reclaim_twice(context, count, tokens, notice_ms):
-    begin(context, count, tokens)
+    begin_streams(context, count, tokens)
     first = reclaim(context, name_engines("1"), notice_ms)
     threading.Event().wait(SECOND_NOTICE_AFTER_S)
     finish(context, first, reclaim(context, name_engines("2"), notice_ms))
@@ -85,7 +85,7 @@
     " and engines {killed} are killed at once"
 )
 def reclaim_and_kill(context, count, tokens, reclaimed, killed):
-    begin(context, count, tokens)
+    begin_streams(context, count, tokens)
     timer = reclaim(context, name_engines(reclaimed), 2_000)
     for name in name_engines(killed):
         context.cluster.get(name).kill()
@@ -94,7 +94,7 @@
 
 @when("{count:d} callers stream {tokens:d} tokens and engine {number} is killed without notice")
 def kill_engine(context, count, tokens, number):
-    begin(context, count, tokens)
+    begin_streams(context, count, tokens)
     context.cluster.get(name_engines(number)[0]).kill()
     finish(context)
 
@@ -103,7 +103,7 @@
     "{count:d} callers ask for {tokens:d} whole and engine {number} is reclaimed"
     " with {notice_ms:d} ms of notice"
 )
-def reclaim_whole(context, count, tokens, number, notice_ms):
+def reclaim_during_unstreamed_answer(context, count, tokens, number, notice_ms):
     names = name_engines(number)
     timers = []
 
@@ -113,7 +113,7 @@
 
     announcer = threading.Thread(target=announce)
     announcer.start()
-    ask_whole(context, count, tokens)
+    request_unstreamed(context, count, tokens)
     announcer.join()
     timers[0].join()
 
--- a/features/steps/bad_callers_steps.py
+++ b/features/steps/bad_callers_steps.py
@@ -22,12 +22,12 @@
 
 
 @given("one zone with one entry daemon and an engine that works on one request at a time")
-def build_narrow(context):
+def build_single_engine_cluster(context):
     context.cluster.build(zones=(ZONE,), entries=1, engine_settings={"slots": 1})
 
 
 @given("one zone whose entry daemon waits {timeout_ms:d} ms for a caller, and a fast engine")
-def build_impatient(context, timeout_ms):
+def build_with_caller_timeout(context, timeout_ms):
     cluster = context.cluster
     cluster.launch_platform()
     cluster.launch_engine(ENGINE, token_ms=1, slots=32)
@@ -43,7 +43,7 @@
 @when(
     "{count:d} callers stream {tokens:d} tokens and {leavers:d} of them go away after {after:d} tokens"
 )
-def leave_early(context, count, tokens, leavers, after):
+def disconnect_early(context, count, tokens, leavers, after):
     texts = [f"treatment history {number}" for number in range(count)]
     context.gathering.open(texts, tokens)
     for stream in context.gathering.streams[:leavers]:
@@ -54,7 +54,7 @@
 
 
 def send_request(address, text, tokens):
-    """Send a streamed request on a socket with a small buffer and read nothing."""
+    """Send a streamed request on a socket with a small receive buffer; read nothing."""
     host, _, port = address.rpartition(":")
     connection = socket.socket()
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
@@ -66,14 +66,14 @@
 
 
 @when("a caller goes away while its request waits behind another")
-def leave_while_waiting(context):
+def disconnect_while_waiting(context):
     cluster = context.cluster
     held = cluster.chat("a long report", 200).read_tokens(1)
     waiting = send_request(cluster.find_entry(), "a short one", 5)
     wait_until(lambda: cluster.read_stats(ENGINE)["waiting"] == 1, "the request waits")
     waiting.close()
-    wait_until(lambda: cluster.read_stats(ENGINE)["cancelled"], "it is cancelled")
-    assert cluster.read_stats(ENGINE)["running"] == 1, "the other one goes on"
+    wait_until(lambda: cluster.read_stats(ENGINE)["cancelled"], "the request is cancelled")
+    assert cluster.read_stats(ENGINE)["running"] == 1, "the other request is not running"
     assert not held.read_all().check.list_problems()
 
 
@@ -84,7 +84,7 @@
     cluster = context.cluster
     context.before_mb = cluster.get(ENTRY).read_memory_mb()
     address = cluster.find_entry()
-    context.deaf = [send_request(address, f"deaf {n}", tokens) for n in range(count)]
+    context.non_readers = [send_request(address, f"deaf {n}", tokens) for n in range(count)]
     context.gathering.open([f"reader {number}" for number in range(readers)], few)
     context.gathering.read_some(1)
 
@@ -96,13 +96,13 @@
         return len(stats["cancelled"]) >= count and stats["running"] == 0
 
     context.gathering.finish()
-    wait_until(is_over, "the engine has cancelled")
+    wait_until(is_over, "the engine cancelled the requests")
     stats = context.cluster.read_stats(ENGINE)
     assert len(stats["cancelled"]) >= count, stats
 
 
 @then("the engine has cancelled that request alone")
-def check_cancelled_alone(context):
+def check_only_one_cancelled(context):
     stats = context.cluster.read_stats(ENGINE)
     assert len(stats["cancelled"]) == 1, stats
 
--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -31,7 +31,7 @@
 
 
 def make_request(body=GOOD, path=CHAT_PATH, method="POST", **headers):
-    """Return a request's bytes; a header given as None is left out."""
+    """Return the bytes of a request; a header of value None is omitted."""
     content = body if isinstance(body, bytes) else encode(body)
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     fields = {**AUTHORIZED, "Content-Length": str(len(content)), **named}
@@ -110,7 +110,7 @@
 
 
 def count_runs(cluster):
-    """Return how many requests the stand-ins have begun to run."""
+    """Return the number of requests that the stand-ins have started to run."""
     chats = [len(cluster.read_stats(name)["runs"]) for name in list_standins(cluster, "engine")]
     calls = [cluster.read_stats(name)["runs"] for name in list_standins(cluster, "service")]
     return sum(chats) + sum(calls)
@@ -193,11 +193,11 @@
 def check_memory(context, size):
     peak_mb = max(context.entry.read_memory_mb(), getattr(context, "peak_mb", 0))
     grown_mb = peak_mb - context.memory_before_mb
-    assert grown_mb < size, f"grown by {grown_mb:.1f} MB"
+    assert grown_mb < size, f"memory has grown by {grown_mb:.1f} MB"
 
 
 @when("{count:d} callers ask for {tokens:d} tokens each and never read")
-def ask_and_never_read(context, count, tokens):
+def send_without_reading(context, count, tokens):
     request = make_request({**GOOD, "max_tokens": tokens})
     context.cancelled_before = count_cancelled(context.cluster)
     context.connections = [connect(context.address, SMALL_BUFFER_BYTES) for _ in range(count)]
--- a/features/steps/copies_steps.py
+++ b/features/steps/copies_steps.py
@@ -27,7 +27,7 @@
 
 
 def launch_engines(context, count, zone=ZONE, state="spare", machine_class="reclaimable"):
-    """Start engines and tell the platform of them."""
+    """Start engines and register them with the platform."""
     cluster = context.cluster
     begin = len(cluster.programs)
     names = [f"llm-{begin + number}" for number in range(count)]
--- a/features/steps/entry_reclaim_steps.py
+++ b/features/steps/entry_reclaim_steps.py
@@ -81,7 +81,7 @@
         cluster.call_service, "/confirmations", {"hall": "abdoun"}, entry=entry
     )
     wanted = 2 + len(context.streams)
-    wait_until(lambda: read_in_progress(context, entry) >= wanted, "both begun")
+    wait_until(lambda: read_in_progress(context, entry) >= wanted, "both requests have started")
 
 
 def read_in_progress(context, entry):
@@ -94,7 +94,7 @@
     post_json(context.cluster.platform.addresses["http"], "/standin/reclaim", body)
     context.leaving += names
     for name in names:
-        # The platform ends the VM when its notice runs out, whatever it still does.
+        # The platform ends the VM when its notice expires, even if work is in progress.
         timer = threading.Timer(notice_ms / 1_000, context.cluster.get(name).kill)
         timer.daemon = True
         timer.start()
@@ -111,7 +111,7 @@
 
 
 @when('"{name}" is told to stop')
-def tell_to_stop(context, name):
+def request_stop(context, name):
     context.leaving.append(name)
     context.cluster.get(name).terminate()
 
@@ -124,7 +124,7 @@
 
 
 @when('"{name}" is killed when the first stream has been told to move')
-def kill_in_the_middle(context, name):
+def kill_during_handover(context, name):
     post_json(
         context.cluster.platform.addresses["http"],
         "/standin/reclaim",
@@ -147,13 +147,13 @@
 
 @then("every caller hears that the fate of its request is unknown")
 def check_all_unknown(context):
-    for refusal in finish_all(context, context.streams):
+    for refusal in read_all_to_end(context, context.streams):
         error = json.loads(refusal.body)["error"]
         assert (error["kind"], error["ran"]) == ("unknown_request", "unknown"), error
 
 
 @when('every stream goes on at "{name}" for {tokens:d} tokens')
-def go_on_at(context, name, tokens):
+def continue_at(context, name, tokens):
     for stream in context.streams:
         stream.read_all()
         stream.resume(context.cluster.find_entry(name))
@@ -177,8 +177,11 @@
     return [item.addresses["callers"] for item in daemons if item.name not in context.leaving]
 
 
-def finish(context, stream):
-    """Read to the end as a caller behind the balancer does; return the last refusal, if any."""
+def read_to_end(context, stream):
+    """Read a stream to its end, resuming at the serving daemons in turn, as behind a load balancer.
+
+    Returns the reply if the stream is refused with 404, and None otherwise.
+    """
     deadline = time.monotonic() + LIMIT_S
     serving = list_serving(context)
     number = 0
@@ -194,18 +197,18 @@
     return None
 
 
-def finish_all(context, streams):
-    return list(context.pool.map(lambda stream: finish(context, stream), streams))
+def read_all_to_end(context, streams):
+    return list(context.pool.map(lambda stream: read_to_end(context, stream), streams))
 
 
 @then("every stream is whole and its own")
 def check_streams(context):
-    refusals = finish_all(context, context.streams)
+    refusals = read_all_to_end(context, context.streams)
     assert refusals == [None] * len(refusals), refusals
     for stream in context.streams:
         assert stream.check.list_problems() == [], stream.check
     cut = sum(not was_moved(stream) for stream in context.streams)
-    assert cut == 0, f"{cut} of {len(context.streams)} were cut without being told to move"
+    assert cut == 0, f"{cut} of {len(context.streams)} were cut without a moved event"
 
 
 @then('"{name}" takes no new work and says that nothing ran')
@@ -218,7 +221,7 @@
 
 
 @then("the waiting whole answer is fetched elsewhere")
-def check_whole(context):
+def check_unstreamed_answer(context):
     moved = context.whole.result(LIMIT_S)
     error = moved.json["error"]
     assert (moved.status, error["kind"]) == (503, "moved"), moved
@@ -257,19 +260,19 @@
 
 
 @then("every stream that was told to move is whole")
-def check_told(context):
+def check_notified_streams(context):
     told = [stream for stream, moved in zip(context.streams, context.told, strict=True) if moved]
     assert told
-    assert finish_all(context, told) == [None] * len(told)
+    assert read_all_to_end(context, told) == [None] * len(told)
     assert [stream.check.list_problems() for stream in told] == [[]] * len(told)
 
 
 @then("every other stream is whole or its caller hears that its fate is unknown")
-def check_untold(context):
+def check_unnotified_streams(context):
     others = [
         stream for stream, moved in zip(context.streams, context.told, strict=True) if not moved
     ]
-    for stream, refusal in zip(others, finish_all(context, others), strict=True):
+    for stream, refusal in zip(others, read_all_to_end(context, others), strict=True):
         assert stream.check.problems == []
         if refusal is not None:
             error = json.loads(refusal.body)["error"]
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -24,13 +24,13 @@
         site.wait_ready(context.cluster.programs[name])
 
 
-def find(context, name):
+def find_program(context, name):
     return context.cluster.programs[name]
 
 
 def read_events(context, name, label):
-    """Return the events that a gateway wrote to standard output."""
-    lines = find(context, name).output_file.read_text().splitlines(keepends=True)
+    """Return the events with a label that a gateway wrote to standard output."""
+    lines = find_program(context, name).output_file.read_text().splitlines(keepends=True)
     events = [json.loads(line) for line in lines if line.endswith("\n")]
     return [event for event in events if event.get("event") == label]
 
@@ -38,76 +38,76 @@
 @when('{count:d} streams of {events:d} events are open at "{name}" and it gets SIGTERM')
 def stop_with_streams(context, count, events, name):
     context.events = events
-    context.streams = Streams(context.site, find(context, name), count, events)
+    context.streams = Streams(context.site, find_program(context, name), count, events)
     wait_until(
         lambda: all(
             context.site.count_runs("engine-1", f"stream-{number}") for number in range(count)
         ),
         "the streams are open",
     )
-    find(context, name).terminate()
+    find_program(context, name).terminate()
 
 
 @then('"{name}" says that it is not ready while it still serves')
-def not_ready_and_serving(context, name):
-    wait_until(lambda: not is_ready(find(context, name)), "not ready")
-    reply = context.site.ask(find(context, name), "/check/x", "after-sigterm")
+def check_not_ready_and_serving(context, name):
+    wait_until(lambda: not is_ready(find_program(context, name)), "not ready")
+    reply = context.site.ask(find_program(context, name), "/check/x", "after-sigterm")
     assert reply.status == 200, reply
     assert reply.headers.get("connection") == "close", reply
 
 
 @then("every stream is whole")
-def streams_whole(context):
+def check_streams_complete(context):
     for request_id, reply in context.streams.wait().items():
         assert reply.is_whole, request_id
         assert reply.body == make_events(request_id, context.events), request_id
 
 
 @then('"{name}" ends with exit code {code:d}')
-def ends(context, name, code):
-    assert find(context, name).wait() == code
+def check_exit_code(context, name, code):
+    assert find_program(context, name).wait() == code
 
 
 @then('"{name}" serves')
-def serves(context, name):
-    context.site.wait_ready(find(context, name))
+def wait_until_serving(context, name):
+    context.site.wait_ready(find_program(context, name))
 
 
-def wait_holder(context, unlike=""):
-    """Return the last call of the cloud API once a holder other than `unlike` has made one."""
+def wait_for_holder_call(context, unlike=""):
+    """Wait for a scaling call of a holder other than `unlike`, and return the last one."""
 
-    def look():
+    def find_holder_call():
         calls = context.site.list_cloud_calls("/scale")
         return next((call for call in reversed(calls) if call["holder"] != unlike), None)
 
-    return wait_until(look, "a holder acts", limit_s=30)
+    return wait_until(find_holder_call, "a lease holder calls the cloud API", limit_s=30)
 
 
 @when("the holder of the duties is killed")
 def kill_holder(context):
-    context.first = wait_holder(context)
-    find(context, context.first["holder"]).kill()
+    context.first = wait_for_holder_call(context)
+    find_program(context, context.first["holder"]).kill()
 
 
 @then("the other gateway orders copies under a higher number")
-def other_acts(context):
-    second = wait_holder(context, unlike=context.first["holder"])
+def check_other_holder_acts(context):
+    second = wait_for_holder_call(context, unlike=context.first["holder"])
     assert second["fence"] > context.first["fence"], (context.first, second)
 
 
 @when("the holder of the duties is frozen until the other one has acted, and thawed")
 def freeze_holder(context):
-    first = wait_holder(context)
-    frozen = find(context, first["holder"])
+    first = wait_for_holder_call(context)
+    frozen = find_program(context, first["holder"])
     frozen.freeze()
-    wait_holder(context, unlike=first["holder"])
+    wait_for_holder_call(context, unlike=first["holder"])
     frozen.thaw()
     context.calls_before = len(context.site.list_cloud_calls("/usage"))
 
 
 @then("no call comes later with a lower number than the one before")
-def numbers_rise(context):
-    # Usage is reported every five seconds: two more reports show who acts after the thaw.
+def check_fences_rise(context):
+    # Usage is reported every five seconds; two more reports show which gateway acts after the thaw.
     wait_until(
         lambda: len(context.site.list_cloud_calls("/usage")) >= context.calls_before + 2,
         "two more usage reports",
@@ -122,7 +122,7 @@
 def change_and_kill(context):
     context.site.apply(check=None)
     for name in NAMES:
-        find(context, name).kill()
+        find_program(context, name).kill()
 
 
 @when("both gateways are started again")
@@ -132,40 +132,40 @@
 
 
 @then("neither gateway ever serves the old route")
-def old_route_gone(context):
+def check_removed_route_refused(context):
     for name in NAMES:
-        gateway = find(context, name)
+        gateway = find_program(context, name)
         statuses = set()
-        wait_until(lambda seen=statuses, one=gateway: _see(context, one, seen), "404")
+        wait_until(lambda seen=statuses, one=gateway: _record_status(context, one, seen), "404")
         assert statuses <= {503, 404}, statuses
 
 
-def _see(context, gateway, statuses):
+def _record_status(context, gateway, statuses):
     status = context.site.ask(gateway, "/check/x", "old").status
     statuses.add(status)
     return status == 404
 
 
 @given("the store is busy")
-def store_busy(context):
+def make_store_busy(context):
     context.site.call_store("POST", "/standin/faults", {"mode": "busy"})
 
 
 @when('"{name}" is killed and started again')
 def restart(context, name):
-    find(context, name).kill()
+    find_program(context, name).kill()
     context.site.launch_gateway(name)
 
 
 @then('"{name}" answers 503 and says when to come back')
-def says_not_yet(context, name):
-    reply = context.site.ask(find(context, name), "/check/x", "early")
+def check_not_ready_reply(context, name):
+    reply = context.site.ask(find_program(context, name), "/check/x", "early")
     assert reply.status == 503, reply
     assert float(reply.headers["retry-after"]) > 0, reply
 
 
 @when("the store is back")
-def store_back(context):
+def heal_store(context):
     context.site.call_store("POST", "/standin/faults", {"mode": "none"})
 
 
@@ -174,13 +174,15 @@
     path = context.cluster.folder / f"{name}.json"
     settings = json.loads(path.read_text())
     path.write_text(json.dumps({**settings, "repeat_extra": repeats}))
-    find(context, name)._process.send_signal(signal.SIGHUP)
+    find_program(context, name)._process.send_signal(signal.SIGHUP)
     wait_until(lambda: read_events(context, name, "settings_changed"), "the change is logged")
     path.write_text(json.dumps({**settings, "unknown": 1}))
 
 
 @then('"{name}" has logged the changed field, and the mistake')
-def logged(context, name):
+def check_change_logged(context, name):
     (changed,) = read_events(context, name, "settings_changed")
     assert changed["fields"] == ["repeat_extra"], changed
-    wait_until(lambda: read_events(context, name, "settings_unusable"), "the mistake is logged")
+    wait_until(
+        lambda: read_events(context, name, "settings_unusable"), "the invalid settings are logged"
+    )
--- a/features/steps/graceful_stop_steps.py
+++ b/features/steps/graceful_stop_steps.py
@@ -29,7 +29,7 @@
 
 
 def begin_work(context, callers, tokens, calls):
-    """Open streams and calls; return once all of them are in progress."""
+    """Open streams and calls, and wait until all are in progress."""
     cluster, gathering = context.cluster, context.gathering
     context.replies = []
 
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -56,7 +56,7 @@
     lease = LONG_LEASE if believes else CONTROLLER["lease"]
     context.cluster.launch_controller(name, ZONE, **{**CONTROLLER, "lease": lease})
     wait_for_holder(context.cluster, name)
-    ask_for_orders(context)
+    reset_engines(context)
     wait_until(lambda: all_serve(context), "first orders")
 
 
@@ -66,11 +66,11 @@
     wait_until(lambda: read_status(context.cluster, name), f"{name} answers")
 
 
-def ask_for_orders(context):
-    """Bring both engines out of the wanted state, as their restart would.
+def reset_engines(context):
+    """Reset the state of both engines, as their restart would.
 
-    No order is sent for it: an order with a number that was read a moment ago would itself be
-    stale once a successor has given its first one.
+    This sends no order: the number of an order read a moment before would be stale as soon as
+    a successor has sent its first order.
     """
     for name in ENGINES:
         post_json(context.cluster.get(name).addresses["http"], "/standin/drain", {})
@@ -90,17 +90,17 @@
     cluster = context.cluster
     cluster.set_link(first, delay_ms=ORDER_DELAY_MS)
     for _ in range(PAUSES_TRIED):
-        ask_for_orders(context)
+        reset_engines(context)
         given_first, given_second = count_orders(context, first), count_orders(context, second)
         wait_until(lambda count=given_first: count_orders(context, first) > count, "an order")
         cluster.get(holder).freeze()
         if count_orders(context, second) == given_second:
             break
-        # The machine was too slow to halt it in between: let it finish and try again.
+        # On a slow machine the second order was sent before the freeze: let it complete and retry.
         cluster.get(holder).thaw()
         wait_until(lambda: all_serve(context), "orders")
     else:
-        raise HarnessError(f"{holder} could not be halted between two orders")
+        raise HarnessError(f"{holder} could not be frozen between two orders")
     cluster.set_link(first)
 
 
@@ -112,28 +112,31 @@
 
 @when('"{name}" has put both engines in order')
 def order_both(context, name):
-    """Ask until both engines know the number of the controller `name`."""
+    """Request orders until both engines have recorded the number of the controller `name`."""
 
-    def knows(engine):
+    def has_recorded_number(engine):
         number = read_status(context.cluster, name)["lease"]["fencing"]
         return context.cluster.read_stats(engine)["highest_fencing"] >= number - 1
 
     def is_done():
-        ask_for_orders(context)
-        wait_until(lambda: all_serve(context), f"{name} has put the engines in order")
-        return all(knows(engine) for engine in ENGINES)
+        reset_engines(context)
+        wait_until(lambda: all_serve(context), f"{name} has ordered both engines to serve")
+        return all(has_recorded_number(engine) for engine in ENGINES)
 
-    wait_until(is_done, f"both engines know the number of {name}")
+    wait_until(is_done, f"both engines have recorded the number of {name}")
 
 
 @when('"{name}" is woken')
-def wake(context, name):
+def thaw_holder(context, name):
     context.cluster.get(name).thaw()
 
 
 @then('"{name}" has given up the lease')
-def check_given_up(context, name):
-    wait_until(lambda: count_events(context.cluster, name, "lease_lost"), f"{name} noticed")
+def check_lease_lost(context, name):
+    wait_until(
+        lambda: count_events(context.cluster, name, "lease_lost"),
+        f"{name} has logged the loss of the lease",
+    )
     assert not is_holder(context.cluster, name)
 
 
@@ -154,7 +157,7 @@
 
 
 @when('"{new}" gets the lease and "{old}" does not hear of it')
-def take_lease(context, new, old):
+def transfer_lease(context, new, old):
     address = context.cluster.platform.addresses["http"]
     released = {"holder": "", "write": "", "term_ms": 0}
     assert call(address, "PUT", f"/objects/leases/{ZONE}", released).status == 200
@@ -163,9 +166,9 @@
 
 
 @when("both engines ask for orders {count:d} times")
-def ask_repeatedly(context, count):
+def reset_engines_repeatedly(context, count):
     for _ in range(count):
-        ask_for_orders(context)
+        reset_engines(context)
         wait_until(lambda: all_serve(context), "both engines serve")
 
 
@@ -177,7 +180,7 @@
 
 
 @when("an order of an older number to drain reaches both engines")
-def send_old_order(context):
+def send_stale_order(context):
     wanted = {"models": [MODEL], "role": "mixed", "state": "drained"}
     order = {"fencing": OLD_NUMBER, "wanted": wanted}
     context.answers = {
@@ -214,14 +217,14 @@
 
 @then("the engines get no order when they ask for one")
 def check_no_orders(context):
-    ask_for_orders(context)
+    reset_engines(context)
     before = [count_orders(context, name) for name in ENGINES]
     time.sleep(1)
     assert before == [count_orders(context, name) for name in ENGINES]
 
 
 @when("the platform is up again")
-def mend_platform(context):
+def heal_platform(context):
     context.cluster.set_platform_faults(objects={})
 
 
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -31,7 +31,7 @@
 
 
 def start_cluster(context, daemons, engines):
-    """Start the named numbers of daemons and engines in each zone."""
+    """Start the given numbers of daemons and engines in each zone."""
     cluster = context.cluster
     cluster.launch_platform()
     for zone, count in engines.items():
@@ -46,7 +46,7 @@
 
 
 def send(context, entry, max_tokens=2) -> ChatStream:
-    """Send one request through a daemon and read its answer."""
+    """Send one request through a daemon and read the answer to its end."""
     return context.cluster.chat("is the hall free", max_tokens, entry=entry).read_all()
 
 
@@ -56,7 +56,7 @@
 
 
 def count_runs(context, name) -> int:
-    """Return what a backend server has run: an engine counts by request, a service in all."""
+    """Return the runs of a backend server; engines count by request, services in total."""
     runs = context.cluster.read_stats(name)["runs"]
     return runs if isinstance(runs, int) else sum(runs.values())
 
@@ -134,7 +134,7 @@
         status = get_json(program.addresses["control"], "/status")
         return sum(one["state"] == "alive" for one in status["members"]) == count
 
-    wait_until(has_joined, f"{program.name} knows {count} members")
+    wait_until(has_joined, f"{program.name} lists {count} members")
 
 
 def rank_daemons(context, zone):
@@ -143,7 +143,7 @@
 
 
 @given('steady requests through the daemon that does not watch for "{zone}"')
-def begin_through_rest(context, zone):
+def begin_through_other_daemons(context, zone):
     begin_traffic(context, rank_daemons(context, zone)[WATCHERS:])
 
 
@@ -203,7 +203,7 @@
 
 
 @then('nothing began on "{name}" later than 3 s after the notice')
-def check_nothing_late(context, name):
+def check_no_late_starts(context, name):
     time.sleep(max(0, context.notice_at + WATCHED_MS / 1_000 - time.monotonic()))
     wait_until(lambda: any(context.traffic.streams.values()), "an answer")
     begun = context.cluster.read_stats(name)["begun_after_leaving_ms"]
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What came of one offered request."""
+    """The outcome of one offered request."""
 
     zone: str
     sent_s: float
@@ -69,11 +69,11 @@
         context.cluster.reclaim(f"service-{other}-1")
     context.only_service = f"service-{zone}-1"
     names = [f"service-{other}-1" for other in ZONES if other != zone]
-    wait_until(lambda: is_left(context, names), "the other services are left")
+    wait_until(lambda: is_unused(context, names), "the other services get no calls")
 
 
-def is_left(context, names):
-    """Whether a round of calls through every entry VM reaches none of these services."""
+def is_unused(context, names):
+    """Return whether calls through every entry VM reach none of these services."""
     before = [context.cluster.read_stats(name)["runs"] for name in names]
     for program in context.cluster.list_daemons():
         for _ in range(2):
@@ -83,7 +83,7 @@
 
 
 def offer(context, programs, rate, seconds):
-    """Send at a steady rate, each request to the next program, and keep every outcome."""
+    """Send requests at a steady rate to the programs in turn, and record every outcome."""
     before = count_runs(context)
     targets = [(item.settings["zone"], item.addresses["callers"]) for item in programs]
     began = time.monotonic()
@@ -149,7 +149,7 @@
 
 
 @when("it wakes while {rate:d} requests a second go to all entry VMs for {seconds:d} seconds")
-def wake_under_load(context, rate, seconds):
+def thaw_under_load(context, rate, seconds):
     timer = threading.Timer(0.2, context.frozen.thaw)
     timer.start()
     offer(context, context.cluster.list_daemons(), rate, seconds)
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -14,7 +14,7 @@
 
 
 def launch_daemons(context, names, seeds=None):
-    """Start daemons whose source IP tells their zone and whose peers come through the proxy."""
+    """Start daemons whose source IP identifies their zone, with peer links through the proxy."""
     advertised = {name: context.cluster.add_link(name) for name in names}
     seeds = seeds or [advertised[names[0]]]
     programs = [launch(context, name, advertised[name], seeds) for name in names]
@@ -35,7 +35,7 @@
 
 
 def find_source(name):
-    """Return the prefix of the source IP of a zone or of a daemon."""
+    """Return the source IP prefix of a zone or a daemon."""
     zone, _, number = name.partition("-")
     return f"127.{10 + ord(zone)}.0.{number}"
 
@@ -102,7 +102,7 @@
 
 @when("the cut heals")
 def heal_zone(context):
-    # A reset first: what the black hole held back must not heal the cut by itself.
+    # Reset the connections first: data buffered by the black hole must not heal the cut.
     set_cut(context, context.cut_zone, "cut")
     set_cut(context, context.cut_zone, "pass")
 
@@ -140,13 +140,13 @@
 @then('the others call "{name}" dead within {seconds:d} seconds')
 def check_dead(context, name, seconds):
     programs = list_running(context)
-    # Just the dead one: an isolated daemon shows everyone else dead.
+    # Only that daemon must be dead: an isolated daemon lists all other members as dead.
     wait_until_seen(programs, {item.name for item in programs}, seconds)
     assert all(read_members(item)[name] == "dead" for item in programs)
 
 
 @then("nobody was suspected")
-def check_unsuspected(context):
+def check_none_suspected(context):
     for program in list_running(context):
         lines = [line for line in program.log_file.read_text().splitlines() if line.startswith("{")]
         changes = [json.loads(line) for line in lines if "member_changed" in line]
--- a/features/steps/not_run_steps.py
+++ b/features/steps/not_run_steps.py
@@ -1,4 +1,4 @@
-"""Steps of not_run.feature; what the stand-ins counted is the judge."""
+"""Steps of not_run.feature, checked against the counters of the stand-ins."""
 
 import collections
 import operator
@@ -77,8 +77,8 @@
             context.cluster.set_faults(name, **SERVER_FAULTS[fault])
 
 
-def mend(context, names, is_well):
-    """Take the faults away and return once the daemon uses the servers again."""
+def heal(context, names, is_well):
+    """Remove the faults and wait until the daemon uses the servers again."""
     for name in names:
         context.cluster.set_link(name)
         context.cluster.set_faults(name)
@@ -86,7 +86,7 @@
 
 
 def count_service_runs(context):
-    """Return the runs at both servers, so that a call sent again elsewhere is seen."""
+    """Return the runs at both servers, which include a call repeated at the other server."""
     found = [context.cluster.read_stats(name) for name in SERVERS]
     return sum(stats["runs"] for stats in found)
 
@@ -95,8 +95,8 @@
     return sum(context.cluster.read_stats(ENGINE)["runs"].values())
 
 
-def settle(count, context):
-    """Return the count once nothing is on its way any more."""
+def wait_for_stable_count(count, context):
+    """Return the count once it is stable, with no request in transit."""
     last = count(context)
     while True:
         time.sleep(SETTLE_S)
@@ -119,14 +119,14 @@
 
 
 def check_rows(context, names, send, count, agrees, is_well):
-    """Send one request for each row under its fault; gather all that does not agree."""
+    """Send one request for each row under its fault, and collect all mismatches."""
     wrong = []
     for row in context.table:
-        before = settle(count, context)
+        before = wait_for_stable_count(count, context)
         set_fault(context, names, row["fault"])
         reply = send(context, row)
-        runs = settle(count, context) - before
-        mend(context, names, is_well)
+        runs = wait_for_stable_count(count, context) - before
+        heal(context, names, is_well)
         error = reply.json["error"]
         if error["ran"] != row["ran"] or not agrees(runs, int(row["times"])):
             wrong.append(f"{list(row)}: ran {runs} times, answered {error}")
@@ -154,7 +154,7 @@
 
 
 def send_raw(context, head, body=b""):
-    """Send bytes as they are and return the answer's status and body."""
+    """Send raw bytes and return the status and body of the answer."""
     host, _, port = context.cluster.find_entry().rpartition(":")
     with socket.create_connection((host, int(port)), timeout=20) as connection:
         connection.sendall(head.encode() + body)
@@ -180,7 +180,7 @@
 
 
 def fill_and_chat(context, key):
-    """Use up the one request that may be in progress, then send another."""
+    """Occupy the only permitted concurrent request, then send another."""
     context.held = context.cluster.chat("hold on", 200, key=key).read_tokens(1)
     context.runs_allowed = 1
     return chat_of(context, key)
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -17,7 +17,7 @@
 
 @dataclass
 class Burst:
-    """One of many requests sent at once: its last answer and when things happened."""
+    """One of many concurrent requests, with its last answer and timestamps."""
 
     stream: ChatStream | None = None
     head_s: float = 0
--- a/features/steps/planned_stop_steps.py
+++ b/features/steps/planned_stop_steps.py
@@ -110,7 +110,7 @@
 def check_engine_replaced(context):
     wanted = set(ENGINES) - {context.drained}
     wait_until(lambda: list_vm_names(context) & set(ENGINES) == wanted, "a replaced engine")
-    wait_until(lambda: context.drained in context.vms.stats, "the engine's process ended")
+    wait_until(lambda: context.drained in context.vms.stats, "the process of the engine has ended")
     context.ended = context.vms.stats[context.drained]
 
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps of quarantine.feature; how many services have ended is the judge."""
+"""Steps of quarantine.feature, checked against the number of crashed services."""
 
 import time
 
@@ -31,10 +31,12 @@
         context.cluster.launch_entry(name, ZONE)
     for name in context.entries:
         context.cluster.wait_until_serving(context.cluster.get(name))
-        wait_until(lambda n=name: ask(context, n, HARMLESS).status == 200, f"{name} serves calls")
+        wait_until(
+            lambda n=name: call_service(context, n, HARMLESS).status == 200, f"{name} serves calls"
+        )
 
 
-def ask(context, entry, content):
+def call_service(context, entry, content):
     return context.cluster.call_service("/slots/1", content, entry=entry)
 
 
@@ -45,11 +47,11 @@
 @when(
     "the deadly call is sent {times:d} times over {seconds:d} seconds, to each entry daemon in turn"
 )
-def send_again_and_again(context, times, seconds):
+def send_repeatedly(context, times, seconds):
     context.replies = []
     for turn in range(times):
         entry = context.entries[turn % len(context.entries)]
-        context.replies.append(ask(context, entry, DEADLY))
+        context.replies.append(call_service(context, entry, DEADLY))
         time.sleep(seconds / times)
 
 
@@ -77,13 +79,15 @@
 @then("{times:d} harmless calls to each entry daemon are answered")
 def check_harmless(context, times):
     for entry in context.entries:
-        statuses = [ask(context, entry, f"{HARMLESS} {turn}").status for turn in range(times)]
+        statuses = [
+            call_service(context, entry, f"{HARMLESS} {turn}").status for turn in range(times)
+        ]
         assert statuses == [200] * times, statuses
 
 
 @then("the deadly call is refused by each entry daemon and no further service ends")
 def check_refused(context):
     for entry in context.entries:
-        reply = ask(context, entry, DEADLY)
+        reply = call_service(context, entry, DEADLY)
         assert (reply.status, reply.json["error"]["kind"]) == (503, "quarantined"), reply
     assert count_ended(context) == context.ended_before
--- a/features/steps/revision_spread_steps.py
+++ b/features/steps/revision_spread_steps.py
@@ -148,12 +148,12 @@
 
 
 @when("the platform serves reads from {count:d} versions back")
-def serve_old_reads(context, count):
+def serve_stale_reads(context, count):
     context.cluster.set_platform_faults(objects={"versions_back": count})
 
 
 @then('the daemon "{name}" got the whole file from a peer')
-def check_whole(context, name):
+def check_consistent(context, name):
     received = read_configuration(context.cluster.get(name))["received"]
     assert (received["by_whole"], received["by_platform"]) == (1, 0), received
 
--- a/features/steps/whole_answer_steps.py
+++ b/features/steps/whole_answer_steps.py
@@ -18,7 +18,7 @@
 
 
 def make_texts(count):
-    """Return texts of which the first two are the same."""
+    """Return `count` texts, the first two of which are equal."""
     texts = [f"birthday party package for {number} children" for number in range(count)]
     return [texts[0], *texts[:-1]]
 
@@ -45,7 +45,7 @@
 
 
 @when("{count:d} callers stream {tokens:d} tokens at once, two of them with the same text")
-def stream_at_once(context, count, tokens):
+def stream_concurrently(context, count, tokens):
     context.gathering.open(make_texts(count), tokens)
     context.gathering.read_some(1)
     context.gathering.finish()
@@ -67,7 +67,7 @@
 
 
 @when("{count:d} callers ask for {tokens:d} tokens without streaming")
-def ask_whole(context, count, tokens):
+def request_unstreamed(context, count, tokens):
     address = context.cluster.find_entry()
     headers = {"Authorization": f"Bearer {KEY}"}
     context.asked = [make_chat(MODEL, text, tokens, stream=False) for text in make_texts(count)]
@@ -85,13 +85,13 @@
 
 
 @then("the first engine was asked")
-def check_asked(context):
+def check_unstreamed(context):
     stats = context.cluster.read_stats(FIRST)
     assert sum(stats["runs"].values()) + stats["refused"] > 0, stats
 
 
 @then("every answer that did not stream is whole")
-def check_whole(context):
+def check_complete(context):
     for body, reply in zip(context.asked, context.replies, strict=True):
         assert reply.status == 200, reply
         prompt = join_prompt(body["messages"])
