--- a/features/steps/at_most_once_checks.py
+++ b/features/steps/at_most_once_checks.py
@@ -8,9 +8,9 @@
     ENTRIES,
     LIMIT_S,
     count_runs,
-    find_other_kind,
     list_kinds,
     send,
+    skip_refusal,
 )
 from features.support.processes import wait_until
 
@@ -73,7 +73,7 @@
 @then('a repeat of "{key}" at "{entry}" is refused with {kind} and ran {ran}')
 def check_repeat_refused(context, key, entry, kind, ran):
     reply = wait_until(
-        lambda: find_other_kind(send(context, key, entry), "claim_conflict"), "an end", LIMIT_S
+        lambda: skip_refusal(send(context, key, entry), "claim_conflict"), "an end", LIMIT_S
     )
     check_error(reply, kind, ran)
 
@@ -94,7 +94,7 @@
 def check_repeat_unknown(context, entry):
     # After an outage the daemon briefly pauses its calls to the platform, so the caller retries.
     reply = wait_until(
-        lambda: find_other_kind(send(context, context.key, entry), "claim_unavailable"),
+        lambda: skip_refusal(send(context, context.key, entry), "claim_unavailable"),
         "reply with the state of the claim",
         LIMIT_S,
     )
@@ -105,7 +105,7 @@
 @then("once the daemon is known to be dead a repeat is refused with outcome_unknown")
 def check_refused_after_holder_death(context):
     reply = wait_until(
-        lambda: find_other_kind(send(context, context.key, context.entry), "claim_conflict"),
+        lambda: skip_refusal(send(context, context.key, context.entry), "claim_conflict"),
         "the holder is recorded as dead",
         LIMIT_S,
     )
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -12,9 +12,9 @@
     PATH,
     choose_key,
     count_runs,
-    find_other_kind,
-    make_key_beside,
+    make_key_in_same_partition,
     send,
+    skip_refusal,
 )
 from features.support.operator_files import KEY, SERVICE, ZONES, make_operator_file
 from features.support.processes import wait_until
@@ -140,11 +140,11 @@
     warm, partition = choose_key(context, entry)
     context.partition = f"p{partition:03d}"
     served = wait_until(
-        lambda: find_other_kind(send(context, warm, entry), "claim_unavailable"), "served", LIMIT_S
+        lambda: skip_refusal(send(context, warm, entry), "claim_unavailable"), "served", LIMIT_S
     )
     assert served.status == 200, served.body
     wait_until(lambda: not list_pending(context), "all outcomes are written")
-    context.key = make_key_beside(context, warm)
+    context.key = make_key_in_same_partition(context, warm)
     for name in ENTRIES:
         context.cluster.set_link(name, freeze="to_caller")
 
@@ -237,7 +237,7 @@
 
 @when('a new key of the partition of "{key}" is sent to "{entry}"')
 def send_in_same_partition(context, key, entry):
-    context.key = make_key_beside(context, key)
+    context.key = make_key_in_same_partition(context, key)
     send(context, context.key, entry)
 
 
--- a/features/steps/bad_callers_steps.py
+++ b/features/steps/bad_callers_steps.py
@@ -68,13 +68,13 @@
 @when("a caller goes away while its request waits behind another")
 def disconnect_while_waiting(context):
     cluster = context.cluster
-    held = cluster.chat("a long report", 200).read_tokens(1)
+    running = cluster.chat("a long report", 200).read_tokens(1)
     waiting = send_request(cluster.find_entry(), "a short one", 5)
     wait_until(lambda: cluster.read_stats(ENGINE)["waiting"] == 1, "the request waits")
     waiting.close()
     wait_until(lambda: cluster.read_stats(ENGINE)["cancelled"], "the request is cancelled")
     assert cluster.read_stats(ENGINE)["running"] == 1, "the other request is not running"
-    assert not held.read_all().check.list_problems()
+    assert not running.read_all().check.list_problems()
 
 
 @when(
@@ -110,7 +110,7 @@
 @then("those who stayed have their own whole answers")
 def check_others(context):
     context.gathering.finish()
-    context.gathering.check_whole()
+    context.gathering.check_complete()
 
 
 @then("the daemon grew by less than {limit_mb:d} MB")
--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -21,10 +21,10 @@
 )
 
 CHAT_PATH = "/v1/chat/completions"
-LONGEST_ANSWER = 16_000
-BODY_BOUND = 1_048_576
-OVER_BOUND = BODY_BOUND + 100_000
-HEAD_BOUND = 32_768
+MAX_ANSWER_TOKENS = 16_000
+MAX_BODY_BYTES = 1_048_576
+OVERSIZED_BODY_BYTES = MAX_BODY_BYTES + 100_000
+MAX_HEAD_BYTES = 32_768
 MEGABYTE = 1_000_000
 GOOD = make_chat(MODEL, "two slots", 8)
 AUTHORIZED = {"Authorization": f"Bearer {KEY}", "Content-Type": "application/json"}
@@ -35,8 +35,8 @@
     content = body if isinstance(body, bytes) else encode(body)
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     fields = {**AUTHORIZED, "Content-Length": str(len(content)), **named}
-    kept = {name: value for name, value in fields.items() if value is not None}
-    return make_head(path, kept, method) + content
+    present = {name: value for name, value in fields.items() if value is not None}
+    return make_head(path, present, method) + content
 
 
 def make_many_fields():
@@ -55,18 +55,18 @@
     "a negative max_tokens": lambda: make_request({**GOOD, "max_tokens": -1}),
     "a text for max_tokens": lambda: make_request({**GOOD, "max_tokens": "many"}),
     "max_tokens over the model's bound": lambda: make_request(
-        {**GOOD, "max_tokens": LONGEST_ANSWER + 1}
+        {**GOOD, "max_tokens": MAX_ANSWER_TOKENS + 1}
     ),
-    "a body over the bound": lambda: make_request(b"x" * OVER_BOUND),
+    "a body over the bound": lambda: make_request(b"x" * OVERSIZED_BODY_BYTES),
     "a chunked body over the bound": lambda: make_head(
         CHAT_PATH, {**AUTHORIZED, "Transfer-Encoding": "chunked"}
     )
-    + make_chunks(OVER_BOUND),
+    + make_chunks(OVERSIZED_BODY_BYTES),
     "a length over the bound and no body": lambda: make_request(
-        b"", Content_Length=str(OVER_BOUND)
+        b"", Content_Length=str(OVERSIZED_BODY_BYTES)
     ),
     "a body that stops half-way": lambda: make_request(b'{"model": ', Content_Length="100"),
-    "a head over the bound": lambda: make_request(X_Long="x" * (HEAD_BOUND + 1)),
+    "a head over the bound": lambda: make_request(X_Long="x" * (MAX_HEAD_BYTES + 1)),
     "a head of 10000 fields": make_many_fields,
     "a request line that is not HTTP": lambda: b"two slots please\r\n\r\n",
     "a length that is not a number": lambda: make_request(Content_Length="many"),
@@ -90,7 +90,7 @@
 def build_cluster(context):
     cluster = context.cluster
     if not cluster.list_daemons():
-        model = {"name": MODEL, "licensed_copies": 8, "max_tokens": LONGEST_ANSWER}
+        model = {"name": MODEL, "licensed_copies": 8, "max_tokens": MAX_ANSWER_TOKENS}
         file = make_operator_file(ZONES[:1], models=[{**model, "context_tokens": 65_536}])
         cluster.build(
             ZONES[:1],
--- a/features/steps/copies_steps.py
+++ b/features/steps/copies_steps.py
@@ -41,8 +41,8 @@
     return names
 
 
-def apply_file(context, licensed, least):
-    models = [{"name": MODEL, "licensed_copies": licensed, "min_copies": least}]
+def apply_file(context, licensed, min_copies):
+    models = [{"name": MODEL, "licensed_copies": licensed, "min_copies": min_copies}]
     context.cluster.apply(make_operator_file(ZONES, models=models, services=[]))
 
 
@@ -69,7 +69,7 @@
     context.first = launch_engines(context, count, state="live")
     launch_engines(context, spares)
     launch_engines(context, others, machine_class="on_demand")
-    apply_file(context, licensed, least=count)
+    apply_file(context, licensed, min_copies=count)
     cluster.launch_entries((ZONE,), 2)
     launch_controller(context)
     wait_until(lambda: len(read_copies(cluster, MODEL)) == count, "the copies are recorded")
@@ -82,13 +82,13 @@
     context.first = [launch_engines(context, 1, zone, "live")[0] for zone in ZONES]
     for zone in ZONES:
         launch_engines(context, 1, zone)
-    apply_file(context, licensed, least=1)
+    apply_file(context, licensed, min_copies=1)
     cluster.launch_entries(ZONES, 1)
     for number, zone in enumerate(ZONES, 1):
         launch_controller(context, f"control-{number}", zone)
         wait_for_holder(cluster, f"control-{number}")
     wait_until(lambda: len(read_copies(cluster, MODEL)) == 2, "the copies are recorded")
-    apply_file(context, licensed, least=2)
+    apply_file(context, licensed, min_copies=2)
 
 
 @given("{count:d} answers of {tokens:d} tokens are in progress")
@@ -115,7 +115,7 @@
 @when("{count:d} copies are wanted and there are {spares:d} spares")
 def want_copies(context, count, spares):
     launch_engines(context, spares)
-    apply_file(context, licensed=count + 1, least=count)
+    apply_file(context, licensed=count + 1, min_copies=count)
     launch_controller(context)
 
 
--- a/features/steps/entry_reclaim_steps.py
+++ b/features/steps/entry_reclaim_steps.py
@@ -22,7 +22,7 @@
 RETRY_S = 0.1
 OTHER_KEY = "marka-hall-key"
 AUTHORIZATION = {"Authorization": f"Bearer {KEY}"}
-WHOLE_TEXT = "a whole answer"
+UNSTREAMED_TEXT = "a whole answer"
 ENTRY_SERVES = "hemlock-entry"
 
 
@@ -72,9 +72,9 @@
     cluster = context.cluster
     for zone in ZONES:
         cluster.set_faults(f"service-{zone}-1", delay_ms=ms)
-    body = make_chat(MODEL, WHOLE_TEXT, tokens, stream=False)
+    body = make_chat(MODEL, UNSTREAMED_TEXT, tokens, stream=False)
     address = cluster.find_entry(entry)
-    context.whole = context.pool.submit(
+    context.unstreamed_call = context.pool.submit(
         call, address, "POST", "/v1/chat/completions", body, AUTHORIZATION
     )
     context.service_call = context.pool.submit(
@@ -133,10 +133,10 @@
     context.leaving.append(name)
     context.streams[0].read_all()
     context.cluster.get(name).kill()
-    context.told = []
+    context.notified = []
     for stream in context.streams:
         stream.read_all()
-        context.told.append(was_moved(stream))
+        context.notified.append(was_moved(stream))
 
 
 @when('"{name}" is killed')
@@ -222,7 +222,7 @@
 
 @then("the waiting whole answer is fetched elsewhere")
 def check_unstreamed_answer(context):
-    moved = context.whole.result(LIMIT_S)
+    moved = context.unstreamed_call.result(LIMIT_S)
     error = moved.json["error"]
     assert (moved.status, error["kind"]) == (503, "moved"), moved
     path = f"/v1/requests/{error['request_id']}"
@@ -261,16 +261,18 @@
 
 @then("every stream that was told to move is whole")
 def check_notified_streams(context):
-    told = [stream for stream, moved in zip(context.streams, context.told, strict=True) if moved]
-    assert told
-    assert read_all_to_end(context, told) == [None] * len(told)
-    assert [stream.check.list_problems() for stream in told] == [[]] * len(told)
+    notified = [
+        stream for stream, moved in zip(context.streams, context.notified, strict=True) if moved
+    ]
+    assert notified
+    assert read_all_to_end(context, notified) == [None] * len(notified)
+    assert [stream.check.list_problems() for stream in notified] == [[]] * len(notified)
 
 
 @then("every other stream is whole or its caller hears that its fate is unknown")
 def check_unnotified_streams(context):
     others = [
-        stream for stream, moved in zip(context.streams, context.told, strict=True) if not moved
+        stream for stream, moved in zip(context.streams, context.notified, strict=True) if not moved
     ]
     for stream, refusal in zip(others, read_all_to_end(context, others), strict=True):
         assert stream.check.problems == []
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -29,9 +29,9 @@
     "order_timeout_ms": 1_000,
 }
 LONG_LEASE = {**CONTROLLER["lease"], "term_ms": 12_000, "renew_ms": 5_000}
-OLD_NUMBER = 1
+STALE_NUMBER = 1
 ORDER_DELAY_MS = 300
-PAUSES_TRIED = 5
+MAX_PAUSE_ATTEMPTS = 5
 
 
 @given(
@@ -89,7 +89,7 @@
 def pause_holder(context, holder, first, second):
     cluster = context.cluster
     cluster.set_link(first, delay_ms=ORDER_DELAY_MS)
-    for _ in range(PAUSES_TRIED):
+    for _ in range(MAX_PAUSE_ATTEMPTS):
         reset_engines(context)
         given_first, given_second = count_orders(context, first), count_orders(context, second)
         wait_until(lambda count=given_first: count_orders(context, first) > count, "an order")
@@ -182,7 +182,7 @@
 @when("an order of an older number to drain reaches both engines")
 def send_stale_order(context):
     wanted = {"models": [MODEL], "role": "mixed", "state": "drained"}
-    order = {"fencing": OLD_NUMBER, "wanted": wanted}
+    order = {"fencing": STALE_NUMBER, "wanted": wanted}
     context.answers = {
         name: call(context.cluster.get(name).addresses["http"], "POST", "/v1/orders", order).status
         for name in ENGINES
@@ -199,7 +199,7 @@
 def check_repaired(context, name):
     def is_repaired():
         last = context.cluster.read_stats(name)["orders"][-1]
-        return last["fencing"] > OLD_NUMBER and last["wanted"]["state"] == "serving"
+        return last["fencing"] > STALE_NUMBER and last["wanted"]["state"] == "serving"
 
     assert context.answers[name] == 200
     wait_until(is_repaired, f"{name} repaired")
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -12,7 +12,7 @@
 from hemlockswitch.process.servers.watchers import WATCHERS
 
 LIMIT_MS = 3_000
-WATCHED_MS = 4_500
+OBSERVATION_MS = 4_500
 NOTICE_MS = 60_000
 LONG_TOKENS = 150
 ADDRESSES = {"abdoun-hall": "127.1.0.1", "khalda-hall": "127.2.0.1"}
@@ -204,7 +204,7 @@
 
 @then('nothing began on "{name}" later than 3 s after the notice')
 def check_no_late_starts(context, name):
-    time.sleep(max(0, context.notice_at + WATCHED_MS / 1_000 - time.monotonic()))
+    time.sleep(max(0, context.notice_at + OBSERVATION_MS / 1_000 - time.monotonic()))
     wait_until(lambda: any(context.traffic.streams.values()), "an answer")
     begun = context.cluster.read_stats(name)["begun_after_leaving_ms"]
     late = [round(at_ms) for at_ms in begun if at_ms > LIMIT_MS]
@@ -222,7 +222,7 @@
 @then("every answer is whole")
 def check_answers(context):
     context.traffic.stop()
-    wrong = context.traffic.list_wrong()
+    wrong = context.traffic.list_failures()
     total = sum(len(streams) for streams in context.traffic.streams.values())
     assert total > 0 and not wrong, f"{len(wrong)} of {total}: {wrong[:3]}"
 
@@ -254,7 +254,7 @@
     for number in range(12):
         reply = context.cluster.call_service("/slots", {}, entry=names[number % len(names)])
         assert reply.status == 200, reply
-    time.sleep((WATCHED_MS - LIMIT_MS) / 1_000)
+    time.sleep((OBSERVATION_MS - LIMIT_MS) / 1_000)
     after = [count_runs(context, name) for name in context.drained]
     assert after == before, f"{context.drained}: {before} runs at 3 s, {after} later"
 
--- a/features/steps/limits_steps.py
+++ b/features/steps/limits_steps.py
@@ -22,7 +22,7 @@
 AUTHORIZATION = {"Authorization": f"Bearer {KEY}"}
 THREADS = 48
 BURST_S = 1
-LAST_S = 2
+LAST_PERIOD_S = 2
 SETTLE_LIMIT_S = 15
 
 
--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -57,8 +57,8 @@
 
 @when("{rate:d} mixed requests a second are sent for {seconds:d} seconds")
 def send_mixed(context, rate, seconds):
-    whole = {**CHAT, "stream": False}
-    run_load(context, rate, seconds, [{**CHAT, "weight": 2}, whole, CALL])
+    unstreamed_chat = {**CHAT, "stream": False}
+    run_load(context, rate, seconds, [{**CHAT, "weight": 2}, unstreamed_chat, CALL])
 
 
 @when("{rate:d} model requests a second are sent for {seconds:d} second")
@@ -67,7 +67,7 @@
 
 
 @then("the load program says that all answers are whole")
-def check_whole(context):
+def check_complete(context):
     assert context.results["requests"] > 0
     assert context.results["verdicts"] == {"whole": context.results["requests"]}, context.results
     assert context.exit_code == EXIT_OK
--- a/features/steps/not_run_steps.py
+++ b/features/steps/not_run_steps.py
@@ -77,12 +77,12 @@
             context.cluster.set_faults(name, **SERVER_FAULTS[fault])
 
 
-def heal(context, names, is_well):
+def heal(context, names, has_recovered):
     """Remove the faults and wait until the daemon uses the servers again."""
     for name in names:
         context.cluster.set_link(name)
         context.cluster.set_faults(name)
-    wait_until(is_well, f"{names} are used again")
+    wait_until(has_recovered, f"{names} are used again")
 
 
 def count_service_runs(context):
@@ -106,19 +106,19 @@
         last = now
 
 
-def call_broken(context, row):
+def call_with_fault(context, row):
     body = LONG_BODY if row["stage"] == "during send" else "short"
     deadline = str(DEADLINE_MS)
     return context.cluster.call_service(PATHS[row["operation"]], body, X_Deadline_Ms=deadline)
 
 
-def chat_broken(context, row):
+def chat_with_fault(context, row):
     text = LONG_PROMPT if row["stage"] == "during send" else "a short one"
     stream = context.cluster.chat(text, 8, X_Deadline_Ms=str(DEADLINE_MS)).read_all()
     return stream.reply or Reply(200, {}, stream.named[0].data.encode())
 
 
-def check_rows(context, names, send, count, agrees, is_well):
+def check_rows(context, names, send, count, agrees, has_recovered):
     """Send one request for each row under its fault, and collect all mismatches."""
     wrong = []
     for row in context.table:
@@ -126,7 +126,7 @@
         set_fault(context, names, row["fault"])
         reply = send(context, row)
         runs = wait_for_stable_count(count, context) - before
-        heal(context, names, is_well)
+        heal(context, names, has_recovered)
         error = reply.json["error"]
         if error["ran"] != row["ran"] or not agrees(runs, int(row["times"])):
             wrong.append(f"{list(row)}: ran {runs} times, answered {error}")
@@ -137,20 +137,20 @@
 
 @then("each call is answered as its stage allows, and the services' count agrees")
 def check_calls(context):
-    def is_well():
+    def has_recovered():
         replies = [context.cluster.call_service("/slots/1") for _ in range(4)]
         used = {reply.json["service"] for reply in replies if reply.status == 200}
         return used == set(SERVERS)
 
-    check_rows(context, SERVERS, call_broken, count_service_runs, operator.eq, is_well)
+    check_rows(context, SERVERS, call_with_fault, count_service_runs, operator.eq, has_recovered)
 
 
 @then("each model request is answered as its stage allows, and the engine's count agrees")
 def check_chats(context):
-    def is_well():
+    def has_recovered():
         return context.cluster.chat("are you well", 1).read_all().status == 200
 
-    check_rows(context, (ENGINE,), chat_broken, count_engine_runs, operator.le, is_well)
+    check_rows(context, (ENGINE,), chat_with_fault, count_engine_runs, operator.le, has_recovered)
 
 
 def send_raw(context, head, body=b""):
@@ -181,7 +181,7 @@
 
 def fill_and_chat(context, key):
     """Occupy the only permitted concurrent request, then send another."""
-    context.held = context.cluster.chat("hold on", 200, key=key).read_tokens(1)
+    context.running_stream = context.cluster.chat("hold on", 200, key=key).read_tokens(1)
     context.runs_allowed = 1
     return chat_of(context, key)
 
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -10,9 +10,9 @@
 from features.support.operator_files import MODEL, make_operator_file
 from features.support.processes import wait_until
 
-SOON_S = 2
-LATEST_FIRST_TOKEN_S = 5
-MOST_TRIES = 100
+REFUSAL_TIMEOUT_S = 2
+FIRST_TOKEN_TIMEOUT_S = 5
+MAX_ATTEMPTS = 100
 
 
 @dataclass
@@ -48,7 +48,7 @@
 
 def send_one(context, number, tokens, comes_back):
     burst = context.bursts[number]
-    for _ in range(MOST_TRIES if comes_back else 1):
+    for _ in range(MAX_ATTEMPTS if comes_back else 1):
         began = time.monotonic()
         burst.stream = context.cluster.chat(f"question {number}", tokens)
         burst.head_s = time.monotonic() - began
@@ -90,7 +90,7 @@
     for one in refused:
         assert one.stream.status == 503 and one.error["kind"] == "overloaded", one.error
         assert one.error["ran"] == "no" and one.error["retry_after_ms"] > 0, one.error
-        assert one.head_s < SOON_S, one
+        assert one.head_s < REFUSAL_TIMEOUT_S, one
 
 
 @then("the engine has run exactly the others")
@@ -102,7 +102,7 @@
 @then("no first token came later than 5 s")
 def check_first_tokens(context):
     latest = max(one.first_token_s for one in context.bursts)
-    assert latest < LATEST_FIRST_TOKEN_S, latest
+    assert latest < FIRST_TOKEN_TIMEOUT_S, latest
 
 
 @then("every one of them is answered whole in the end")
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -8,7 +8,7 @@
 from features.support.processes import wait_until
 
 ZONE = "abdoun-hall"
-DEADLY, HARMLESS = "this content ends its server", "harmless"
+CRASHING_CONTENT, HARMLESS_CONTENT = "this content ends its server", "harmless"
 
 
 @given(
@@ -20,7 +20,7 @@
     context.services = [f"service-{number}" for number in range(services)]
     context.entries = [f"entry-{number}" for number in range(entries)]
     for name in context.services:
-        cluster.launch_service(name, ends_on=DEADLY)
+        cluster.launch_service(name, ends_on=CRASHING_CONTENT)
         cluster.register(name, ZONE, SERVICE)
     cluster.apply(make_operator_file((ZONE,)))
     start_entries(context)
@@ -32,7 +32,8 @@
     for name in context.entries:
         context.cluster.wait_until_serving(context.cluster.get(name))
         wait_until(
-            lambda n=name: call_service(context, n, HARMLESS).status == 200, f"{name} serves calls"
+            lambda n=name: call_service(context, n, HARMLESS_CONTENT).status == 200,
+            f"{name} serves calls",
         )
 
 
@@ -51,7 +52,7 @@
     context.replies = []
     for turn in range(times):
         entry = context.entries[turn % len(context.entries)]
-        context.replies.append(call_service(context, entry, DEADLY))
+        context.replies.append(call_service(context, entry, CRASHING_CONTENT))
         time.sleep(seconds / times)
 
 
@@ -80,7 +81,8 @@
 def check_harmless(context, times):
     for entry in context.entries:
         statuses = [
-            call_service(context, entry, f"{HARMLESS} {turn}").status for turn in range(times)
+            call_service(context, entry, f"{HARMLESS_CONTENT} {turn}").status
+            for turn in range(times)
         ]
         assert statuses == [200] * times, statuses
 
@@ -88,6 +90,6 @@
 @then("the deadly call is refused by each entry daemon and no further service ends")
 def check_refused(context):
     for entry in context.entries:
-        reply = call_service(context, entry, DEADLY)
+        reply = call_service(context, entry, CRASHING_CONTENT)
         assert (reply.status, reply.json["error"]["kind"]) == (503, "quarantined"), reply
     assert count_ended(context) == context.ended_before
--- a/features/steps/storm_steps.py
+++ b/features/steps/storm_steps.py
@@ -14,7 +14,7 @@
 CHAT = {"kind": "chat", "model": MODEL, "prompt_words": [10, 60], "max_tokens": [60, 300]}
 CALL = {"kind": "call", "service": SERVICE, "path": "/confirmations", "keyed": True}
 MIX = [{**CHAT, "weight": 3}, {**CHAT, "stream": False}, CALL]
-PATIENCE_MS = 30_000
+CALLER_TIMEOUT_MS = 30_000
 SLOW = "the store takes "
 DOWN, UP = {"mode": "down"}, {}
 
@@ -50,7 +50,7 @@
         "entries": [item.addresses["callers"] for item in cluster.list_daemons()],
         "duration_ms": seconds * 1_000,
         "requests_per_s": rate,
-        "patience_ms": PATIENCE_MS,
+        "patience_ms": CALLER_TIMEOUT_MS,
         "accounts": [{"name": ACCOUNT, "key": KEY}],
         "mix": MIX,
     }
@@ -60,14 +60,14 @@
         due = begun + int(row["after_ms"]) / 1_000
         threading.Event().wait(max(due - time.monotonic(), 0))
         inject(context, row["fault"], row["names"], int(row["notice_ms"] or 0))
-    load.wait(seconds + 2 * PATIENCE_MS / 1_000)
+    load.wait(seconds + 2 * CALLER_TIMEOUT_MS / 1_000)
     for timer in context.timers:
         timer.join()
     context.results = json.loads(load.output_file.read_text())
 
 
 @then("every request got its own whole answer")
-def check_whole(context):
+def check_complete(context):
     results = context.results
     assert results["requests"] > 0
     assert results["verdicts"] == {"whole": results["requests"]}, (
--- a/features/steps/whole_answer_steps.py
+++ b/features/steps/whole_answer_steps.py
@@ -81,7 +81,7 @@
 
 @then("every caller has its own whole answer")
 def check_streams(context):
-    context.gathering.check_whole()
+    context.gathering.check_complete()
 
 
 @then("the first engine was asked")
--- a/features/support/gathering.py
+++ b/features/support/gathering.py
@@ -72,7 +72,7 @@
             found += [f"stream {number}: {problem}" for problem in problems]
         return found
 
-    def check_whole(self) -> None:
+    def check_complete(self) -> None:
         """Fail unless every answer is complete and correct and has a unique request id."""
         problems = self.list_problems()
         assert not problems, f"{len(problems)} problems: " + "; ".join(problems[:8])
--- a/features/support/keyed_calls.py
+++ b/features/support/keyed_calls.py
@@ -32,18 +32,18 @@
     return [reply.json["error"]["kind"] for reply in replies if reply.status >= 400]
 
 
-def choose_key(context, home):
+def choose_key(context, owner):
     """Return an unused key whose claim partition is owned by the daemon, and that partition."""
     for number in range(10_000):
         key = f"chosen{number}"
         partition = find_partition(digest_key(ACCOUNT, key))
-        is_home = rank_rendezvous(f"claims/{partition}", ENTRIES)[0] == home
-        if is_home and key not in context.sent:
+        is_owned = rank_rendezvous(f"claims/{partition}", ENTRIES)[0] == owner
+        if is_owned and key not in context.sent:
             return key, partition
-    raise AssertionError(f"{home} owns no claim partition")
+    raise AssertionError(f"{owner} owns no claim partition")
 
 
-def make_key_beside(context, key):
+def make_key_in_same_partition(context, key):
     """Return an unused key of the same partition."""
     partition = find_partition(digest_key(ACCOUNT, key))
     names = (f"beside{number}" for number in range(10_000))
@@ -54,5 +54,5 @@
     )
 
 
-def find_other_kind(reply, passing):
-    return None if list_kinds([reply]) == [passing] else reply
+def skip_refusal(reply, skipped_kind):
+    return None if list_kinds([reply]) == [skipped_kind] else reply
--- a/features/support/traffic.py
+++ b/features/support/traffic.py
@@ -51,7 +51,7 @@
         for thread in self._threads:
             thread.join(30)
 
-    def list_wrong(self) -> list[str]:
+    def list_failures(self) -> list[str]:
         """Return a line for each lost request and each incomplete or wrong answer."""
         return self.lost + [
             f"{name}: {stream.status} {stream.lost} {stream.reply} {stream.check.problems}"
--- a/features/support/zone_links.py
+++ b/features/support/zone_links.py
@@ -45,11 +45,11 @@
         self._connect(self._launch(name, zone))
 
     def _launch(self, name: str, zone: str, **settings: Any) -> Program:
-        known = self._names[zone]
-        if name not in known:
-            known.append(name)
+        zone_names = self._names[zone]
+        if name not in zone_names:
+            zone_names.append(name)
         content = {
-            "peer_listen": f"{self._find_prefix(zone)}{known.index(name) + 1}:0",
+            "peer_listen": f"{self._find_prefix(zone)}{zone_names.index(name) + 1}:0",
             "peer_advertise": self._cluster.add_link(f"peers-{name}"),
             "platform": self._platform[zone],
             **settings,
