--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -12,7 +12,7 @@
 from hemlockswitch.process.servers.watchers import WATCHERS
 
 LIMIT_MS = 3_000
-WATCHED_MS = 4_500
+OBSERVATION_MS = 4_500
 NOTICE_MS = 60_000
 LONG_TOKENS = 150
 ADDRESSES = {"abdoun-hall": "127.1.0.1", "khalda-hall": "127.2.0.1"}
@@ -31,7 +31,7 @@
 
 
 def start_cluster(context, daemons, engines):
-    """Start the named numbers of daemons and engines in each zone."""
+    """Start the given numbers of daemons and engines in each zone."""
     cluster = context.cluster
     cluster.launch_platform()
     for zone, count in engines.items():
@@ -46,7 +46,7 @@
 
 
 def send(context, entry, max_tokens=2) -> ChatStream:
-    """Send one request through a daemon and read its answer."""
+    """Send one request through a daemon and read the answer to its end."""
     return context.cluster.chat("is the hall free", max_tokens, entry=entry).read_all()
 
 
@@ -56,7 +56,7 @@
 
 
 def count_runs(context, name) -> int:
-    """Return what a backend server has run: an engine counts by request, a service in all."""
+    """Return the runs of a backend server; engines count by request, services in total."""
     runs = context.cluster.read_stats(name)["runs"]
     return runs if isinstance(runs, int) else sum(runs.values())
 
@@ -134,7 +134,7 @@
         status = get_json(program.addresses["control"], "/status")
         return sum(one["state"] == "alive" for one in status["members"]) == count
 
-    wait_until(has_joined, f"{program.name} knows {count} members")
+    wait_until(has_joined, f"{program.name} lists {count} members")
 
 
 def rank_daemons(context, zone):
@@ -143,7 +143,7 @@
 
 
 @given('steady requests through the daemon that does not watch for "{zone}"')
-def begin_through_rest(context, zone):
+def begin_through_other_daemons(context, zone):
     begin_traffic(context, rank_daemons(context, zone)[WATCHERS:])
 
 
@@ -203,8 +203,8 @@
 
 
 @then('nothing began on "{name}" later than 3 s after the notice')
-def check_nothing_late(context, name):
-    time.sleep(max(0, context.notice_at + WATCHED_MS / 1_000 - time.monotonic()))
+def check_no_late_starts(context, name):
+    time.sleep(max(0, context.notice_at + OBSERVATION_MS / 1_000 - time.monotonic()))
     wait_until(lambda: any(context.traffic.streams.values()), "an answer")
     begun = context.cluster.read_stats(name)["begun_after_leaving_ms"]
     late = [round(at_ms) for at_ms in begun if at_ms > LIMIT_MS]
@@ -222,7 +222,7 @@
 @then("every answer is whole")
 def check_answers(context):
     context.traffic.stop()
-    wrong = context.traffic.list_wrong()
+    wrong = context.traffic.list_failures()
     total = sum(len(streams) for streams in context.traffic.streams.values())
     assert total > 0 and not wrong, f"{len(wrong)} of {total}: {wrong[:3]}"
 
@@ -254,7 +254,7 @@
     for number in range(12):
         reply = context.cluster.call_service("/slots", {}, entry=names[number % len(names)])
         assert reply.status == 200, reply
-    time.sleep((WATCHED_MS - LIMIT_MS) / 1_000)
+    time.sleep((OBSERVATION_MS - LIMIT_MS) / 1_000)
     after = [count_runs(context, name) for name in context.drained]
     assert after == before, f"{context.drained}: {before} runs at 3 s, {after} later"
 
--- a/tests/soak/moving.py
+++ b/tests/soak/moving.py
@@ -1,4 +1,4 @@
-"""A service that moves to a new version in every soak: by the seed that is a good or a bad one."""
+"""The rollout of a new service version during a soak; the seed decides whether it is faulty."""
 
 import threading
 import time
@@ -11,15 +11,23 @@
 RUNNERS = 2
 ORDER_AFTER_S, RUNNERS_AFTER_S = 1.0, 0.5
 TIME_LIMIT_S = 6.0
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 BAD = {"fail": True, "every": 2}
-SETTLED_S = 5.0
-"""How long after the roll-back every gateway in touch knows of it."""
+SETTLE_S = 5.0
+"""Time after a rollback within which every connected gateway has observed the rollback."""
 
 
 @dataclass
-class Move:
-    """The move of one soak, as the operator and the runners saw it."""
+class Rollout:
+    """The rollout of one soak: its order, final state and runners.
+
+    Parameters
+    ==========
+
+    is_bad : whether the new version is faulty.
+    state : the final state of the order, empty while it is open.
+    old, new : the runners of the old and the new version.
+    """
 
     is_bad: bool
     ordered_s: float = 0.0
@@ -29,16 +37,16 @@
     new: list[SoakRunner] = field(default_factory=list)
 
 
-class Mover:
-    """Gives the order, starts the new runners, and does at its end what the platform does."""
+class RolloutDriver:
+    """Orders a rollout, starts the new runners and, once completed, ends the old ones."""
 
     def __init__(self, world: SoakWorld, seed: int) -> None:
-        self.move = Move(is_bad=seed % 2 == 1)
+        self.move = Rollout(is_bad=seed % 2 == 1)
         self._world = world
         self.move.old = [self._start("v1") for _ in range(RUNNERS)]
 
     def run(self, stop: threading.Event) -> None:
-        """Move until told to stop."""
+        """Drive the rollout until `stop` is set."""
         move, world = self.move, self._world
         if stop.wait(ORDER_AFTER_S):
             return
@@ -47,11 +55,11 @@
         if stop.wait(RUNNERS_AFTER_S):
             return
         move.new = [self._start("v2", **(BAD if move.is_bad else {})) for _ in range(RUNNERS)]
-        while not stop.wait(LOOK_S):
-            self._look()
+        while not stop.wait(POLL_INTERVAL_S):
+            self._poll()
 
-    def _look(self) -> None:
-        """Read the state, and stop the old runners once the order is completed."""
+    def _poll(self) -> None:
+        """Read the state of the order, and stop the old runners once it is completed."""
         stored = self._world.call_store("GET", f"/standin/objects/rollouts/{MOVED}")
         state = (stored["status"] or {}).get("state", "")
         if state in ("completed", "rolled_back") and not self.move.state:
