--- a/hemlockswitch/standin/engine_api.py
+++ b/hemlockswitch/standin/engine_api.py
@@ -182,7 +182,7 @@
         response.media = {"error": "stale_fencing", "highest": self._engine.highest_fencing}
 
 
-class Judge:
+class Harness:
     """``/standin/stats``, ``/standin/faults``, ``/standin/leaving`` and ``/standin/drain``."""
 
     def __init__(self, engine: Engine) -> None:
@@ -212,7 +212,7 @@
 def build_application(engine: Engine) -> Any:
     """Return the WSGI application of an engine."""
     application = make_application()
-    judge, reports, streams = Judge(engine), Reports(engine), Streams(engine)
+    harness, reports, streams = Harness(engine), Reports(engine), Streams(engine)
     application.add_route("/v1/chat/completions", Chat(engine))
     application.add_route("/v1/streams/{stream_id}", streams)
     application.add_route("/v1/streams/{stream_id}/cancel", streams, suffix="cancel")
@@ -223,10 +223,10 @@
     application.add_route("/v1/load", reports, suffix="load")
     application.add_route("/v1/cache-events", reports, suffix="events")
     application.add_route("/v1/orders", Orders(engine))
-    application.add_route("/standin/stats", judge, suffix="stats")
-    application.add_route("/standin/faults", judge, suffix="faults")
-    application.add_route("/standin/leaving", judge, suffix="leaving")
-    application.add_route("/standin/drain", judge, suffix="drain")
+    application.add_route("/standin/stats", harness, suffix="stats")
+    application.add_route("/standin/faults", harness, suffix="faults")
+    application.add_route("/standin/leaving", harness, suffix="leaving")
+    application.add_route("/standin/drain", harness, suffix="drain")
     return application
 
 
--- a/hemlockswitch/standin/gateway_store.py
+++ b/hemlockswitch/standin/gateway_store.py
@@ -181,9 +181,9 @@
         self._apply_faults(resp)
         body = req.get_media()
         name = body["metadata"]["name"]
-        known = self._store.list_kind(kind).get(name)
-        if known is not None:
-            resp.status, resp.media = 409, known.render()
+        existing = self._store.list_kind(kind).get(name)
+        if existing is not None:
+            resp.status, resp.media = 409, existing.render()
             return
         resp.media = self._store.put(kind, name, body.get("spec")).render()
         self._lose_answer(req)
@@ -210,12 +210,12 @@
     ) -> None:
         self._apply_faults(resp)
         body = req.get_media()
-        known = self._store.list_kind(kind).get(name)
-        if known is None:
+        existing = self._store.list_kind(kind).get(name)
+        if existing is None:
             raise falcon.HTTPNotFound
         expected = body["metadata"].get("revision")
-        if expected is not None and expected != known.revision:
-            resp.status, resp.media = 409, known.render()
+        if expected is not None and expected != existing.revision:
+            resp.status, resp.media = 409, existing.render()
             return
         resp.media = write(body).render()
         self._lose_answer(req)
--- a/hemlockswitch/standin/service.py
+++ b/hemlockswitch/standin/service.py
@@ -172,7 +172,7 @@
         response.media = self._service.report_load()
 
 
-class Judge:
+class Harness:
     """``/standin/stats``, ``/standin/faults`` and ``/standin/leaving``."""
 
     def __init__(self, service: Service) -> None:
@@ -197,10 +197,10 @@
 def build_application(service: Service) -> Any:
     """Return the WSGI application of a service."""
     application = make_application()
-    judge = Judge(service)
-    application.add_route("/standin/stats", judge, suffix="stats")
-    application.add_route("/standin/faults", judge, suffix="faults")
-    application.add_route("/standin/leaving", judge, suffix="leaving")
+    harness = Harness(service)
+    application.add_route("/standin/stats", harness, suffix="stats")
+    application.add_route("/standin/faults", harness, suffix="faults")
+    application.add_route("/standin/leaving", harness, suffix="leaving")
     application.add_route("/v1/load", Report(service))
     application.add_sink(Calls(service), prefix=r"/(?P<path>.*)")
     return application
