--- a/tests/test_comments.py
+++ b/tests/test_comments.py
@@ -15,6 +15,11 @@
     "a date": r"\b20\d\d-\d\d-\d\d\b(?!T)",
     "an issue": r"\bissue #?\d",
     "a site": r"\b(qafza|driftwood|tegangan)-\w+",
+    "how a value was found": r"\b(chosen,? not measured|measured,? not chosen|chosen by (trial|hand))\b",
+    "a verb of people for a machine": (
+        r"\b(daemon|gateway|server|process|controller|watcher|member|peer|engine|client|service|store)s? "
+        r"(has |have )?(hears?|heard|tells?|told|knows?|knew|believes?|believed|wishes|forgets?|forgot)\b"
+    ),
     "figures of one run": r"\b(took|gave|came to|left) \d[\d.,]* (of the|requests|ms of)\b",
 }
 
@@ -39,6 +44,9 @@
         ("a run with seeds", "In tests/herd_replay.py, seeds 1 to 3, it rises."),
         ("what a trial earned", "0.4 earned 0.346 of the worth"),
         ("a site", "as on qafza-book"),
+        ("how a value was found", "Chosen, not measured."),
+        ("a verb of people for a machine", "while other gateways have heard nothing"),
+        ("a verb of people for a machine", "What the daemon knows of its zone."),
         ("figures of one run", "it took 0.9 ms of the 1.9 ms"),
     ],
 )
