--- a/features/steps/whole_answer_steps.py
+++ b/features/steps/whole_answer_steps.py
@@ -9,7 +9,7 @@
 from features.support.operator_files import KEY, MODEL
 from features.support.processes import wait_until
 from hemlockswitch.standin.answers import join_prompt
-from hemlockswitch.standin.verification import check_whole_answer
+from hemlockswitch.standin.verification import check_complete_answer
 
 ZONE = "abdoun-hall"
 ENTRY = f"entry-{ZONE}-1"
@@ -95,6 +95,6 @@
     for body, reply in zip(context.asked, context.replies, strict=True):
         assert reply.status == 200, reply
         prompt = join_prompt(body["messages"])
-        problems = check_whole_answer(reply.json, MODEL, prompt, body["max_tokens"])
+        problems = check_complete_answer(reply.json, MODEL, prompt, body["max_tokens"])
         assert not problems, problems
         assert reply.json["id"] == reply.headers["x-request-id"]
--- a/features/support/calls.py
+++ b/features/support/calls.py
@@ -150,7 +150,7 @@
         if event.name:
             self.named.append(event)
         else:
-            self.check.take(event)
+            self.check.check_event(event)
         return True
 
     def read_tokens(self, count: int) -> "ChatStream":
--- a/hemlockswitch/connection/backend_pool.py
+++ b/hemlockswitch/connection/backend_pool.py
@@ -220,23 +220,23 @@
         method: str,
         is_own: IsOwn,
         *,
-        most_idle_ms: float,
+        max_idle_ms: float,
         timeout_ms: float,
     ) -> PooledExchange:
-        """Return an exchange on a connection that was idle for at most `most_idle_ms`, or on a new one.
+        """Return an exchange on a connection that was idle for at most `max_idle_ms`, or on a new one.
 
         Raises
         ======
 
         ExchangeError : no connection could be opened; nothing was sent.
         """
-        pooled = self._take_idle(address, most_idle_ms)
+        pooled = self._take_idle(address, max_idle_ms)
         if pooled is not None:
             return PooledExchange(pooled, address, method, is_own, is_new=False)
         connection = self._connect(address, timeout_ms)
         return PooledExchange(connection, address, method, is_own)
 
-    def warm(self, address: str, timeout_ms: float) -> None:
+    def preconnect(self, address: str, timeout_ms: float) -> None:
         """Open a connection and add it to the pool.
 
         Raises
@@ -266,7 +266,7 @@
         now_ms = self._clock.now_ms()
         idle.append(_IdleConnection(exchange.detach(), now_ms, now_ms + keep_ms))
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to a server that is leaving or was removed."""
         for pooled in self._idle.pop(address, ()):
             pooled.connection.close()
@@ -281,12 +281,12 @@
             if not idle:
                 del self._idle[address]
 
-    def _take_idle(self, address: str, most_idle_ms: float) -> socket.socket | None:
+    def _take_idle(self, address: str, max_idle_ms: float) -> socket.socket | None:
         idle = self._idle.get(address)
         now_ms = self._clock.now_ms()
         while idle:
             pooled = idle.pop()
-            usable = now_ms - pooled.idle_since_ms <= most_idle_ms and now_ms < pooled.expires_ms
+            usable = now_ms - pooled.idle_since_ms <= max_idle_ms and now_ms < pooled.expires_ms
             if usable and not _is_readable(pooled.connection):
                 return pooled.connection
             pooled.connection.close()
--- a/hemlockswitch/connection/backends.py
+++ b/hemlockswitch/connection/backends.py
@@ -174,7 +174,7 @@
                     "the server closed the connection before the end of the answer",
                 )
 
-    def read_whole(self) -> BackendAnswer:
+    def read_complete(self) -> BackendAnswer:
         """Read the complete answer, of at most `MAX_ANSWER_BYTES`."""
         self.read_head()
         pieces = []
@@ -264,7 +264,7 @@
             stage = Stage.AFTER_SEND
             exchange.read_head()
             stage = Stage.DURING_ANSWER
-            return exchange.read_whole()
+            return exchange.read_complete()
         except gevent.Timeout as expired:
             if expired is not timeout:
                 raise
--- a/hemlockswitch/connection/forward_server.py
+++ b/hemlockswitch/connection/forward_server.py
@@ -20,7 +20,7 @@
 from hemlockswitch.core.errors import ErrorKind, RequestError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.version.serving_table import CallerBounds
+from hemlockswitch.version.serving_table import CallerLimits
 
 READ_EVENT = 1
 READ_BYTES = 65_536
@@ -44,7 +44,7 @@
     BODY = auto()
 
 
-def _start_timer(phase: ReadPhase, bounds: CallerBounds) -> gevent.Timeout:
+def _start_timer(phase: ReadPhase, bounds: CallerLimits) -> gevent.Timeout:
     """Start the timer that limits the duration of a phase."""
     limit_ms = bounds.head_timeout_ms if phase is ReadPhase.HEAD else bounds.idle_timeout_ms
     timer = gevent.Timeout(limit_ms / MS_PER_SECOND)
@@ -298,7 +298,7 @@
         self,
         address: tuple[str, int],
         handler: Handler,
-        get_bounds: Callable[[], CallerBounds],
+        get_bounds: Callable[[], CallerLimits],
         clock: Clock,
     ) -> None:
         self.handler = handler
--- a/hemlockswitch/connection/page_server.py
+++ b/hemlockswitch/connection/page_server.py
@@ -11,7 +11,7 @@
 from hemlockswitch.connection.forward_server import ForwardServer, Reply
 from hemlockswitch.connection.heads import ReceivedRequest
 from hemlockswitch.core.clock import Clock
-from hemlockswitch.version.serving_table import CallerBounds
+from hemlockswitch.version.serving_table import CallerLimits
 
 READ_METHODS = frozenset({"GET", "HEAD"})
 JSON_TYPE = "application/json"
@@ -44,7 +44,7 @@
         self, address: tuple[str, int], pages: Mapping[str, PageBuilder], clock: Clock
     ) -> None:
         self._pages = pages
-        bounds = CallerBounds()
+        bounds = CallerLimits()
         self._server = ForwardServer(address, self._answer, lambda: bounds, clock)
 
     def start(self) -> str:
--- a/hemlockswitch/connection/peers.py
+++ b/hemlockswitch/connection/peers.py
@@ -48,7 +48,7 @@
     """The handler of a message type, and whether it runs in the reading task of the stream."""
 
     handler: Handler
-    quick: bool
+    runs_inline: bool
 
 
 @dataclass
@@ -144,16 +144,16 @@
                 return
             gevent.sleep(FLUSH_POLL_INTERVAL_S)
 
-    def handle(self, message_type: type, handler: Handler, *, quick: bool = False) -> None:
+    def handle(self, message_type: type, handler: Handler, *, runs_inline: bool = False) -> None:
         """Register `handler` for messages of `message_type`.
 
         Parameters
         ==========
 
-        quick : the handler never waits; it runs in the reading task of the stream, in the order in
+        runs_inline : the handler never waits; it runs in the reading task of the stream, in the order in
             which messages are received.
         """
-        self._handlers[message_type] = _Registration(handler, quick)
+        self._handlers[message_type] = _Registration(handler, runs_inline)
 
     def send(self, address: str, message: Any) -> bool:
         """Queue a one-way message; return whether it could be queued."""
@@ -288,7 +288,7 @@
     def _dispatch(self, link: Link, frame: Frame, message: Any) -> None:
         registration = self._handlers.get(type(message), _UNHANDLED)
         handler = registration.handler
-        if registration.quick:
+        if registration.runs_inline:
             self._answer(link, frame, message, handler)
         elif self._workers.full():
             self._reply(
@@ -331,4 +331,4 @@
     return Refusal(ErrorKind.BAD_REQUEST, f"no handler for messages with tag {message.tag!r}")
 
 
-_UNHANDLED = _Registration(_refuse, quick=True)
+_UNHANDLED = _Registration(_refuse, runs_inline=True)
--- a/hemlockswitch/connection/platform_calls.py
+++ b/hemlockswitch/connection/platform_calls.py
@@ -67,7 +67,7 @@
 
     def close(self) -> None:
         """Close the idle connections."""
-        self._pool.forget(self._address)
+        self._pool.close_idle(self._address)
 
     def call(
         self,
@@ -138,7 +138,7 @@
                 self._address,
                 method,
                 lambda _: True,
-                most_idle_ms=MAX_IDLE_MS,
+                max_idle_ms=MAX_IDLE_MS,
                 timeout_ms=self._timeout_ms,
             )
         except ExchangeError as error:
--- a/hemlockswitch/core/errors.py
+++ b/hemlockswitch/core/errors.py
@@ -142,13 +142,13 @@
 class RequestError(HemlockError):
     """An error that is returned as the answer to one caller's request."""
 
-    def restate(self, ran: Ran) -> "RequestError":
+    def replace_ran(self, ran: Ran) -> "RequestError":
         """Return a copy of this error with `ran` replaced.
 
         Examples
         ========
 
-        >>> RequestError(ErrorKind.NO_BACKEND, "none is left").restate(Ran.UNKNOWN).answer
+        >>> RequestError(ErrorKind.NO_BACKEND, "none is left").replace_ran(Ran.UNKNOWN).answer
         Answer(status=503, ran=<Ran.UNKNOWN: 'unknown'>, retry_after_ms=2000)
         """
         retry_after_ms = self.answer.retry_after_ms
--- a/hemlockswitch/platform/manifest.py
+++ b/hemlockswitch/platform/manifest.py
@@ -5,8 +5,8 @@
 from hemlockswitch.core.errors import ConfigurationError, ErrorKind
 from hemlockswitch.platform.bodies import Body, read_value
 from hemlockswitch.version.serving_table import (
-    CallerBounds,
-    EngineTraits,
+    CallerLimits,
+    EngineCapacity,
     ForwardedAccount,
     ForwardedService,
     RequestKind,
@@ -139,7 +139,7 @@
     return ForwardedService(
         name=body.name,
         max_connections=body.max_conns,
-        engine=EngineTraits(engine.slots, engine.kv_capacity_tokens) if engine else None,
+        engine=EngineCapacity(engine.slots, engine.kv_capacity_tokens) if engine else None,
         scaling=_build_scaling(scaling) if scaling else None,
     )
 
@@ -154,10 +154,10 @@
     )
 
 
-def _build_bounds(body: _LimitsBody | None) -> CallerBounds:
+def _build_bounds(body: _LimitsBody | None) -> CallerLimits:
     if body is None:
-        return CallerBounds()
-    return CallerBounds(
+        return CallerLimits()
+    return CallerLimits(
         max_head_bytes=body.max_header_bytes,
         max_body_bytes=body.max_body_bytes,
         head_timeout_ms=body.header_timeout_ms,
@@ -172,7 +172,7 @@
             name=body.name,
             priority=body.priority,
             counts_tokens=body.unit == "token_stream",
-            plain_tokens=body.plain_tokens,
+            uncounted_request_tokens=body.plain_tokens,
             rate_per_s=body.rate_per_s,
             burst=body.burst,
         )
--- a/hemlockswitch/platform/rollouts.py
+++ b/hemlockswitch/platform/rollouts.py
@@ -43,7 +43,7 @@
         service=body.service,
         target=body.to,
         time_limit_ms=body.duration_s * MS_PER_SECOND,
-        created=item.created,
+        created_version=item.created,
         state=_read_state(item, body.to),
         version=item.version,
     )
--- a/hemlockswitch/process/copies/observed_zone.py
+++ b/hemlockswitch/process/copies/observed_zone.py
@@ -95,7 +95,7 @@
         self.vms: dict[str, ListedVm] = {}
         self.meter = DemandMeter(sources.clock, shrink_after_ms)
         self._sources = sources
-        self._gone_after_ms = gone_after_ms
+        self._removal_delay_ms = gone_after_ms
         self._is_open = is_open
         self._loads = ZoneLoads(sources.orders)
         self._prices: dict[MachineClass, float] = dict(DEFAULT_PRICES)
@@ -138,7 +138,7 @@
         """Return whether a VM has been unlisted for the removal delay and is unreachable."""
         now_ms = self._sources.clock.now_ms()
         last_ms = self._last_listed_ms.setdefault(record.vm, now_ms)
-        if record.vm in self.vms or now_ms - last_ms < self._gone_after_ms:
+        if record.vm in self.vms or now_ms - last_ms < self._removal_delay_ms:
             return False
         return not self._sources.orders.is_reachable(record.address)
 
--- a/hemlockswitch/process/departure.py
+++ b/hemlockswitch/process/departure.py
@@ -108,11 +108,11 @@
 
     def _serve_peers(self) -> None:
         network = self._cluster_state.network
-        network.handle(HandOver, self.store.put, quick=True)
-        network.handle(FindState, self.store.find, quick=True)
-        network.handle(TakeState, self.store.reserve, quick=True)
-        network.handle(ConfirmTake, self.store.confirm, quick=True)
-        network.handle(DropState, self.store.drop, quick=True)
+        network.handle(HandOver, self.store.put, runs_inline=True)
+        network.handle(FindState, self.store.find, runs_inline=True)
+        network.handle(TakeState, self.store.reserve, runs_inline=True)
+        network.handle(ConfirmTake, self.store.confirm, runs_inline=True)
+        network.handle(DropState, self.store.drop, runs_inline=True)
 
     def _handle_notice(self, item: GossipItem) -> None:
         if item.key != f"{NOTICE_PREFIX}{self._settings.name}" or item.value is None:
--- a/hemlockswitch/process/gateway/change_relay.py
+++ b/hemlockswitch/process/gateway/change_relay.py
@@ -89,8 +89,8 @@
         self._clock = clock
         self._gathered: list[ChangeReport] = []
         self._arrived = Signal()
-        network.handle(ChangeReport, self.apply_report, quick=True)
-        network.handle(RelayedChanges, self._apply_relayed, quick=True)
+        network.handle(ChangeReport, self.apply_report, runs_inline=True)
+        network.handle(RelayedChanges, self._apply_relayed, runs_inline=True)
 
     @property
     def has_gathered(self) -> bool:
--- a/hemlockswitch/process/gateway/configuration.py
+++ b/hemlockswitch/process/gateway/configuration.py
@@ -6,7 +6,7 @@
 from hemlockswitch.core.errors import ConfigurationError
 from hemlockswitch.core.events import Event
 from hemlockswitch.core.logs import log_event
-from hemlockswitch.version.serving_table import CallerBounds, ServingTable
+from hemlockswitch.version.serving_table import CallerLimits, ServingTable
 
 Decoder = Callable[[StoredObject], ServingTable]
 
@@ -27,9 +27,9 @@
         self._decode = decode
 
     @property
-    def bounds(self) -> CallerBounds:
+    def bounds(self) -> CallerLimits:
         """Limits on callers' requests; defaults before the first configuration."""
-        return self.current.bounds if self.current is not None else CallerBounds()
+        return self.current.bounds if self.current is not None else CallerLimits()
 
     def replace_all(self, page: ObjectPage) -> None:
         """Apply a complete list of objects."""
--- a/hemlockswitch/process/gateway/daemon.py
+++ b/hemlockswitch/process/gateway/daemon.py
@@ -336,7 +336,7 @@
             self.models.fit()
 
     def _evict_server(self, server: BackendServer) -> None:
-        self.pool.forget(server.address)
+        self.pool.close_idle(server.address)
         self.reachability.evict(server)
         self.loads.evict(server.incarnation)
 
--- a/hemlockswitch/process/gateway/followed_objects.py
+++ b/hemlockswitch/process/gateway/followed_objects.py
@@ -77,7 +77,7 @@
         self._watches: dict[str, RelayedWatch] = {}
         self._transits = TransitTimes(clock)
         self._clock = clock
-        network.handle(WatchedPage, self._queue_page, quick=True)
+        network.handle(WatchedPage, self._queue_page, runs_inline=True)
         self.configuration = self._follow(adapter.config_kind, tables)
         self.servers = self._follow(adapter.server_kind, registry, self._get_settle_ms)
         self.followers = [self.configuration, self.servers]
--- a/hemlockswitch/process/gateway/freshness.py
+++ b/hemlockswitch/process/gateway/freshness.py
@@ -74,7 +74,7 @@
         self._fleet = fleet
         self._followers = followers
         self._clock = clock
-        network.handle(VersionConfirmation, self._apply, quick=True)
+        network.handle(VersionConfirmation, self._apply, runs_inline=True)
 
     def send(self, follower: ObjectFollower) -> None:
         """Send a confirmation to every gateway of a small fleet, or to one relay of each zone."""
--- a/hemlockswitch/process/gateway/prober.py
+++ b/hemlockswitch/process/gateway/prober.py
@@ -64,7 +64,7 @@
         """Return whether a connection to a server opened; the connection is kept for a request."""
         began_ms = self._clock.now_ms()
         try:
-            self._pool.warm(server.address, timeout_ms)
+            self._pool.preconnect(server.address, timeout_ms)
         except ExchangeError:
             return False
         self._reachability.record_connected(server, self._clock.now_ms() - began_ms)
--- a/hemlockswitch/process/gateway/registry.py
+++ b/hemlockswitch/process/gateway/registry.py
@@ -116,7 +116,7 @@
         listed = {item.name for item in page.items if not item.deleted}
         self._apply(page)
         missing = [name for name in self._servers if name not in listed]
-        is_lapse = self._looks_like_lapse(missing)
+        is_lapse = self._is_lapse(missing)
         for name in missing:
             self._remove(name, is_lapse=is_lapse)
         self._log_changes(page.source)
@@ -128,14 +128,14 @@
 
     def _apply(self, page: ObjectPage) -> None:
         removed = [item.name for item in page.items if item.deleted]
-        is_lapse = self._looks_like_lapse(removed)
+        is_lapse = self._is_lapse(removed)
         for item in page.items:
             if item.deleted:
                 self._remove(item.name, is_lapse=is_lapse)
             else:
                 self._put(item)
 
-    def _looks_like_lapse(self, removed: list[str]) -> bool:
+    def _is_lapse(self, removed: list[str]) -> bool:
         """Return whether entries were removed because their heartbeats could not be written."""
         live = {name for name, one in self._servers.items() if one.state is BackendState.LIVE}
         lapsed = live.intersection(removed)
--- a/hemlockswitch/process/gateway/reports.py
+++ b/hemlockswitch/process/gateway/reports.py
@@ -78,9 +78,9 @@
         self._get_view = get_view
         self._clock = clock
         self._last_number = 0
-        network.handle(GatewayReport, self._apply_report, quick=True)
-        network.handle(SpendingReport, self._apply_spending, quick=True)
-        network.handle(UsageReport, self._apply_usage, quick=True)
+        network.handle(GatewayReport, self._apply_report, runs_inline=True)
+        network.handle(SpendingReport, self._apply_spending, runs_inline=True)
+        network.handle(UsageReport, self._apply_usage, runs_inline=True)
 
     def send_near(self) -> None:
         """Send a complete report to the near gateways."""
--- a/hemlockswitch/process/gateway/rollout_duty.py
+++ b/hemlockswitch/process/gateway/rollout_duty.py
@@ -107,7 +107,7 @@
         began_unix_ms = self._fleet_clock.now_ms() - progress.get_age_ms(now_ms)
         value = {
             "target": order.target,
-            "created": order.created,
+            "created": order.created_version,
             "began_unix_ms": round(began_unix_ms),
         }
         found = self._store.read(RECORD_KIND, order.service)
@@ -225,7 +225,7 @@
 def _belongs_to_order(value: Any, order: RolloutOrder) -> bool:
     """Return whether a stored record belongs to this order."""
     try:
-        is_same = (value["target"], value["created"]) == (order.target, order.created)
+        is_same = (value["target"], value["created"]) == (order.target, order.created_version)
         return is_same and float(value["began_unix_ms"]) >= 0
     except (TypeError, KeyError, ValueError) as error:
         log_event(
--- a/hemlockswitch/process/gateway/suspect_exchange.py
+++ b/hemlockswitch/process/gateway/suspect_exchange.py
@@ -63,7 +63,7 @@
         self._fleet = fleet
         self._quarantine = quarantine
         self._clock = clock
-        network.handle(SuspectReport, self.apply_report, quick=True)
+        network.handle(SuspectReport, self.apply_report, runs_inline=True)
 
     def run(self) -> None:
         """Send changed records until the task is killed."""
--- a/hemlockswitch/process/gossip/gossip.py
+++ b/hemlockswitch/process/gossip/gossip.py
@@ -85,9 +85,9 @@
         for item in gossip_state.list_items():
             self._record_item(item)
         gossip_state.add_listener("", self._record_item)
-        network.handle(GossipItems, self._receive_items, quick=True)
-        network.handle(Compare, self._answer_compare, quick=True)
-        network.handle(Fetch, self._answer_fetch, quick=True)
+        network.handle(GossipItems, self._receive_items, runs_inline=True)
+        network.handle(Compare, self._answer_compare, runs_inline=True)
+        network.handle(Fetch, self._answer_fetch, runs_inline=True)
 
     def start(self, list_peers: Callable[[], Iterable[Member]]) -> None:
         """Start sending items to the members that `list_peers` returns."""
--- a/hemlockswitch/process/gossip/retrieval.py
+++ b/hemlockswitch/process/gossip/retrieval.py
@@ -48,7 +48,7 @@
         self._lacks = lacks
         self._receive = receive
         self._in_progress: dict[str, Retrieval] = {}
-        network.handle(Have, self._handle_announcement, quick=True)
+        network.handle(Have, self._handle_announcement, runs_inline=True)
 
     def _handle_announcement(self, sender: str, message: Have) -> None:
         wanted: dict[str, int] = {}
--- a/hemlockswitch/process/lease.py
+++ b/hemlockswitch/process/lease.py
@@ -232,8 +232,8 @@
         now_ms = self._clock.now_ms()
         if before is None or now_ms - before.since_ms > two_renewals_ms:
             return self._times.renew_ms * 1.5
-        rest_ms = self._times.look_ms * max(1, self._count_candidates())
-        return rest_ms * random.uniform(0.5, 1.5)
+        remaining_ms = self._times.look_ms * max(1, self._count_candidates())
+        return remaining_ms * random.uniform(0.5, 1.5)
 
     def _take(self, found: StoredObject) -> float:
         self._recent_holders = [
--- a/hemlockswitch/process/membership/probes.py
+++ b/hemlockswitch/process/membership/probes.py
@@ -142,7 +142,7 @@
         self._list_live = list_live
         self._report = report
         self._busy: set[str] = set()
-        network.handle(Probe, self._answer_probe, quick=True)
+        network.handle(Probe, self._answer_probe, runs_inline=True)
         network.handle(ProbeFor, self._answer_probe_for)
 
     def run(self) -> None:
--- a/hemlockswitch/process/revisions/applying.py
+++ b/hemlockswitch/process/revisions/applying.py
@@ -170,7 +170,7 @@
         self, checked: CheckedFile, base: CurrentRevision, revision: Revision, seen: int | None
     ) -> ApplyResult:
         """Rewrite the pointer with its current value, to detect that `base` is a stale read."""
-        outcome = self._write_until_known(
+        outcome = self._write_until_confirmed(
             lambda: self._objects.update(
                 POINTER_KIND, CURRENT_POINTER, revision.to_pointer(), base.version
             )
@@ -193,7 +193,7 @@
                 self._clock.wall_ms(),
             )
         )
-        outcome = self._write_until_known(lambda: self._move_pointer(proposal, base), proposal)
+        outcome = self._write_until_confirmed(lambda: self._move_pointer(proposal, base), proposal)
         if isinstance(outcome, Written):
             return self._report(proposal, base, outcome.version)
         return self._resolve_conflict(checked, proposal, base, outcome.version)
@@ -220,7 +220,7 @@
         """Create the revision object with the first free number."""
         while True:
             number, value = proposal.number, proposal.to_value()
-            outcome = self._write_until_known(
+            outcome = self._write_until_confirmed(
                 lambda: self._objects.create(REVISION_KIND, str(number), value)  # noqa: B023
             )
             if isinstance(outcome, Written) or self._is_own(proposal):
@@ -248,7 +248,7 @@
             revision = self._store.read_revision(revision.previous) if revision.previous else None
         return revision is not None and revision.apply_id == proposal.apply_id
 
-    def _write_until_known(
+    def _write_until_confirmed(
         self, write: Callable[[], WriteOutcome], proposal: Revision | None = None
     ) -> Written | Conflict:
         """Send a conditional write until the service confirms its outcome.
--- a/hemlockswitch/process/servers/zones.py
+++ b/hemlockswitch/process/servers/zones.py
@@ -22,8 +22,8 @@
 from hemlockswitch.process.servers.backends import ZONE_OFFER_EXPIRY_MS, BackendDirectory
 from hemlockswitch.version.backend import BackendServer
 
-ASK_INTERVAL_MS = 500
-ASK_TIMEOUT_MS = 500
+QUERY_INTERVAL_MS = 500
+QUERY_TIMEOUT_MS = 500
 MIN_LOCAL_SERVERS = 8
 MAX_OFFERED_SERVERS = 8
 MAX_OFFERED_LEAVING = 1_000
@@ -157,8 +157,8 @@
         """Query one zone periodically until killed."""
         while True:
             if self.is_needed():
-                self.ask_zone(zone)
-            self._clock.sleep_ms(ASK_INTERVAL_MS * random.uniform(0.75, 1.25))
+                self.query_zone(zone)
+            self._clock.sleep_ms(QUERY_INTERVAL_MS * random.uniform(0.75, 1.25))
 
     def is_needed(self) -> bool:
         """Return whether the local zone has few servers of any target, or overflowed recently."""
@@ -173,7 +173,7 @@
         zones = set(self._list_addresses()) - {self._directory.zone}
         return rank_rendezvous(self._own_name, zones)[:MAX_QUERIED_ZONES]
 
-    def ask_zone(self, zone: str) -> None:
+    def query_zone(self, zone: str) -> None:
         """Query a daemon of the zone, and record its offer or that the zone is unresponsive."""
         addresses = self._list_addresses().get(zone, [])
         state = self._states.setdefault(zone, _ZoneState())
@@ -201,7 +201,7 @@
 
         PeerError : the daemon does not answer, or was paused itself.
         """
-        offer = self._network.ask(address, ZoneQuestion(self._own_name, 0), ASK_TIMEOUT_MS)
+        offer = self._network.ask(address, ZoneQuestion(self._own_name, 0), QUERY_TIMEOUT_MS)
         for name in offer.leaving:
             self._directory.record_leaving(name)
 
@@ -209,7 +209,7 @@
         if not addresses:
             raise PeerError(ErrorKind.PEER_UNAVAILABLE, "no live daemon of the zone is recorded")
         question = ZoneQuestion(self._own_name, digest)
-        return self._network.ask(random.choice(addresses), question, ASK_TIMEOUT_MS)
+        return self._network.ask(random.choice(addresses), question, QUERY_TIMEOUT_MS)
 
     def _record_silence(self, zone: str, state: _ZoneState) -> None:
         if state.silent or state.answered_ms is None:
--- a/hemlockswitch/process/shares/record.py
+++ b/hemlockswitch/process/shares/record.py
@@ -233,7 +233,7 @@
             return _build_reply(current)
         if current is None:
             self._replace_earlier(ask.member)
-        held = Granted(_reduce_to_kept(current, ask), {}, {})
+        held = Granted(_reduce_to_retained(current, ask), {}, {})
         entry = Entry(ask.member, ask.incarnation, ask.counter, held)
         self.entries[key] = entry
         if ask.leaving and not any(units != NOTHING for units in held.grants.values()):
@@ -266,7 +266,7 @@
             entry.held.grants[account] = has + wanted.limit(self.count_free(account, total, watch))
 
 
-def _reduce_to_kept(current: Entry | None, ask: RenewShares) -> dict[str, Units]:
+def _reduce_to_retained(current: Entry | None, ask: RenewShares) -> dict[str, Units]:
     if current is None:
         return {}
     kept = decode_grants(ask.kept)
--- a/hemlockswitch/process/shares/renewal.py
+++ b/hemlockswitch/process/shares/renewal.py
@@ -87,7 +87,7 @@
     def renew(self) -> bool:
         """Send one renewal; return whether it was stored."""
         self._counter += 1
-        reduced = self._book.reduce_to(self._find_kept())
+        reduced = self._book.reduce_to(self._find_retained())
         sent_ms = self._clock.now_ms()
         ask = RenewShares(
             member=self._parts.name,
@@ -144,7 +144,7 @@
                 continue
         return None
 
-    def _find_kept(self) -> dict[str, Units]:
+    def _find_retained(self) -> dict[str, Units]:
         """Return the units to keep: at least the even part and the units lent or in use."""
         kept = {}
         for account, part in self._parts.find_own().items():
--- a/hemlockswitch/process/status/zone_status.py
+++ b/hemlockswitch/process/status/zone_status.py
@@ -107,7 +107,7 @@
         self._version = 0
         self._wake_report = Signal()
         self._wake_write = Signal()
-        network.handle(DaemonReport, self._receive_report, quick=True)
+        network.handle(DaemonReport, self._receive_report, runs_inline=True)
 
     def report_soon(self) -> None:
         """Request a report before the interval is over, without blocking."""
--- a/hemlockswitch/request/attempt.py
+++ b/hemlockswitch/request/attempt.py
@@ -187,7 +187,7 @@
             with gevent.Timeout(timeout_ms / MS_PER_SECOND, lost):
                 status = exchange.read_head()
                 if status != HTTPStatus.OK:
-                    _raise_refusal(status, exchange.read_whole().body)
+                    _raise_refusal(status, exchange.read_complete().body)
         except ExchangeError as failure:
             resumable = failure.stage is not Stage.BEFORE_SEND
             raise AttemptLostError(failure.detail, failure.answer.ran, resumable) from failure
--- a/hemlockswitch/request/forward_admission.py
+++ b/hemlockswitch/request/forward_admission.py
@@ -104,7 +104,7 @@
     if not account.counts_tokens:
         return 1.0
     if facts.prompt is None:
-        return float(account.plain_tokens)
+        return float(account.uncounted_request_tokens)
     return float(facts.prompt.input_tokens + facts.prompt.max_output_tokens)
 
 
--- a/hemlockswitch/request/relay.py
+++ b/hemlockswitch/request/relay.py
@@ -245,7 +245,7 @@
                 return self._chooser.choose(running.build_needs())
             except RequestError as refusal:
                 if self._clock.now_ms() + CHOICE_POLL_INTERVAL_MS > until_ms:
-                    raise refusal.restate(running.find_ran()) from refusal
+                    raise refusal.replace_ran(running.find_ran()) from refusal
             running.excluded.clear()
             self._clock.sleep_ms(CHOICE_POLL_INTERVAL_MS)
             self._check_stopped(running)
--- a/hemlockswitch/request/sending.py
+++ b/hemlockswitch/request/sending.py
@@ -218,7 +218,7 @@
                 server.address,
                 admitted.request.method,
                 lambda answer: self._dialect.is_answer_to(answer, request_id),
-                most_idle_ms=REUSE_IDLE_AT_MOST_ONCE_MS if is_once else REUSE_IDLE_MS,
+                max_idle_ms=REUSE_IDLE_AT_MOST_ONCE_MS if is_once else REUSE_IDLE_MS,
                 timeout_ms=timeout_ms,
             )
         except ExchangeError as error:
--- a/hemlockswitch/request/service_call.py
+++ b/hemlockswitch/request/service_call.py
@@ -231,7 +231,7 @@
             return server
         except RequestError as refusal:
             if progress.last is not None or progress.ran is not Ran.NO:
-                raise refusal.restate(progress.ran) from refusal
+                raise refusal.replace_ran(progress.ran) from refusal
             raise
         finally:
             self._observer.choice_ended(request, chosen)
--- a/hemlockswitch/standin/gateway_store.py
+++ b/hemlockswitch/standin/gateway_store.py
@@ -132,7 +132,7 @@
             rendered["metadata"]["revision"] = self.revision
             self._publish(Change(kind, self.revision, True, rendered))
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Drop all recorded changes, as a compaction does."""
         self.history.clear()
         self.oldest_revision = self.revision
@@ -316,7 +316,7 @@
 
     def on_post_compact(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Drop all recorded changes."""
-        self._store.forget_history()
+        self._store.discard_history()
         resp.media = {}
 
     def on_get_cloud(self, req: falcon.Request, resp: falcon.Response) -> None:
--- a/hemlockswitch/standin/load_calls.py
+++ b/hemlockswitch/standin/load_calls.py
@@ -13,7 +13,7 @@
 from hemlockswitch.standin.verification import (
     AnswerCheck,
     ServerEvent,
-    check_whole_answer,
+    check_complete_answer,
     read_server_events,
 )
 
@@ -137,7 +137,7 @@
 
     def _apply_event(self, event: ServerEvent) -> None:
         tokens = self.check.tokens
-        self.check.take(event)
+        self.check.check_event(event)
         if self.check.tokens == tokens:
             return
         now_ms = self._clock.now_ms()
@@ -152,7 +152,7 @@
         if answer is None:
             return
         tokens = self._arrival.max_tokens
-        problems = check_whole_answer(answer, mix.model, self._arrival.prompt, tokens)
+        problems = check_complete_answer(answer, mix.model, self._arrival.prompt, tokens)
         self.outcome.tokens = tokens
         self.outcome.problems = problems
         self.outcome.verdict = Verdict.WRONG if problems else Verdict.WHOLE
--- a/hemlockswitch/standin/platform_harness.py
+++ b/hemlockswitch/standin/platform_harness.py
@@ -52,7 +52,7 @@
 
     def on_delete_vm(self, req: falcon.Request, resp: falcon.Response, name: str) -> None:
         """Terminate a VM without notice."""
-        if not self._state.vms.end(name):
+        if not self._state.vms.terminate(name):
             raise falcon.HTTPNotFound
         answer_json(resp, {"name": name})
 
--- a/hemlockswitch/standin/platform_vms.py
+++ b/hemlockswitch/standin/platform_vms.py
@@ -220,7 +220,7 @@
             self.counts.reclaimed += 1
             self._record(replace(vm, state=GONE))
 
-    def end(self, name: str) -> bool:
+    def terminate(self, name: str) -> bool:
         """Terminate a VM without notice, as a crash does; return whether the VM exists."""
         exists = self.find(name) is not None
         self._terminate(name)
--- a/hemlockswitch/standin/verification.py
+++ b/hemlockswitch/standin/verification.py
@@ -84,7 +84,7 @@
         """Value of ``Last-Event-ID`` with which a reconnecting caller resumes the stream."""
         return f"{self.request_id}:{self.position - 1}" if self.position else ""
 
-    def take(self, event: ServerEvent) -> None:
+    def check_event(self, event: ServerEvent) -> None:
         """Check an event without a name."""
         if self.done:
             self.problems.append("an event after the end mark")
@@ -130,7 +130,9 @@
 NO_FINISH = "no finish_reason"
 
 
-def check_whole_answer(answer: dict[str, Any], model: str, prompt: str, tokens: int) -> list[str]:
+def check_complete_answer(
+    answer: dict[str, Any], model: str, prompt: str, tokens: int
+) -> list[str]:
     """Return all problems of an answer that was not streamed."""
     choice = answer["choices"][0]
     found = []
--- a/hemlockswitch/version/rollout.py
+++ b/hemlockswitch/version/rollout.py
@@ -25,14 +25,14 @@
     service : the service whose traffic moves.
     target : the software version that the traffic moves to.
     time_limit_ms : time from the order until the rollout must be complete.
-    created : the object service's version at which the order was written; differs for each order.
+    created_version : the object service's version at which the order was written; differs for each order.
     state : current state; None until a gateway starts the rollout.
     version : version of the stored object, for a conditional write of the state.
 
     Examples
     ========
 
-    >>> order = RolloutOrder("llm", "v2", 12_000.0, created=41)
+    >>> order = RolloutOrder("llm", "v2", 12_000.0, created_version=41)
     >>> order.identity
     ('llm', 'v2', 41)
     >>> order.is_final
@@ -42,14 +42,14 @@
     service: str
     target: str
     time_limit_ms: float
-    created: int
+    created_version: int
     state: RolloutState | None = None
     version: int = 0
 
     @property
     def identity(self) -> OrderIdentity:
         """The fields that identify this order."""
-        return self.service, self.target, self.created
+        return self.service, self.target, self.created_version
 
     @property
     def is_final(self) -> bool:
--- a/hemlockswitch/version/serving_table.py
+++ b/hemlockswitch/version/serving_table.py
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True)
-class EngineTraits:
+class EngineCapacity:
     """Capacity of the model engines of a service.
 
     Parameters
@@ -127,12 +127,12 @@
 
     name: str
     max_connections: int
-    engine: EngineTraits | None = None
+    engine: EngineCapacity | None = None
     scaling: ScalingBounds | None = None
 
 
 @dataclass(frozen=True)
-class CallerBounds:
+class CallerLimits:
     """Limits on the size of a caller's request and on the time to send it."""
 
     max_head_bytes: int = 16_384
@@ -150,14 +150,14 @@
 
     priority : overrides the route's priority; None if the account has none.
     counts_tokens : whether the limit counts tokens; otherwise it counts requests.
-    plain_tokens : cost in tokens of a request without token counts.
+    uncounted_request_tokens : cost in tokens of a request without token counts.
     rate_per_s, burst : the limit; a rate of 0 means no limit.
     """
 
     name: str
     priority: int | None = None
     counts_tokens: bool = False
-    plain_tokens: int = 1
+    uncounted_request_tokens: int = 1
     rate_per_s: float = 0.0
     burst: float = 0.0
 
@@ -176,7 +176,7 @@
 
     >>> route = Route("r", "a.example", "/x/", RequestKind.IDEMPOTENT, 100, 50, 0,
     ...               (ServiceWeight("s", 1),))
-    >>> table = ServingTable(3, (route,), {}, CallerBounds(), {})
+    >>> table = ServingTable(3, (route,), {}, CallerLimits(), {})
     >>> table.find_route("a.example", "/x/y").name
     'r'
     >>> table.find_route("b.example", "/x/y") is None
@@ -186,7 +186,7 @@
     revision: int
     routes: tuple[Route, ...]
     services: Mapping[str, ForwardedService]
-    bounds: CallerBounds
+    bounds: CallerLimits
     accounts_by_key: Mapping[str, ForwardedAccount]
     has_accounts: bool = False
     _by_host: dict[str, dict[str, Route]] = field(init=False, repr=False, compare=False)
--- a/tests/copies_market.py
+++ b/tests/copies_market.py
@@ -8,8 +8,8 @@
 from hemlockswitch.version.backend import BackendServer
 from hemlockswitch.version.machine_class import MachineClass
 from hemlockswitch.version.serving_table import (
-    CallerBounds,
-    EngineTraits,
+    CallerLimits,
+    EngineCapacity,
     ForwardedService,
     ScalingBounds,
     ServingTable,
@@ -19,7 +19,7 @@
 PRICES = {"z1": 1.0, "z2": 0.8, "z3": 1.25, "z4": 0.9}
 BOOT_MS = 4_000
 SERVICE = ForwardedService(
-    "llm", 600, EngineTraits(128, 600_000), ScalingBounds(1, 3, BOOT_MS, 0.15, PRICES)
+    "llm", 600, EngineCapacity(128, 600_000), ScalingBounds(1, 3, BOOT_MS, 0.15, PRICES)
 )
 RECLAIMABLE, ON_DEMAND = MachineClass.RECLAIMABLE, MachineClass.ON_DEMAND
 
@@ -90,7 +90,7 @@
 
 
 def make_duty(market, tokens, service=SERVICE, count_running=lambda: 0):
-    table = ServingTable(1, (), {"llm": service}, CallerBounds(), {})
+    table = ServingTable(1, (), {"llm": service}, CallerLimits(), {})
     return ScalingDuty(
         market,
         ZONES,
--- a/tests/crash_gateways.py
+++ b/tests/crash_gateways.py
@@ -114,7 +114,7 @@
     def reports_by_zone(self):
         return len(self.world.gateways) > MESH_GATEWAYS
 
-    def handle(self, message_type, handler, quick):
+    def handle(self, message_type, handler, runs_inline):
         self.take = handler
 
     def send_all(self, addresses, message):
--- a/tests/freshness_fleet.py
+++ b/tests/freshness_fleet.py
@@ -135,8 +135,8 @@
         self._name = name
         self.handlers = {}
 
-    def handle(self, message_type, handler, *, quick):
-        assert quick
+    def handle(self, message_type, handler, *, runs_inline):
+        assert runs_inline
         self.handlers[message_type] = handler
 
     def send(self, address, message):
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -11,9 +11,9 @@
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 SUCCESS = 200
-MAX_CRASHES, MAX_RETRIES = 3, 3
+MIN_CRASHES, MAX_RETRIES = 3, 3
 SETTLE_S = 5.0
-"""Time after the crash that completes `MAX_CRASHES` within which every gateway has the content
+"""Time after the crash that completes `MIN_CRASHES` within which every gateway has the content
 quarantined."""
 
 
@@ -100,9 +100,9 @@
     deadly = [call for call in calls if call.path == CRASHING_PATH]
     runs = [call for call in deadly for _ in range(counts[call.request_id])]
     runs.sort(key=lambda one: one.ended_s)
-    if len(runs) < MAX_CRASHES:
+    if len(runs) < MIN_CRASHES:
         return
-    deadline_s = runs[MAX_CRASHES - 1].ended_s + SETTLE_S
+    deadline_s = runs[MIN_CRASHES - 1].ended_s + SETTLE_S
     late = [call for call in runs if call.began_s > deadline_s]
     if len(late) > MAX_RETRIES:
         yield f"crashing content sent {len(late)} more times after {len(runs)} crashes: {late}"
--- a/tests/test_change_relay.py
+++ b/tests/test_change_relay.py
@@ -54,7 +54,7 @@
         self.network = network
         self.address = address
 
-    def handle(self, message_type, handler, quick):
+    def handle(self, message_type, handler, runs_inline):
         self.network.handlers[self.address, message_type] = handler
 
     def send_all(self, addresses, message):
--- a/tests/test_first_copies.py
+++ b/tests/test_first_copies.py
@@ -13,7 +13,7 @@
     plan_copies,
 )
 from hemlockswitch.version.serving_table import (
-    EngineTraits,
+    EngineCapacity,
 )
 from tests.copies_market import (
     BOOT_MS,
@@ -139,7 +139,7 @@
         for _ in range(found):
             market.add(Pool(zone, ON_DEMAND))
     scaling = replace(SERVICE.scaling, max_copies=23)
-    service = replace(SERVICE, engine=EngineTraits(32, 600_000), scaling=scaling)
+    service = replace(SERVICE, engine=EngineCapacity(32, 600_000), scaling=scaling)
     duty = make_duty(market, tokens=0, service=service)
     market.is_listed, market.is_mostly_listed = False, True
     simulate(market, duty, 2 * BOOT_MS)
@@ -174,7 +174,7 @@
         for _ in range(11):
             market.add(Pool(zone, ON_DEMAND))
     scaling = replace(SERVICE.scaling, max_copies=23)
-    service = replace(SERVICE, engine=EngineTraits(32, 600_000), scaling=scaling)
+    service = replace(SERVICE, engine=EngineCapacity(32, 600_000), scaling=scaling)
     duty = make_duty(market, tokens=0, service=service)
     market.reclaim(ZONES[0], unavailable_ms=math.inf)
     simulate(market, duty, BOOT_MS + 1_000)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -141,7 +141,7 @@
         self.handlers = {}
         self.sent = []
 
-    def handle(self, message_type, handler, *, quick):
+    def handle(self, message_type, handler, *, runs_inline):
         self.handlers[message_type] = handler
 
     def send_all(self, addresses, message):
--- a/tests/test_gateway_accounts.py
+++ b/tests/test_gateway_accounts.py
@@ -15,7 +15,7 @@
 
 RATE, BURST = 100_000.0, 110_000.0
 ACCOUNT = ForwardedAccount(
-    "large", counts_tokens=True, plain_tokens=200, rate_per_s=RATE, burst=BURST
+    "large", counts_tokens=True, uncounted_request_tokens=200, rate_per_s=RATE, burst=BURST
 )
 REQUEST_TOKENS = 18_000.0
 REPORT_MS = 200
--- a/tests/test_gateway_registry.py
+++ b/tests/test_gateway_registry.py
@@ -22,7 +22,7 @@
     ServerRegistry,
 )
 from hemlockswitch.version.backend import BackendServer, BackendState
-from hemlockswitch.version.serving_table import CallerBounds, ServingTable
+from hemlockswitch.version.serving_table import CallerLimits, ServingTable
 
 
 def decode(item):
@@ -203,7 +203,7 @@
 def decode_table(item):
     if item.value < 0:
         raise ConfigurationError(ErrorKind.INVALID_CONFIGURATION, "broken")
-    return ServingTable(item.value, (), {}, CallerBounds(), {})
+    return ServingTable(item.value, (), {}, CallerLimits(), {})
 
 
 def config(revision, name="main"):
--- a/tests/test_gateway_site.py
+++ b/tests/test_gateway_site.py
@@ -68,7 +68,7 @@
 def test_objects_are_listed_again_after_the_store_lost_its_history(site):
     site.store.faults = StoreFaults(mode="busy")
     site.store.put("config", "main", make_manifest(2, hold=None))
-    site.store.forget_history()
+    site.store.discard_history()
     site.store.faults = StoreFaults()
     site.wait(lambda: request_status_at_all(site, "/hold/x") == [404, 404])
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -5,7 +5,7 @@
 from hemlockswitch.request.overload import MAX_RETRY_DELAY_MS, QueueBound, find_retry_delay_ms
 from hemlockswitch.request.placement import Candidate, Placement
 from hemlockswitch.version.serving_table import (
-    CallerBounds,
+    CallerLimits,
     RequestKind,
     Route,
     ServiceWeight,
@@ -82,7 +82,7 @@
 def test_lower_priority_route_uses_the_stricter_objective():
     """Full reports have an objective of 1.2 s, quick questions one of 2.5 s."""
     routes = (make_route("history", 0, 1_200), make_route("question", 2, 2_500))
-    table = ServingTable(1, routes, {}, CallerBounds(), {})
+    table = ServingTable(1, routes, {}, CallerLimits(), {})
     assert table.find_strictest_objective_ms("llm", 0) == 1_200
     assert table.find_strictest_objective_ms("llm", 2) == 1_200
     assert table.find_strictest_objective_ms("other", 2) == 0
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -237,7 +237,7 @@
 def test_watch_from_before_the_history_is_an_error(store, state):
     version = store.list("k").version
     state.put("k", "a", 1)
-    state.forget_history()
+    state.discard_history()
     with pytest.raises(HistoryGoneError):
         store.watch("k", version, 50)
 
--- a/tests/test_scaling.py
+++ b/tests/test_scaling.py
@@ -21,7 +21,7 @@
 )
 from hemlockswitch.version.backend import BackendServer, BackendState
 from hemlockswitch.version.serving_table import (
-    EngineTraits,
+    EngineCapacity,
 )
 from tests.copies_market import (
     BOOT_MS,
@@ -155,7 +155,7 @@
     duty = make_duty(
         market,
         tokens=10,
-        service=replace(SERVICE, engine=EngineTraits(12, 600_000)),
+        service=replace(SERVICE, engine=EngineCapacity(12, 600_000)),
         count_running=lambda: sum(rng.random() < 0.1 for _ in range(220)),
     )
     simulate(market, duty, 20_000)
--- a/tests/test_serving_table.py
+++ b/tests/test_serving_table.py
@@ -6,7 +6,7 @@
 
 from hemlockswitch.core.errors import ConfigurationError
 from hemlockswitch.version.serving_table import (
-    CallerBounds,
+    CallerLimits,
     RequestKind,
     Route,
     ServiceWeight,
@@ -20,7 +20,7 @@
 
 
 def make_table(*routes):
-    return ServingTable(1, routes, {}, CallerBounds(), {})
+    return ServingTable(1, routes, {}, CallerLimits(), {})
 
 
 def test_longest_prefix_wins_regardless_of_order():
--- a/tests/test_zone_status.py
+++ b/tests/test_zone_status.py
@@ -22,7 +22,7 @@
         self.sent = []
         self.handlers = {}
 
-    def handle(self, message_type, handler, quick=False):
+    def handle(self, message_type, handler, runs_inline=False):
         self.handlers[message_type] = handler
 
     def send(self, address, message):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -57,36 +57,36 @@
 
 
 def test_servers_of_another_zone_are_offered_and_omitted_when_unchanged(zones):
-    zones.queries.ask_zone("far")
+    zones.queries.query_zone("far")
     zones.clock.advance(ZONE_OFFER_EXPIRY_MS)
-    zones.queries.ask_zone("far")
+    zones.queries.query_zone("far")
     assert sorted(zones.list_names()) == ["a", "b"]
     assert [len(offer.servers) for offer in zones.network.offers] == [2, 0]
 
 
 def test_leaving_servers_are_reported(zones):
-    zones.queries.ask_zone("far")
+    zones.queries.query_zone("far")
     zones.gossip_state.record(GossipItem("notice/a", 1, {"deadline_wall_ms": 5}))
-    zones.queries.ask_zone("far")
+    zones.queries.query_zone("far")
     assert zones.list_names() == ["b"]
     assert zones.near.is_leaving("a")
 
 
 def test_unreachable_zone_gets_no_work_and_a_late_answer_counts_from_its_query(zones):
-    zones.queries.ask_zone("far")
+    zones.queries.query_zone("far")
     zones.network.is_cut = True
     zones.clock.advance(ZONE_OFFER_EXPIRY_MS + 1)
-    zones.queries.ask_zone("far")
+    zones.queries.query_zone("far")
     assert zones.list_names() == []
     zones.network.is_cut = False
     zones.network.delay_ms = ZONE_OFFER_EXPIRY_MS + 1
-    zones.queries.ask_zone("far")
+    zones.queries.query_zone("far")
     assert zones.list_names() == []
 
 
 def test_paused_daemon_offers_no_servers(zones):
     zones.fresh = False
-    zones.queries.ask_zone("far")
+    zones.queries.query_zone("far")
     assert zones.list_names() == []
 
 
--- a/tools/capacity_variants.py
+++ b/tools/capacity_variants.py
@@ -72,8 +72,8 @@
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
         self._lazy: set[str] = set()
-        self._network.handle(Prune, self._prune, quick=True)
-        self._network.handle(Announce, self._receive_have, quick=True)
+        self._network.handle(Prune, self._prune, runs_inline=True)
+        self._network.handle(Announce, self._receive_have, runs_inline=True)
 
     def _prune(self, sender: str, message: Prune) -> None:
         self._lazy.add(sender)
