--- a/hemlockswitch/process/claims/routes.py
+++ b/hemlockswitch/process/claims/routes.py
@@ -175,7 +175,7 @@
         self._peers = peers
         self._list_peers = list_peers
         self._clock = clock
-        self._known_peers: dict[str, ClaimPeer] = {}
+        self._cached_peers: dict[str, ClaimPeer] = {}
         self._peers_refreshed_ms = float("-inf")
         self._orders: dict[int, list[str]] = {}
         self._avoided_until_ms: dict[str, float] = {}
@@ -217,12 +217,12 @@
         elsewhere = [
             self._make_route(name, operation)
             for name in remaining
-            if name in self._known_peers and self._known_peers[name].zone != self._zone
+            if name in self._cached_peers and self._cached_peers[name].zone != self._zone
         ]
         return [*owner, own, *elsewhere[:MAX_PEERS_TRIED]]
 
     def _make_route(self, name: str, operation: Operation) -> Route:
-        return partial(self._request_write, self._known_peers[name], operation)
+        return partial(self._request_write, self._cached_peers[name], operation)
 
     def _refresh_peers(self) -> None:
         """Update the live peers; the orders are ranked again only when the peers changed."""
@@ -231,15 +231,15 @@
             return
         self._peers_refreshed_ms = now_ms
         peers = {peer.name: peer for peer in self._list_peers()}
-        if peers != self._known_peers:
-            self._known_peers = peers
+        if peers != self._cached_peers:
+            self._cached_peers = peers
             self._orders.clear()
 
     def _rank(self, partition: int) -> list[str]:
         """Return the first `MAX_RANKED` daemons of a partition's rendezvous order."""
         order = self._orders.get(partition)
         if order is None:
-            full = rank_rendezvous(f"claims/{partition}", [*self._known_peers, self._name])
+            full = rank_rendezvous(f"claims/{partition}", [*self._cached_peers, self._name])
             order = self._orders[partition] = full[:MAX_RANKED]
         return order
 
--- a/hemlockswitch/process/cluster_state.py
+++ b/hemlockswitch/process/cluster_state.py
@@ -127,7 +127,7 @@
         )
         self.membership.start()
         spawn("freshness", self.freshness.run)
-        watch_vms = Watcher("vm list", self.post, self.vms.ask, VM_LIST_INTERVAL_MS, self._clock)
+        watch_vms = Watcher("vm list", self.post, self.vms.query, VM_LIST_INTERVAL_MS, self._clock)
         spawn("vm list", watch_vms.run)
         spawn("notices", Watcher("notices", self.post, self.feed.read_notices, 0, self._clock).run)
         spawn("notice checks", self.feed.run_checks)
@@ -186,8 +186,8 @@
         """Return the sources of changes missed during a pause: the feed and some peers."""
         peers = set(self._list_addresses().get(self._settings.zone, []))
         chosen = choose_sample(sorted(peers - {self.network.address}), MAX_REFRESH_PEERS)
-        ask_peers: list[Refresh] = [self._make_peer_refresh(address) for address in chosen]
-        return [lambda: self.feed.read_notices(wait_ms=0), *ask_peers]
+        peer_refreshes: list[Refresh] = [self._make_peer_refresh(address) for address in chosen]
+        return [lambda: self.feed.read_notices(wait_ms=0), *peer_refreshes]
 
     def _make_peer_refresh(self, address: str) -> Refresh:
         return lambda: self.zone_queries.refresh_from(address)
--- a/hemlockswitch/process/copies/zone_load.py
+++ b/hemlockswitch/process/copies/zone_load.py
@@ -41,7 +41,7 @@
         """Query the next few of `vms` concurrently, and evict servers that are not in `vms`."""
         names = {vm.name for vm in vms}
         self._loads = {name: load for name, load in self._loads.items() if name in names}
-        tasks = [gevent.spawn(self._ask, vm) for vm in self._take_turn(vms)]
+        tasks = [gevent.spawn(self._query, vm) for vm in self._take_turn(vms)]
         gevent.joinall(tasks)
 
     def find(self, name: str) -> ReportedLoad | None:
@@ -65,7 +65,7 @@
         self._next = begin + self._samples
         return (ordered + ordered)[begin : begin + self._samples]
 
-    def _ask(self, vm: ListedVm) -> None:
+    def _query(self, vm: ListedVm) -> None:
         try:
             self._loads[vm.name] = self._orders.read_load(vm.address)
         except BackendError:
--- a/hemlockswitch/process/freshness.py
+++ b/hemlockswitch/process/freshness.py
@@ -73,13 +73,13 @@
 
     def _refresh(self) -> None:
         answered = Signal()
-        tasks = [gevent.spawn(self._ask, source, answered) for source in self._list_sources()]
+        tasks = [gevent.spawn(self._query, source, answered) for source in self._list_sources()]
         answered.wait(REFRESH_TIMEOUT_MS / MS_PER_SECOND if tasks else 0)
         log_event(Event.FACTS_REFRESHED, answered=answered.is_set(), asked=len(tasks))
         self._refreshed.set()
 
     @staticmethod
-    def _ask(source: Refresh, answered: Signal) -> None:
+    def _query(source: Refresh, answered: Signal) -> None:
         try:
             source()
         except HemlockError:
--- a/hemlockswitch/process/gateway/fleet.py
+++ b/hemlockswitch/process/gateway/fleet.py
@@ -248,8 +248,8 @@
         counts = Counter(peer.zone for peer in received)
         unresponsive = {
             zone
-            for zone, heard_ms in latest_ms.items()
-            if now_ms - heard_ms > period.find_zone_disconnected_ms(counts[zone])
+            for zone, received_ms in latest_ms.items()
+            if now_ms - received_ms > period.find_zone_disconnected_ms(counts[zone])
         }
         return [peer for peer in received if peer.zone not in unresponsive]
 
--- a/hemlockswitch/process/gateway/follower.py
+++ b/hemlockswitch/process/gateway/follower.py
@@ -101,7 +101,7 @@
     ) -> None:
         self._wait_ms = wait_ms
         self.recovered_ms = float("-inf")
-        self.heard_ms = float("-inf")
+        self.received_ms = float("-inf")
         self.confirmed_ms = clock.now_ms()  # Nothing is older than the process.
         self.first_synced_ms: float | None = None
         self.is_synced = False
@@ -267,7 +267,7 @@
         self.is_lost = True
 
     def _record_answer(self) -> None:
-        self.heard_ms = self._clock.now_ms()
+        self.received_ms = self._clock.now_ms()
         if self.is_lost:
             # A call that began before the last confirmed answer and failed later shows no outage.
             if self.confirmed_ms <= self._failed_call_ms:
--- a/hemlockswitch/process/gateway/prober.py
+++ b/hemlockswitch/process/gateway/prober.py
@@ -52,9 +52,9 @@
         timeout_ms = self._reachability.find_connect_timeout_ms()
         if self._connect(server, timeout_ms):
             return False
-        is_silent = self._clock.now_ms() - began_ms >= timeout_ms
-        self._reachability.record_unreachable(server, is_silent=is_silent)
-        return not is_silent
+        has_timed_out = self._clock.now_ms() - began_ms >= timeout_ms
+        self._reachability.record_unreachable(server, has_timed_out=has_timed_out)
+        return not has_timed_out
 
     def _probe(self, server: BackendServer) -> None:
         # A server that cannot be reached stays suspected, which was logged when the suspicion began.
--- a/hemlockswitch/process/gateway/reachability.py
+++ b/hemlockswitch/process/gateway/reachability.py
@@ -178,16 +178,16 @@
         if self._suspects.pop(server.incarnation, None) is not None:
             log_event(Event.BACKEND_REACHED, server=server.incarnation)
 
-    def record_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
+    def record_unreachable(self, server: BackendServer, *, has_timed_out: bool) -> None:
         """Record that a connection to a server could not be opened.
 
         Parameters
         ==========
 
-        is_silent : whether there was no answer at all; a refusal concerns this server alone.
+        has_timed_out : whether there was no answer at all; a refusal concerns this server alone.
         """
         self._suspect_server(server, "unreachable")
-        if not is_silent:
+        if not has_timed_out:
             return
         state = self._zones.setdefault(server.zone, _ZoneState(self._clock.now_ms()))
         state.timed_out.add(server.incarnation)
--- a/hemlockswitch/process/gateway/relayed_watch.py
+++ b/hemlockswitch/process/gateway/relayed_watch.py
@@ -96,12 +96,12 @@
 
         A watcher relays the list: after the service has lost its history the other gateways need none.
         """
-        asked_ms = self._clock.now_ms()
+        requested_ms = self._clock.now_ms()
         page = replace(
             self._store.list(kind, prefix),
             is_whole=True,
             source=PageSource.LIST,
-            confirmed_ms=asked_ms,
+            confirmed_ms=requested_ms,
         )
         self._wait_for_watchers_until_ms = self._clock.now_ms() + self._watcher_wait_ms
         self._send_as_watcher(kind, 0, page)
@@ -122,11 +122,13 @@
         if self._must_query:
             wait_ms = CATCH_UP_WAIT_MS
         self._must_query = False
-        asked_ms = self._clock.now_ms()
+        requested_ms = self._clock.now_ms()
         answer = self._store.watch(kind, since, wait_ms, prefix)
         # Without a change the service answers at the end of the wait; with one, at any time since the call.
-        has_waited = not answer.items and self._clock.now_ms() >= asked_ms + wait_ms
-        answer = replace(answer, confirmed_ms=asked_ms + wait_ms if has_waited else asked_ms)
+        has_waited = not answer.items and self._clock.now_ms() >= requested_ms + wait_ms
+        answer = replace(
+            answer, confirmed_ms=requested_ms + wait_ms if has_waited else requested_ms
+        )
         self._send_as_watcher(kind, since, answer)
         return answer
 
@@ -140,8 +142,8 @@
 
         HistoryGoneError, PlatformError : as from the object service.
         """
-        asked_ms = self._clock.now_ms()
-        page = replace(self._store.watch(kind, since, QUERY_WAIT_MS), confirmed_ms=asked_ms)
+        requested_ms = self._clock.now_ms()
+        page = replace(self._store.watch(kind, since, QUERY_WAIT_MS), confirmed_ms=requested_ms)
         self.record_received(page.version)
         if page.items:
             self._send(kind, since, page)
--- a/hemlockswitch/process/gateway/view.py
+++ b/hemlockswitch/process/gateway/view.py
@@ -152,9 +152,9 @@
         """Record that a new connection to a server was opened."""
         self._reachability.record_connected(server, took_ms)
 
-    def record_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
-        """Record that connecting failed; `is_silent` if the server did not answer the attempt at all."""
-        self._reachability.record_unreachable(server, is_silent=is_silent)
+    def record_unreachable(self, server: BackendServer, *, has_timed_out: bool) -> None:
+        """Record that connecting failed; `has_timed_out` if the server did not answer the attempt at all."""
+        self._reachability.record_unreachable(server, has_timed_out=has_timed_out)
 
     def record_answer(self, server: BackendServer) -> None:
         """Record that a server sent bytes of an answer."""
--- a/hemlockswitch/process/gateway/watch_guard.py
+++ b/hemlockswitch/process/gateway/watch_guard.py
@@ -108,7 +108,7 @@
         sent_ms = follower.watch_sent_ms
         if sent_ms is None:
             return
-        if any(_may_be_lost(outage, sent_ms, follower.heard_ms) for outage in outages):
+        if any(_may_be_lost(outage, sent_ms, follower.received_ms) for outage in outages):
             self._renew(follower, sent_ms, RenewalReason.OUTAGE_ENDED)
 
     def _record_difference(
--- a/hemlockswitch/process/quarantine/guard.py
+++ b/hemlockswitch/process/quarantine/guard.py
@@ -245,8 +245,8 @@
                 source=source,
             )
         for fingerprint in sorted(self._logged_fingerprints - held):
-            is_known = bool(self._quarantine.get_record(fingerprint).ends)
-            reason = "answered" if is_known else "forgotten"
+            is_recorded = bool(self._quarantine.get_record(fingerprint).ends)
+            reason = "answered" if is_recorded else "forgotten"
             log_event(Event.REQUEST_RELEASED, fingerprint=fingerprint, reason=reason)
         self._logged_fingerprints = held
         self.counts.held = len(held)
--- a/hemlockswitch/process/revisions/tasks.py
+++ b/hemlockswitch/process/revisions/tasks.py
@@ -92,7 +92,9 @@
     def start(self, spawn: Callable[[str, Callable[[], None]], None]) -> None:
         """Start the tasks; `spawn` runs a named task until the daemon stops."""
         pointer = Pointer(self._cluster_state.platform, POINTER_KIND, CURRENT_POINTER, self.follow)
-        watcher = Watcher("revision pointer", self._cluster_state.post, pointer.ask, 0, self._clock)
+        watcher = Watcher(
+            "revision pointer", self._cluster_state.post, pointer.query, 0, self._clock
+        )
         spawn("revision pointer", watcher.run)
         spawn("revision spread", self.updater.run)
         spawn("zone reports", self.zone_status.run_reports)
--- a/hemlockswitch/process/servers/backends.py
+++ b/hemlockswitch/process/servers/backends.py
@@ -28,7 +28,7 @@
     """The servers that another zone offered, and when this daemon sent the query."""
 
     servers: dict[str, BackendServer]
-    asked_ms: float
+    requested_ms: float
 
 
 class BackendDirectory:
@@ -211,11 +211,13 @@
         """Record a load report of a server."""
         self._dispatches.record_load(name, report, round_trip_ms)
 
-    def record_offer(self, zone: str, servers: Iterable[BackendServer], asked_ms: float) -> None:
-        """Record the answer of another zone's daemon to a query sent at `asked_ms`."""
+    def record_offer(
+        self, zone: str, servers: Iterable[BackendServer], requested_ms: float
+    ) -> None:
+        """Record the answer of another zone's daemon to a query sent at `requested_ms`."""
         current = self._offers.get(zone)
-        if current is None or asked_ms > current.asked_ms:
-            self._offers[zone] = _ZoneOffer({one.name: one for one in servers}, asked_ms)
+        if current is None or requested_ms > current.requested_ms:
+            self._offers[zone] = _ZoneOffer({one.name: one for one in servers}, requested_ms)
 
     def record_leaving(self, name: str, deadline_wall_ms: int = 0) -> None:
         """Record that the server is leaving: it permanently gets no new work."""
@@ -258,7 +260,7 @@
         return [
             server
             for zone, offer in self._offers.items()
-            if zone != self.zone and offer.asked_ms >= oldest_ms
+            if zone != self.zone and offer.requested_ms >= oldest_ms
             for server in offer.servers.values()
             if server.serves == target
         ]
--- a/hemlockswitch/process/servers/load_polls.py
+++ b/hemlockswitch/process/servers/load_polls.py
@@ -60,12 +60,12 @@
 
     def _poll_once(self, name: str, client: LoadClient) -> float:
         """Poll once, and return the time until the next poll."""
-        asked_ms = self._clock.now_ms()
+        requested_ms = self._clock.now_ms()
         try:
             report = client.read()
         except BackendError:
             return FAILED_POLL_MS
         if report is None:
             return NO_REPORT_MS
-        self._directory.record_load(name, report, self._clock.now_ms() - asked_ms)
+        self._directory.record_load(name, report, self._clock.now_ms() - requested_ms)
         return self._interval_ms
--- a/hemlockswitch/process/servers/vm_feed.py
+++ b/hemlockswitch/process/servers/vm_feed.py
@@ -36,7 +36,7 @@
         self._clock = clock
         self._missing_since_ms: dict[str, float] = {}
 
-    def ask(self) -> None:
+    def query(self) -> None:
         """Read and publish the list once."""
         listed = {vm.name: vm for vm in self._platform.list_vms(self._zone).vms}
         for name, vm in listed.items():
--- a/hemlockswitch/process/servers/watchers.py
+++ b/hemlockswitch/process/servers/watchers.py
@@ -81,7 +81,7 @@
 
     label : name of the queried data in logs.
     post : determines whether this daemon is a watcher.
-    ask : queries once and publishes the result.
+    query : queries once and publishes the result.
     interval_ms : pause after an answer.
     clock : the process's clock.
     """
@@ -90,13 +90,13 @@
         self,
         label: str,
         post: WatcherSelection,
-        ask: Callable[[], None],
+        query: Callable[[], None],
         interval_ms: float,
         clock: Clock,
     ) -> None:
         self._label = label
         self._post = post
-        self._ask = ask
+        self._query = query
         self._interval_ms = interval_ms
         self._clock = clock
         self._retry_ms = 0.0
@@ -111,7 +111,7 @@
         if not self._post.is_watcher():
             return IDLE_CHECK_MS
         try:
-            self._ask()
+            self._query()
         except HemlockError as error:
             return self._back_off(error)
         if self._retry_ms:
@@ -234,7 +234,7 @@
         self._read = read
         self._version = 0
 
-    def ask(self) -> None:
+    def query(self) -> None:
         """Wait for a change of the pointer, and read its revision.
 
         Explanation
--- a/hemlockswitch/process/servers/zones.py
+++ b/hemlockswitch/process/servers/zones.py
@@ -177,7 +177,7 @@
         """Query a daemon of the zone, and record its offer or that the zone is unresponsive."""
         addresses = self._list_addresses().get(zone, [])
         state = self._states.setdefault(zone, _ZoneState())
-        asked_ms = self._clock.now_ms()
+        requested_ms = self._clock.now_ms()
         try:
             offer = self._query_one(addresses, state.digest)
         except PeerError:
@@ -190,8 +190,8 @@
                 self._directory.record_leaving(name)
         if state.silent:
             log_event(Event.ZONE_HEARD, zone=zone)
-        state.answered_ms, state.silent = asked_ms, False
-        self._directory.record_offer(zone, state.servers, asked_ms)
+        state.answered_ms, state.silent = requested_ms, False
+        self._directory.record_offer(zone, state.servers, requested_ms)
 
     def refresh_from(self, address: str) -> None:
         """Fetch the leaving servers from a daemon of the local zone.
--- a/hemlockswitch/process/shares/anchor.py
+++ b/hemlockswitch/process/shares/anchor.py
@@ -29,7 +29,7 @@
 class _PendingRenewal:
     """A renewal that waits to be written."""
 
-    ask: RenewShares
+    request: RenewShares
     result: AsyncResult
 
 
@@ -79,7 +79,7 @@
         if self._task is not None:
             self._task.kill(block=False)
 
-    def renew(self, ask: RenewShares) -> SharesRenewed:
+    def renew(self, request: RenewShares) -> SharesRenewed:
         """Write one renewal and return the grants after the platform has confirmed the write.
 
         Raises
@@ -87,11 +87,11 @@
 
         PlatformError : the platform did not confirm the write.
         """
-        waiting = _PendingRenewal(ask, AsyncResult())
+        waiting = _PendingRenewal(request, AsyncResult())
         self._queue.put(waiting)
         return waiting.result.get()
 
-    def write(self, asks: list[RenewShares]) -> list[SharesRenewed | None]:
+    def write(self, requests: list[RenewShares]) -> list[SharesRenewed | None]:
         """Write several renewals in one write; the reply to an outdated renewal is None.
 
         Raises
@@ -100,14 +100,14 @@
         PlatformError : the platform did not confirm the write.
         """
         for _ in range(MAX_WRITE_ATTEMPTS):
-            replies = self._try_write(asks)
+            replies = self._try_write(requests)
             if replies is not None:
                 return replies
         raise PlatformError(
             ErrorKind.PLATFORM_UNAVAILABLE, "the platform confirmed no write of the share record"
         )
 
-    def _try_write(self, asks: list[RenewShares]) -> list[SharesRenewed | None] | None:
+    def _try_write(self, requests: list[RenewShares]) -> list[SharesRenewed | None] | None:
         """Read, apply, and write once; return None if the write was not confirmed."""
         stored = self._store.read(KIND, self._zone)
         record = ShareRecord() if stored is None else ShareRecord.from_value(stored.value)
@@ -116,13 +116,13 @@
         divided = self._find_totals()
         entries = record.entries.values()
         names = {entry.name for entry in entries if not self._watch.is_expired(entry)}
-        names |= {ask.member for ask in asks} | divided.names
-        names -= {ask.member for ask in asks if ask.leaving}
+        names |= {request.member for request in requests} | divided.names
+        names -= {request.member for request in requests if request.leaving}
         # Renewals that return units are applied first, so that the freed units are available to the others.
-        order = sorted(range(len(asks)), key=lambda index: not asks[index].leaving)
-        replies: list[SharesRenewed | None] = [None] * len(asks)
+        order = sorted(range(len(requests)), key=lambda index: not requests[index].leaving)
+        replies: list[SharesRenewed | None] = [None] * len(requests)
         for index in order:
-            replies[index] = record.renew(asks[index], divided.totals, names, self._watch)
+            replies[index] = record.renew(requests[index], divided.totals, names, self._watch)
         if stored is None:
             outcome = self._store.create(KIND, self._zone, record.to_value())
         else:
@@ -133,7 +133,7 @@
         while True:
             batch = self._collect()
             try:
-                replies = self.write([waiting.ask for waiting in batch])
+                replies = self.write([waiting.request for waiting in batch])
             except HemlockError as error:
                 _refuse(batch, error)
                 continue
--- a/hemlockswitch/process/shares/book.py
+++ b/hemlockswitch/process/shares/book.py
@@ -99,8 +99,11 @@
         It is all for `LOAN_REQUEST_RETENTION_MS` after a peer requested a loan.
         """
         given = self.count_given(account)
-        asked_ms = self._last_loan_request_ms.get(account)
-        if asked_ms is not None and self._clock.now_ms() - asked_ms < LOAN_REQUEST_RETENTION_MS:
+        requested_ms = self._last_loan_request_ms.get(account)
+        if (
+            requested_ms is not None
+            and self._clock.now_ms() - requested_ms < LOAN_REQUEST_RETENTION_MS
+        ):
             return kept
         spare = (kept - given).raise_to(NOTHING)
         return (given + spare - spare.halve()).limit(kept)
--- a/hemlockswitch/process/shares/borrower.py
+++ b/hemlockswitch/process/shares/borrower.py
@@ -20,7 +20,7 @@
 from hemlockswitch.process.shares.units import NOTHING, Resource, Units
 from hemlockswitch.request.allowances import Credit
 
-ASK_TIMEOUT_MS = 100.0
+QUERY_TIMEOUT_MS = 100.0
 LOAN_TIMEOUT_MS = 1_000.0
 MIN_SEARCH_PAUSE_MS = 100.0
 MAX_SLOTS_SEARCH_PAUSE_MS = 400.0
@@ -76,15 +76,15 @@
         self._update_search_pause(key, received)
         return received
 
-    def return_idle(self, sender: str, ask: RecallLoan) -> LoanReturned:
+    def return_idle(self, sender: str, request: RecallLoan) -> LoanReturned:
         """Deduct the idle units of a loan that its lender recalls, and return them in the answer."""
-        loan = self._book.find_taken(sender, ask.number)
+        loan = self._book.find_taken(sender, request.number)
         if loan is None:
             # The loan was never received, or has already been returned.
             return LoanReturned(0, 0.0, 0.0)
         account, resource = loan.account, loan.resource
         idle = self._book.count_held(account) - self._count_needed(account)
-        units = min(idle.get(resource), ask.units, loan.units)
+        units = min(idle.get(resource), request.units, loan.units)
         if units <= 0:
             return LoanReturned(loan.units, 0.0, 0.0)
         credit = self._credits.take(account, Units.only(resource, units))
@@ -137,8 +137,8 @@
                 wanted[loan.peer].append([loan.number, 0])
 
     def _extend_at_all(self, wanted: dict[str, Terms]) -> None:
-        asks = [gevent.spawn(self._extend_at, peer, terms) for peer, terms in wanted.items()]
-        gevent.joinall(asks)
+        requests = [gevent.spawn(self._extend_at, peer, terms) for peer, terms in wanted.items()]
+        gevent.joinall(requests)
 
     def _query_lenders(
         self, account: str, asked: Units, lenders: list[str], wait_ms: float
@@ -152,8 +152,8 @@
                 count = min(PARALLEL_QUERIES, missing)
                 chosen, waiting = waiting[:count], waiting[count:]
                 each = -(-missing // len(chosen))
-                ask = BorrowShare(account, resource.value, each)
-                tasks = [gevent.spawn(self._query_lender, address, ask) for address in chosen]
+                request = BorrowShare(account, resource.value, each)
+                tasks = [gevent.spawn(self._query_lender, address, request) for address in chosen]
                 gevent.joinall(tasks, timeout=(end_ms - self._clock.now_ms()) / MS_PER_SECOND)
                 came = sum(task.value or 0 for task in tasks)
                 missing -= came
@@ -168,10 +168,10 @@
         ]
         return sorted(responsive, key=lambda peer: -self._last_lent_ms.get(peer, 0))
 
-    def _query_lender(self, address: str, ask: BorrowShare) -> int:
+    def _query_lender(self, address: str, request: BorrowShare) -> int:
         sent_ms = self._clock.now_ms()
         try:
-            lent = self._network.ask(address, ask, ASK_TIMEOUT_MS)
+            lent = self._network.ask(address, request, QUERY_TIMEOUT_MS)
         except PeerError:
             self._unresponsive_until_ms[address] = (
                 self._clock.now_ms() + UNRESPONSIVE_LENDER_PAUSE_MS
@@ -180,16 +180,16 @@
         if lent.units <= 0:
             self._last_lent_ms.pop(address, None)
             return 0
-        resource = Resource(ask.resource)
+        resource = Resource(request.resource)
         until_ms = sent_ms + lent.duration_ms
-        loan = Loan(lent.number, address, ask.account, resource, lent.units, until_ms)
+        loan = Loan(lent.number, address, request.account, resource, lent.units, until_ms)
         if resource is Resource.SLOTS:
             # The loan is short until the extension confirms its receipt to the lender.
             self._book.record_taken(loan)
             self._extend_at(address, [[loan.number, loan.units]])
         else:
             self._book.record_taken(loan)
-            self._credits.add(ask.account, Credit(lent.requests_credit, lent.tokens_credit))
+            self._credits.add(request.account, Credit(lent.requests_credit, lent.tokens_credit))
         self._last_lent_ms[address] = self._clock.now_ms()
         return lent.units
 
--- a/hemlockswitch/process/shares/lender.py
+++ b/hemlockswitch/process/shares/lender.py
@@ -29,26 +29,26 @@
         self._network.handle(BorrowShare, self.lend)
         self._network.handle(ExtendLoans, self.extend)
 
-    def lend(self, sender: str, ask: BorrowShare) -> ShareLent:
+    def lend(self, sender: str, request: BorrowShare) -> ShareLent:
         """Deduct the requested units as far as they are spare, and return them as a loan."""
-        resource = Resource(ask.resource)
-        if self._count_spare(ask.account, resource) < ask.units:
-            self._recall(sender, ask.account, resource, ask.units)
-        spare = min(self._count_spare(ask.account, resource), ask.units)
+        resource = Resource(request.resource)
+        if self._count_spare(request.account, resource) < request.units:
+            self._recall(sender, request.account, resource, request.units)
+        spare = min(self._count_spare(request.account, resource), request.units)
         if spare <= 0:
             return ShareLent(0, 0, 0.0, 0.0, 0.0)
-        credit = self._credits.take(ask.account, Units.only(resource, spare))
-        loan = self._book.lend(sender, ask.account, resource, spare)
+        credit = self._credits.take(request.account, Units.only(resource, spare))
+        loan = self._book.lend(sender, request.account, resource, spare)
         if loan is None:
-            self._credits.add(ask.account, credit)
+            self._credits.add(request.account, credit)
             return ShareLent(0, 0, 0.0, 0.0, 0.0)
         duration_ms = self._book.compute_remaining_ms(loan)
         return ShareLent(loan.number, loan.units, duration_ms, credit.requests, credit.tokens)
 
-    def extend(self, sender: str, ask: ExtendLoans) -> LoansExtended:
+    def extend(self, sender: str, request: ExtendLoans) -> LoansExtended:
         """Extend loans, reduced by the units that this daemon needs itself."""
         extended = []
-        for number, wanted in ask.loans:
+        for number, wanted in request.loans:
             self._book.reduce_given(sender, number, wanted)
             given = self._book.find_given(sender, number)
             if given is None:
@@ -77,9 +77,11 @@
             if loan.peer and loan.peer != sender
         ]
         loans.sort(key=lambda loan: -loan.units)
-        asks = [gevent.spawn(self._recall_one, loan, units) for loan in loans[:PARALLEL_RECALLS]]
-        gevent.joinall(asks)
-        came = any(ask.value for ask in asks)
+        requests = [
+            gevent.spawn(self._recall_one, loan, units) for loan in loans[:PARALLEL_RECALLS]
+        ]
+        gevent.joinall(requests)
+        came = any(request.value for request in requests)
         if not came:
             self._recall_paused_until_ms[key] = self._clock.now_ms() + RECALL_PAUSE_MS
         return came
--- a/hemlockswitch/process/shares/record.py
+++ b/hemlockswitch/process/shares/record.py
@@ -204,7 +204,7 @@
         }
 
     def renew(
-        self, ask: RenewShares, totals: dict[str, Units], names: set[str], watch: EntryWatch
+        self, request: RenewShares, totals: dict[str, Units], names: set[str], watch: EntryWatch
     ) -> SharesRenewed | None:
         """Apply one daemon's renewal to the record.
 
@@ -225,22 +225,22 @@
 
         SharesRenewed or None : None for a renewal older than the recorded one.
         """
-        key = f"{ask.member}/{ask.incarnation}"
+        key = f"{request.member}/{request.incarnation}"
         current = self.entries.get(key)
-        if current is not None and (current.replaced or current.counter > ask.counter):
+        if current is not None and (current.replaced or current.counter > request.counter):
             return None
-        if current is not None and current.counter == ask.counter:
+        if current is not None and current.counter == request.counter:
             return _build_reply(current)
         if current is None:
-            self._replace_earlier(ask.member)
-        held = Granted(_reduce_to_retained(current, ask), {}, {})
-        entry = Entry(ask.member, ask.incarnation, ask.counter, held)
+            self._replace_earlier(request.member)
+        held = Granted(_reduce_to_retained(current, request), {}, {})
+        entry = Entry(request.member, request.incarnation, request.counter, held)
         self.entries[key] = entry
-        if ask.leaving and not any(units != NOTHING for units in held.grants.values()):
+        if request.leaving and not any(units != NOTHING for units in held.grants.values()):
             del self.entries[key]
-        if not ask.leaving:
+        if not request.leaving:
             self._raise_to_part(entry, totals, names, watch)
-        _set_floors_and_lendable(held, ask)
+        _set_floors_and_lendable(held, request)
         return _build_reply(entry)
 
     def _replace_earlier(self, name: str) -> None:
@@ -266,10 +266,10 @@
             entry.held.grants[account] = has + wanted.limit(self.count_free(account, total, watch))
 
 
-def _reduce_to_retained(current: Entry | None, ask: RenewShares) -> dict[str, Units]:
+def _reduce_to_retained(current: Entry | None, request: RenewShares) -> dict[str, Units]:
     if current is None:
         return {}
-    kept = decode_grants(ask.kept)
+    kept = decode_grants(request.kept)
     return {
         account: units.limit(kept[account])
         for account, units in current.held.grants.items()
@@ -277,11 +277,11 @@
     }
 
 
-def _set_floors_and_lendable(held: Granted, ask: RenewShares) -> None:
+def _set_floors_and_lendable(held: Granted, request: RenewShares) -> None:
     """Set the floors and lendable parts for the grants; a leaving daemon's floors are not raised."""
-    floors, lendable = decode_grants(ask.floors), decode_grants(ask.lendable)
+    floors, lendable = decode_grants(request.floors), decode_grants(request.lendable)
     for account, units in held.grants.items():
-        least = NOTHING if ask.leaving else units.halve()
+        least = NOTHING if request.leaving else units.halve()
         held.floors[account] = floors.get(account, NOTHING).raise_to(least)
         held.lendable[account] = lendable.get(account, NOTHING).limit(units)
 
--- a/hemlockswitch/process/shares/renewal.py
+++ b/hemlockswitch/process/shares/renewal.py
@@ -89,7 +89,7 @@
         self._counter += 1
         reduced = self._book.reduce_to(self._find_retained())
         sent_ms = self._clock.now_ms()
-        ask = RenewShares(
+        request = RenewShares(
             member=self._parts.name,
             incarnation=self.incarnation,
             counter=self._counter,
@@ -98,7 +98,7 @@
             lendable=encode_grants(reduced.lendable),
             leaving=self._parts.leaving,
         )
-        reply = self._send(ask)
+        reply = self._send(request)
         if reply is None or reply.counter != self._counter:
             return False
         held = Granted(*(decode_grants(getattr(reply, part)) for part in PARTS))
@@ -133,12 +133,12 @@
             if self._clock.now_ms() < self._fast_renewal_until_ms:
                 return
 
-    def _send(self, ask: RenewShares) -> SharesRenewed | None:
+    def _send(self, request: RenewShares) -> SharesRenewed | None:
         for address in self._parts.list_writers():
             try:
                 if not address:
-                    return self._anchor.renew(ask)
-                return self._network.ask(address, ask, RENEW_TIMEOUT_MS)
+                    return self._anchor.renew(request)
+                return self._network.ask(address, request, RENEW_TIMEOUT_MS)
             except HemlockError:
                 # The next writer may reach the platform; if none does, the expiry of the term is logged.
                 continue
--- a/hemlockswitch/process/shares/shares.py
+++ b/hemlockswitch/process/shares/shares.py
@@ -79,7 +79,7 @@
         parts = LoanParts(self.book, network, clock, self.count_needed, _Credits(self))
         self.lender = Lender(parts)
         self.borrower = ShareBorrower(parts)
-        network.handle(RenewShares, lambda sender, ask: self.anchor.renew(ask))
+        network.handle(RenewShares, lambda sender, request: self.anchor.renew(request))
 
     @property
     def is_ready(self) -> bool:
--- a/hemlockswitch/request/sending.py
+++ b/hemlockswitch/request/sending.py
@@ -75,8 +75,8 @@
     def record_connected(self, server: BackendServer, took_ms: float) -> None:
         """Record a new connection to a server."""
 
-    def record_unreachable(self, server: BackendServer, *, is_silent: bool) -> None:
-        """Record a failed connection; `is_silent` if it timed out rather than being refused."""
+    def record_unreachable(self, server: BackendServer, *, has_timed_out: bool) -> None:
+        """Record a failed connection; `has_timed_out` if it timed out rather than being refused."""
 
     def record_answer(self, server: BackendServer) -> None:
         """Record that bytes of an answer were received from a server."""
@@ -225,7 +225,7 @@
             assert error.stage is Stage.BEFORE_SEND
             took_ms = self._clock.now_ms() - began_ms
             if timeout_ms == default_timeout_ms or took_ms < timeout_ms:
-                self._view.record_unreachable(server, is_silent=took_ms >= timeout_ms)
+                self._view.record_unreachable(server, has_timed_out=took_ms >= timeout_ms)
             raise SendFailedError(SendFailure.UNREACHABLE, error.detail, False) from error
         if exchange.is_new:
             self._view.record_connected(server, self._clock.now_ms() - began_ms)
--- a/tests/crash_gateways.py
+++ b/tests/crash_gateways.py
@@ -135,7 +135,7 @@
 
     def list_connected(self):
         oldest_ms = self.world.clock.now_ms() - 3 * REPORT_MS
-        return [peer for peer, heard_ms in self.reports.values() if heard_ms > oldest_ms]
+        return [peer for peer, received_ms in self.reports.values() if received_ms > oldest_ms]
 
     def count_connected(self):
         return len(self.list_connected()) + 1
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -92,12 +92,14 @@
 
 def test_offers_of_other_zones_expire_after_their_query(gossip_state, clock, directory):
     far = BackendServer("f", "duluth-hall", "127.0.0.1:2", "m")
-    directory.record_offer("duluth-hall", [far], asked_ms=clock.now_ms())
+    directory.record_offer("duluth-hall", [far], requested_ms=clock.now_ms())
     clock.advance(ZONE_OFFER_EXPIRY_MS)
     assert list_names(directory) == ["f"]
     clock.advance(1)
     assert list_names(directory) == []
-    directory.record_offer("duluth-hall", [far], asked_ms=clock.now_ms() - ZONE_OFFER_EXPIRY_MS - 1)
+    directory.record_offer(
+        "duluth-hall", [far], requested_ms=clock.now_ms() - ZONE_OFFER_EXPIRY_MS - 1
+    )
     assert list_names(directory) == []
 
 
@@ -105,7 +107,7 @@
     gossip_state.record(make_vm("f", zone="duluth-hall"))
     assert list_names(directory) == []
     far = BackendServer("f", "duluth-hall", "127.0.0.1:2", "m")
-    directory.record_offer("duluth-hall", [far], asked_ms=clock.now_ms())
+    directory.record_offer("duluth-hall", [far], requested_ms=clock.now_ms())
     assert list_names(directory) == ["f"]
     gossip_state.record(make_vm("f", version=2, zone="duluth-hall", state="leaving"))
     assert list_names(directory) == []
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -197,5 +197,5 @@
     seen = []
     pointer = Pointer(OldWatch(), "pointers", "current", lambda item: seen.append(item.version))
     for _ in range(3):
-        pointer.ask()
+        pointer.query()
     assert seen == [5, 9]
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -89,23 +89,23 @@
 
 
 def test_two_servers_that_time_out_make_their_zone_suspected(site):
-    site.reach.record_unreachable(SERVERS[2], is_silent=True)
+    site.reach.record_unreachable(SERVERS[2], has_timed_out=True)
     assert site.lost == []
     assert "z2-1" not in site.names() and "z2-2" in site.names()
-    site.reach.record_unreachable(SERVERS[3], is_silent=True)
+    site.reach.record_unreachable(SERVERS[3], has_timed_out=True)
     assert site.lost == ["z2"]
 
 
 def test_two_servers_that_time_out_with_an_answer_between_do_not_concern_the_zone(site):
-    site.reach.record_unreachable(SERVERS[2], is_silent=True)
+    site.reach.record_unreachable(SERVERS[2], has_timed_out=True)
     site.reach.record_answer(make_server("z2-3", "z2"))
-    site.reach.record_unreachable(SERVERS[3], is_silent=True)
+    site.reach.record_unreachable(SERVERS[3], has_timed_out=True)
     assert site.lost == []
 
 
 def test_a_refused_connection_concerns_one_server(site):
     for server in SERVERS[2:4]:
-        site.reach.record_unreachable(server, is_silent=False)
+        site.reach.record_unreachable(server, has_timed_out=False)
     assert site.lost == []
     assert site.names() == ["z1-1", "z1-2", "z3-1", "z3-2"]
 
@@ -113,14 +113,14 @@
 def test_a_restarted_server_is_not_suspected(site):
     before = BackendServer("r", "z2", "10.0.0.1:80", "llm", started_unix_ms=1)
     after = BackendServer("r", "z2", "10.0.0.1:80", "llm", started_unix_ms=2)
-    site.reach.record_unreachable(before, is_silent=True)
+    site.reach.record_unreachable(before, has_timed_out=True)
     assert site.reach.is_suspect(before)
     assert not site.reach.is_suspect(after)
 
 
 def test_all_servers_are_used_if_all_are_suspected(site):
     for server in SERVERS:
-        site.reach.record_unreachable(server, is_silent=False)
+        site.reach.record_unreachable(server, has_timed_out=False)
     assert site.names() == [server.name for server in SERVERS]
 
 
@@ -172,7 +172,7 @@
 def test_suspects_are_probed_a_few_at_a_time(site):
     servers = [make_server(f"z2-{number}", "z2") for number in range(20)]
     for server in servers:
-        site.reach.record_unreachable(server, is_silent=False)
+        site.reach.record_unreachable(server, has_timed_out=False)
     assert len(site.reach.list_probes(servers)) == MAX_PROBES_PER_ZONE
     assert site.reach.list_probes(servers) == []
     site.clock.advance(PROBE_INTERVAL_MS)
@@ -181,6 +181,6 @@
 
 
 def test_the_state_of_a_removed_server_is_discarded(site):
-    site.reach.record_unreachable(SERVERS[2], is_silent=True)
+    site.reach.record_unreachable(SERVERS[2], has_timed_out=True)
     site.reach.evict(SERVERS[2])
     assert site.reach.describe_unreachable() == []
--- a/tests/test_watch_guard.py
+++ b/tests/test_watch_guard.py
@@ -21,7 +21,7 @@
     def __init__(self, kind, sent_ms):
         self.kind = kind
         self.watch_sent_ms = sent_ms
-        self.heard_ms = 0.0
+        self.received_ms = 0.0
         self.renewed = 0
 
     def renew_watch(self):
@@ -73,11 +73,11 @@
     assert fixture.renewed == (1, 1)
 
 
-@pytest.mark.parametrize(("heard_ms", "renewed"), [(11_900, 1), (13_000, 0)])
-def test_an_outage_in_which_the_store_answered_this_gateway_is_ignored(heard_ms, renewed):
+@pytest.mark.parametrize(("received_ms", "renewed"), [(11_900, 1), (13_000, 0)])
+def test_an_outage_in_which_the_store_answered_this_gateway_is_ignored(received_ms, renewed):
     """The store was down for some gateways, at different times."""
     fixture = Fixture(sent_ms=13_100)
-    fixture.servers.heard_ms = heard_ms
+    fixture.servers.received_ms = received_ms
     fixture.compare(SAME, StoreView(3, 7, Outage(11_000, 16_000)))
     assert fixture.servers.renewed == renewed
 
--- a/tests/test_watchers.py
+++ b/tests/test_watchers.py
@@ -114,15 +114,15 @@
     platform, gossip_state = FakePlatform(), GossipState()
     vms = VmFeed(platform, ZONE, gossip_state, clock)
     platform.vms = [make_vm("a"), make_vm("b")]
-    vms.ask()
+    vms.query()
     platform.vms = [make_vm("b")]
-    vms.ask()
+    vms.query()
     clock.advance(VM_REMOVAL_DELAY_MS - 1)
-    vms.ask()
+    vms.query()
     assert gossip_state.find("vm/a").value["state"] == "live"
     gossip_state.record(GossipItem("notice/a", 4, {"deadline_wall_ms": 77}))
     clock.advance(1)
-    vms.ask()
+    vms.query()
     assert gossip_state.find("vm/a").value["state"] == "gone"
     assert gossip_state.find("vm/a").tombstone and gossip_state.find("notice/a").tombstone
     assert gossip_state.find("vm/b").value["state"] == "live"
