--- a/hemlockswitch/connection/peers.py
+++ b/hemlockswitch/connection/peers.py
@@ -173,7 +173,7 @@
         for address in addresses:
             self._send_frame(address, frame)
 
-    def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
+    def request(self, address: str, message: Any, timeout_ms: float) -> Any:
         """Send a request and return its reply.
 
         Raises
--- a/hemlockswitch/process/claims/routes.py
+++ b/hemlockswitch/process/claims/routes.py
@@ -102,7 +102,7 @@
 class Peers(Protocol):
     """The requests between daemons that claims need."""
 
-    def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
+    def request(self, address: str, message: Any, timeout_ms: float) -> Any:
         """Send a request and return its reply."""
 
     def handle(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
@@ -112,7 +112,7 @@
 class NoPeers:
     """The `Peers` of a daemon without peers."""
 
-    def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
+    def request(self, address: str, message: Any, timeout_ms: float) -> Any:
         """Raise `NotImplementedError`: there is no peer to send to."""
         raise NotImplementedError
 
@@ -250,7 +250,7 @@
         try:
             message = encode_operation(operation)
             timeout_ms = min(left_ms, REQUEST_TIMEOUT_MS)
-            return self._peers.ask(peer.address, message, timeout_ms).to_result()
+            return self._peers.request(peer.address, message, timeout_ms).to_result()
         except PeerError:
             self._avoided_until_ms[peer.name] = self._clock.now_ms() + PEER_RETRY_DELAY_MS
             return Result(Verdict.UNCERTAIN)
--- a/hemlockswitch/process/copies/usage.py
+++ b/hemlockswitch/process/copies/usage.py
@@ -183,7 +183,7 @@
 
     def _query(self, address: str, question: UsageQuestion | PlannedStop) -> Any:
         try:
-            return self._network.ask(address, question, QUERY_TIMEOUT_MS)
+            return self._network.request(address, question, QUERY_TIMEOUT_MS)
         except PeerError:
             return None
 
@@ -232,7 +232,7 @@
     def _query_any(self, question: UsageQuestion | PlannedStop) -> Any:
         for address in dict.fromkeys(self._seeds + self._answered):
             try:
-                return self._network.ask(address, question, QUERY_TIMEOUT_MS * 2)
+                return self._network.request(address, question, QUERY_TIMEOUT_MS * 2)
             except PeerError:
                 continue
         raise PeerError(ErrorKind.PEER_UNAVAILABLE, "no entry daemon answered")
--- a/hemlockswitch/process/gossip/gossip.py
+++ b/hemlockswitch/process/gossip/gossip.py
@@ -134,7 +134,7 @@
         """
         self.repairs += 1
         compare = Compare(self._zone if zone == self._zone else "", self._pack_buckets(zone))
-        difference = self._network.ask(address, compare, self._limits.request_timeout_ms)
+        difference = self._network.request(address, compare, self._limits.request_timeout_ms)
         held = {key: (version, tombstone) for key, version, tombstone in difference.held}
         missing = self._list_missing(zone, held, set(difference.buckets))
         self._send_items(address, self._make_rows(missing))
--- a/hemlockswitch/process/gossip/retrieval.py
+++ b/hemlockswitch/process/gossip/retrieval.py
@@ -100,7 +100,7 @@
                 pending[: self._limits.max_fetch_keys],
                 pending[self._limits.max_fetch_keys :],
             )
-            reply = self._network.ask(holder, Fetch(requested), self._limits.request_timeout_ms)
+            reply = self._network.request(holder, Fetch(requested), self._limits.request_timeout_ms)
             self._receive(holder, reply)
             received = {row[0] for row in reply.items}
             # A reply is truncated at its limit in bytes; an empty one means that the holder has
--- a/hemlockswitch/process/handover/handover.py
+++ b/hemlockswitch/process/handover/handover.py
@@ -28,7 +28,7 @@
 class HandoverNetwork(Protocol):
     """The requests between daemons that a handover needs."""
 
-    def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
+    def request(self, address: str, message: Any, timeout_ms: float) -> Any:
         """Return the peer's reply, or raise `PeerError`."""
 
 
@@ -157,7 +157,7 @@
         """Send to one daemon; the request is idempotent, so it is repeated after a lost answer."""
         for _ in range(ATTEMPTS_PER_RECEIVER):
             try:
-                self._network.ask(receiver.address, message, REQUEST_TIMEOUT_MS)
+                self._network.request(receiver.address, message, REQUEST_TIMEOUT_MS)
                 return True
             except PeerError as error:
                 if error.kind in REFUSALS:
--- a/hemlockswitch/process/handover/resuming.py
+++ b/hemlockswitch/process/handover/resuming.py
@@ -204,7 +204,7 @@
     def _request(self, member: HandoverMember, message: Any) -> Any:
         if member.name == self._name:
             return serve_state_message(self._store, message)
-        return self._network.ask(member.address, message, REQUEST_TIMEOUT_MS)
+        return self._network.request(member.address, message, REQUEST_TIMEOUT_MS)
 
 
 def serve_state_message(store: StateStore, message: Any) -> Any:
--- a/hemlockswitch/process/membership/probes.py
+++ b/hemlockswitch/process/membership/probes.py
@@ -161,7 +161,7 @@
     def probe(self, target: str, address: str, zone: str, timeout_ms: float) -> bool:
         """Probe one member at its address and return whether it answered."""
         try:
-            ack = self._network.ask(address, Probe(target, self._own.zone), timeout_ms)
+            ack = self._network.request(address, Probe(target, self._own.zone), timeout_ms)
         except PeerError:
             return False
         self.last_answer_ms = self._clock.now_ms()
@@ -209,7 +209,9 @@
     def _request_probe(self, helper: Member, member: Member) -> bool:
         message = ProbeFor(member.name, member.peer_address, member.zone)
         try:
-            reply = self._network.ask(helper.peer_address, message, self._times.indirect_timeout_ms)
+            reply = self._network.request(
+                helper.peer_address, message, self._times.indirect_timeout_ms
+            )
         except PeerError:
             return False
         self.last_answer_ms = self._clock.now_ms()
--- a/hemlockswitch/process/revisions/updates.py
+++ b/hemlockswitch/process/revisions/updates.py
@@ -200,7 +200,7 @@
         have = self._configuration
         query = RevisionQuery(have.revision, have.digest, whole)
         try:
-            return self._network.ask(address, query, REQUEST_TIMEOUT_MS)
+            return self._network.request(address, query, REQUEST_TIMEOUT_MS)
         except HemlockError:
             return None
 
--- a/hemlockswitch/process/servers/zones.py
+++ b/hemlockswitch/process/servers/zones.py
@@ -70,7 +70,7 @@
 class Network(Protocol):
     """The peer network interface that the queries need."""
 
-    def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
+    def request(self, address: str, message: Any, timeout_ms: float) -> Any:
         """Return the reply to a query."""
 
     def handle(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
@@ -201,7 +201,7 @@
 
         PeerError : the daemon does not answer, or was paused itself.
         """
-        offer = self._network.ask(address, ZoneQuestion(self._own_name, 0), QUERY_TIMEOUT_MS)
+        offer = self._network.request(address, ZoneQuestion(self._own_name, 0), QUERY_TIMEOUT_MS)
         for name in offer.leaving:
             self._directory.record_leaving(name)
 
@@ -209,7 +209,7 @@
         if not addresses:
             raise PeerError(ErrorKind.PEER_UNAVAILABLE, "no live daemon of the zone is recorded")
         question = ZoneQuestion(self._own_name, digest)
-        return self._network.ask(random.choice(addresses), question, QUERY_TIMEOUT_MS)
+        return self._network.request(random.choice(addresses), question, QUERY_TIMEOUT_MS)
 
     def _record_silence(self, zone: str, state: _ZoneState) -> None:
         if state.silent or state.answered_ms is None:
--- a/hemlockswitch/process/shares/borrower.py
+++ b/hemlockswitch/process/shares/borrower.py
@@ -171,7 +171,7 @@
     def _query_lender(self, address: str, request: BorrowShare) -> int:
         sent_ms = self._clock.now_ms()
         try:
-            lent = self._network.ask(address, request, QUERY_TIMEOUT_MS)
+            lent = self._network.request(address, request, QUERY_TIMEOUT_MS)
         except PeerError:
             self._unresponsive_until_ms[address] = (
                 self._clock.now_ms() + UNRESPONSIVE_LENDER_PAUSE_MS
@@ -234,7 +234,7 @@
     def _extend_at(self, peer: str, terms: Terms) -> None:
         sent_ms = self._clock.now_ms()
         try:
-            reply = self._network.ask(peer, ExtendLoans(terms), LOAN_TIMEOUT_MS)
+            reply = self._network.request(peer, ExtendLoans(terms), LOAN_TIMEOUT_MS)
         except PeerError:
             return
         for number, units in terms:
--- a/hemlockswitch/process/shares/lender.py
+++ b/hemlockswitch/process/shares/lender.py
@@ -88,7 +88,7 @@
 
     def _recall_one(self, loan: Loan, units: int) -> bool:
         try:
-            reply = self._network.ask(
+            reply = self._network.request(
                 loan.peer, RecallLoan(loan.number, min(units, loan.units)), RECALL_TIMEOUT_MS
             )
         except PeerError:
--- a/hemlockswitch/process/shares/messages.py
+++ b/hemlockswitch/process/shares/messages.py
@@ -81,7 +81,7 @@
 class LoanNetwork(Protocol):
     """The part of the peer network that loans use."""
 
-    def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
+    def request(self, address: str, message: Any, timeout_ms: float) -> Any:
         """Return the peer's reply, or raise `PeerError`."""
 
     def handle(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
--- a/hemlockswitch/process/shares/renewal.py
+++ b/hemlockswitch/process/shares/renewal.py
@@ -138,7 +138,7 @@
             try:
                 if not address:
                     return self._anchor.renew(request)
-                return self._network.ask(address, request, RENEW_TIMEOUT_MS)
+                return self._network.request(address, request, RENEW_TIMEOUT_MS)
             except HemlockError:
                 # The next writer may reach the platform; if none does, the expiry of the term is logged.
                 continue
--- a/tests/claim_parts.py
+++ b/tests/claim_parts.py
@@ -98,7 +98,7 @@
             assert message_type is ClaimOperation
             self.network.handlers[self.address] = handler
 
-        def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
+        def request(self, address: str, message: Any, timeout_ms: float) -> Any:
             self.network.asked[address] += 1
             return self.network.handlers[address](self.address, message)
 
--- a/tests/share_fleet.py
+++ b/tests/share_fleet.py
@@ -79,7 +79,7 @@
     def handle(self, message_type, handler):
         self._handlers[message_type] = handler
 
-    def ask(self, address, message, timeout_ms):
+    def request(self, address, message, timeout_ms):
         self._fleet.messages += 1
         if not self._fleet.is_linked(self._name, address):
             raise PeerError(ErrorKind.PEER_UNAVAILABLE, "cut")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -109,7 +109,7 @@
         self.gone = set()
         self.lost = []
 
-    def ask(self, address, message, timeout_ms):
+    def request(self, address, message, timeout_ms):
         if address in self.gone:
             raise PeerError(ErrorKind.PEER_UNAVAILABLE, "gone")
         store = self.stores[address]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -40,8 +40,10 @@
     left, right = make_network("left"), make_network("right")
     for network in (left, right):
         network.handle(Greeting, lambda sender, message: Greeting(f"{message.text} {sender}"))
-    assert left.ask(right.address, Greeting("hi"), TIMEOUT_MS) == Greeting(f"hi {left.address}")
-    assert right.ask(left.address, Greeting("yo"), TIMEOUT_MS) == Greeting(f"yo {right.address}")
+    assert left.request(right.address, Greeting("hi"), TIMEOUT_MS) == Greeting(f"hi {left.address}")
+    assert right.request(left.address, Greeting("yo"), TIMEOUT_MS) == Greeting(
+        f"yo {right.address}"
+    )
     assert left.traffic.connections == right.traffic.connections == 1
 
 
@@ -56,7 +58,7 @@
     kinds = []
     for _ in range(2):
         with pytest.raises(PeerError) as caught:
-            left.ask(right.address, Greeting(""), TIMEOUT_MS)
+            left.request(right.address, Greeting(""), TIMEOUT_MS)
         kinds.append(caught.value.kind)
     assert kinds == [ErrorKind.INTERNAL, ErrorKind.LEAVING]
     assert left.traffic.connections == 1
@@ -66,7 +68,7 @@
     left, right = make_network("left"), make_network("right", cluster="other")
     right.handle(Greeting, lambda sender, message: message)
     with pytest.raises(PeerError) as caught:
-        left.ask(right.address, Greeting("hi"), TIMEOUT_MS)
+        left.request(right.address, Greeting("hi"), TIMEOUT_MS)
     assert caught.value.kind is ErrorKind.PEER_UNAVAILABLE
 
 
@@ -74,7 +76,7 @@
     left, right = make_network("left"), make_network("right")
     right.handle(Greeting, lambda sender, message: gevent.sleep(60))
     with pytest.raises(PeerError):
-        left.ask(right.address, Greeting("hi"), 50)
+        left.request(right.address, Greeting("hi"), 50)
     assert left.list_streams() == []
 
 
@@ -83,13 +85,13 @@
     address = right.address
     right.stop()
     with pytest.raises(PeerError):
-        left.ask(address, Greeting("hi"), TIMEOUT_MS)
+        left.request(address, Greeting("hi"), TIMEOUT_MS)
     restarted = make_network("right", listen=address)
     restarted.handle(Greeting, lambda sender, message: message)
     with gevent.Timeout(20):
         while True:
             try:
-                assert left.ask(address, Greeting("hi"), TIMEOUT_MS) == Greeting("hi")
+                assert left.request(address, Greeting("hi"), TIMEOUT_MS) == Greeting("hi")
                 return
             except PeerError:
                 gevent.sleep(0.05)
@@ -114,7 +116,7 @@
         connection.sendall(garbage)
         with gevent.Timeout(10):
             assert connection.recv(10) == b""
-    assert make_network("left").ask(right.address, Greeting("hi"), TIMEOUT_MS) == Greeting("hi")
+    assert make_network("left").request(right.address, Greeting("hi"), TIMEOUT_MS) == Greeting("hi")
 
 
 def test_frame_over_the_size_limit_is_refused_by_its_header():
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -17,7 +17,7 @@
         self.is_cut = False
         self.offers = []
 
-    def ask(self, address, message, timeout_ms):
+    def request(self, address, message, timeout_ms):
         self.clock.advance(self.delay_ms)
         if self.is_cut:
             raise PeerError(ErrorKind.NOT_READY, "cut")
--- a/tools/capacity_variants.py
+++ b/tools/capacity_variants.py
@@ -104,7 +104,7 @@
             return
         self._lazy.discard(sender)
         try:
-            self._receive_items(sender, self._network.ask(sender, Fetch(keys), 1_000))
+            self._receive_items(sender, self._network.request(sender, Fetch(keys), 1_000))
         except PeerError:
             return
 
--- a/tools/measure_shares.py
+++ b/tools/measure_shares.py
@@ -73,12 +73,12 @@
         """Serve messages of a type."""
         self.network.handle(message_type, handler)
 
-    def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
+    def request(self, address: str, message: Any, timeout_ms: float) -> Any:
         """Ask a peer, or wait and fail when the cut is between."""
         if not self._fleet.is_reachable(self._zone, self._fleet.zones[address]):
             gevent.sleep(timeout_ms / MS_PER_SECOND)
             raise PeerError(ErrorKind.PEER_UNAVAILABLE, "cut")
-        return self.network.ask(address, message, timeout_ms)
+        return self.network.request(address, message, timeout_ms)
 
 
 class ReachablePlatform:
