--- a/hemlockswitch/process/gateway/prober.py
+++ b/hemlockswitch/process/gateway/prober.py
@@ -52,9 +52,9 @@
         timeout_ms = self._reachability.find_connect_timeout_ms()
         if self._connect(server, timeout_ms):
             return False
-        is_silent = self._clock.now_ms() - began_ms >= timeout_ms
-        self._reachability.record_unreachable(server, is_silent=is_silent)
-        return not is_silent
+        has_timed_out = self._clock.now_ms() - began_ms >= timeout_ms
+        self._reachability.record_unreachable(server, has_timed_out=has_timed_out)
+        return not has_timed_out
 
     def _probe(self, server: BackendServer) -> None:
         # A server that cannot be reached stays suspected, which was logged when the suspicion began.
@@ -64,7 +64,7 @@
         """Return whether a connection to a server opened; the connection is kept for a request."""
         began_ms = self._clock.now_ms()
         try:
-            self._pool.warm(server.address, timeout_ms)
+            self._pool.preconnect(server.address, timeout_ms)
         except ExchangeError:
             return False
         self._reachability.record_connected(server, self._clock.now_ms() - began_ms)
--- a/hemlockswitch/process/gossip/retrieval.py
+++ b/hemlockswitch/process/gossip/retrieval.py
@@ -48,7 +48,7 @@
         self._lacks = lacks
         self._receive = receive
         self._in_progress: dict[str, Retrieval] = {}
-        network.handle(Have, self._handle_announcement, quick=True)
+        network.handle(Have, self._handle_announcement, runs_inline=True)
 
     def _handle_announcement(self, sender: str, message: Have) -> None:
         wanted: dict[str, int] = {}
@@ -100,7 +100,7 @@
                 pending[: self._limits.max_fetch_keys],
                 pending[self._limits.max_fetch_keys :],
             )
-            reply = self._network.ask(holder, Fetch(requested), self._limits.request_timeout_ms)
+            reply = self._network.request(holder, Fetch(requested), self._limits.request_timeout_ms)
             self._receive(holder, reply)
             received = {row[0] for row in reply.items}
             # A reply is truncated at its limit in bytes; an empty one means that the holder has
--- a/hemlockswitch/process/servers/zones.py
+++ b/hemlockswitch/process/servers/zones.py
@@ -22,8 +22,8 @@
 from hemlockswitch.process.servers.backends import ZONE_OFFER_EXPIRY_MS, BackendDirectory
 from hemlockswitch.version.backend import BackendServer
 
-ASK_INTERVAL_MS = 500
-ASK_TIMEOUT_MS = 500
+QUERY_INTERVAL_MS = 500
+QUERY_TIMEOUT_MS = 500
 MIN_LOCAL_SERVERS = 8
 MAX_OFFERED_SERVERS = 8
 MAX_OFFERED_LEAVING = 1_000
@@ -70,7 +70,7 @@
 class Network(Protocol):
     """The peer network interface that the queries need."""
 
-    def ask(self, address: str, message: Any, timeout_ms: float) -> Any:
+    def request(self, address: str, message: Any, timeout_ms: float) -> Any:
         """Return the reply to a query."""
 
     def handle(self, message_type: type, handler: Callable[[str, Any], Any]) -> None:
@@ -157,8 +157,8 @@
         """Query one zone periodically until killed."""
         while True:
             if self.is_needed():
-                self.ask_zone(zone)
-            self._clock.sleep_ms(ASK_INTERVAL_MS * random.uniform(0.75, 1.25))
+                self.query_zone(zone)
+            self._clock.sleep_ms(QUERY_INTERVAL_MS * random.uniform(0.75, 1.25))
 
     def is_needed(self) -> bool:
         """Return whether the local zone has few servers of any target, or overflowed recently."""
@@ -173,11 +173,11 @@
         zones = set(self._list_addresses()) - {self._directory.zone}
         return rank_rendezvous(self._own_name, zones)[:MAX_QUERIED_ZONES]
 
-    def ask_zone(self, zone: str) -> None:
+    def query_zone(self, zone: str) -> None:
         """Query a daemon of the zone, and record its offer or that the zone is unresponsive."""
         addresses = self._list_addresses().get(zone, [])
         state = self._states.setdefault(zone, _ZoneState())
-        asked_ms = self._clock.now_ms()
+        requested_ms = self._clock.now_ms()
         try:
             offer = self._query_one(addresses, state.digest)
         except PeerError:
@@ -190,8 +190,8 @@
                 self._directory.record_leaving(name)
         if state.silent:
             log_event(Event.ZONE_HEARD, zone=zone)
-        state.answered_ms, state.silent = asked_ms, False
-        self._directory.record_offer(zone, state.servers, asked_ms)
+        state.answered_ms, state.silent = requested_ms, False
+        self._directory.record_offer(zone, state.servers, requested_ms)
 
     def refresh_from(self, address: str) -> None:
         """Fetch the leaving servers from a daemon of the local zone.
@@ -201,7 +201,7 @@
 
         PeerError : the daemon does not answer, or was paused itself.
         """
-        offer = self._network.ask(address, ZoneQuestion(self._own_name, 0), ASK_TIMEOUT_MS)
+        offer = self._network.request(address, ZoneQuestion(self._own_name, 0), QUERY_TIMEOUT_MS)
         for name in offer.leaving:
             self._directory.record_leaving(name)
 
@@ -209,7 +209,7 @@
         if not addresses:
             raise PeerError(ErrorKind.PEER_UNAVAILABLE, "no live daemon of the zone is recorded")
         question = ZoneQuestion(self._own_name, digest)
-        return self._network.ask(random.choice(addresses), question, ASK_TIMEOUT_MS)
+        return self._network.request(random.choice(addresses), question, QUERY_TIMEOUT_MS)
 
     def _record_silence(self, zone: str, state: _ZoneState) -> None:
         if state.silent or state.answered_ms is None:
