--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -26,12 +26,12 @@
     measure_share_records,
     print_share_records,
 )
-from tools.capacity_target import find_slopes, print_target, work_out  # noqa: E402
+from tools.capacity_target import extrapolate, find_slopes, print_target  # noqa: E402
 
 PRODUCT = "rings"
 FLOOD = "flood"
 REPORT = ROOT / "reports" / "capacity.json"
-START_AT_ONCE = 8
+PARALLEL_STARTS = 8
 DAEMONS_IN_ZONE = 8
 ZONES_IN_REGION = 3
 ANSWER_TIMEOUT_S = 30
@@ -40,20 +40,20 @@
 ITEM_COUNT = 100
 ITEM_GAP_S = 0.05
 ITEM_BYTES = 300
-HELD_MEMBERS = 5_000
-HELD_ITEMS = 5_000
+STORED_MEMBERS = 5_000
+STORED_ITEMS = 5_000
 RATES = ("messages_in", "messages_out", "bytes_in", "bytes_out", "segments", "processor_ms")
 
 
 @dataclass
-class LightDaemon:
+class DaemonProcess:
     """A measured process and its command pipe."""
 
     name: str
     process: subprocess.Popen
     address: str
 
-    def ask(self, command: str) -> dict:
+    def run_command(self, command: str) -> dict:
         """Send one command and return its answer."""
         assert self.process.stdin is not None
         self.process.stdin.write(command + "\n")
@@ -70,7 +70,7 @@
     return json.loads(process.stdout.readline())
 
 
-def start_daemon(variant: str, number: int, seeds: list[str]) -> LightDaemon:
+def start_daemon(variant: str, number: int, seeds: list[str]) -> DaemonProcess:
     """Start one measured process and wait until it listens."""
     zone = number // DAEMONS_IN_ZONE
     settings = {
@@ -88,18 +88,18 @@
         stderr=subprocess.DEVNULL,
         text=True,
     )
-    return LightDaemon(settings["name"], process, read_line(process)["address"])
+    return DaemonProcess(settings["name"], process, read_line(process)["address"])
 
 
-def start_daemons(variant: str, count: int) -> list[LightDaemon]:
+def start_daemons(variant: str, count: int) -> list[DaemonProcess]:
     """Start `count` daemons that join through the first one."""
     first = start_daemon(variant, 0, [])
-    with ThreadPoolExecutor(START_AT_ONCE) as pool:
-        rest = pool.map(lambda n: start_daemon(variant, n, [first.address]), range(1, count))
-        return [first, *rest]
+    with ThreadPoolExecutor(PARALLEL_STARTS) as pool:
+        others = pool.map(lambda n: start_daemon(variant, n, [first.address]), range(1, count))
+        return [first, *others]
 
 
-def stop_daemons(daemons: list[LightDaemon]) -> None:
+def stop_daemons(daemons: list[DaemonProcess]) -> None:
     """Kill the daemons and wait for their exit."""
     for daemon in daemons:
         daemon.process.kill()
@@ -107,12 +107,12 @@
         daemon.process.wait()
 
 
-def read_reports(daemons: list[LightDaemon]) -> list[dict]:
+def read_reports(daemons: list[DaemonProcess]) -> list[dict]:
     """Request a report from each daemon."""
-    return [daemon.ask("report") for daemon in daemons]
+    return [daemon.run_command("report") for daemon in daemons]
 
 
-def wait_until_joined(daemons: list[LightDaemon]) -> float:
+def wait_until_joined(daemons: list[DaemonProcess]) -> float:
     """Wait until every daemon lists all daemons as live; return the seconds elapsed."""
     started = time.monotonic()
     while time.monotonic() - started < JOIN_TIMEOUT_S:
@@ -122,7 +122,7 @@
     raise TimeoutError("the daemons did not all see one another")
 
 
-def measure_rates(daemons: list[LightDaemon], window_s: float) -> dict:
+def measure_rates(daemons: list[DaemonProcess], window_s: float) -> dict:
     """Return the mean and maximum rates per daemon over a window without changes."""
     before = read_reports(daemons)
     started = time.monotonic()
@@ -139,14 +139,14 @@
     return rates
 
 
-def measure_news(daemons: list[LightDaemon]) -> dict:
+def measure_gossip(daemons: list[DaemonProcess]) -> dict:
     """Publish items at random daemons; return the time to reach all daemons and the cost per item."""
     before = read_reports(daemons)
     started = time.monotonic()
     published = {}
     for number in range(ITEM_COUNT):
         origin = random.choice(daemons)
-        answer = origin.ask(f"publish item{number} {ITEM_BYTES}")
+        answer = origin.run_command(f"publish item{number} {ITEM_BYTES}")
         published[f"measured/item{number}"] = answer["published_ms"]
         time.sleep(ITEM_GAP_S)
     time.sleep(3)
@@ -174,7 +174,7 @@
     }
 
 
-def measure_detection(daemons: list[LightDaemon], kills: int) -> dict:
+def measure_detection(daemons: list[DaemonProcess], kills: int) -> dict:
     """Kill daemons one by one; return the times until all remaining ones have detected each failure."""
     times_ms = []
     for _ in range(kills):
@@ -186,7 +186,7 @@
     return {"all_ms": times_ms, "median_ms": statistics.median(times_ms), "max_ms": max(times_ms)}
 
 
-def measure_heal(daemons: list[LightDaemon]) -> dict:
+def measure_heal(daemons: list[DaemonProcess]) -> dict:
     """Freeze half of the daemons until the other half declares them dead, then resume them."""
     half = len(daemons) // 2
     frozen = daemons[half:]
@@ -212,7 +212,7 @@
     }
 
 
-def wait_until_dead(daemons: list[LightDaemon], name: str) -> float:
+def wait_until_dead(daemons: list[DaemonProcess], name: str) -> float:
     """Wait until all daemons have declared `name` dead; return the time of the last one."""
     deadline = time.monotonic() + DETECTION_TIMEOUT_S
     while time.monotonic() < deadline:
@@ -231,11 +231,11 @@
         time.sleep(3)
         result = {"variant": variant, "daemons": count, "joined_s": joined_s}
         result["idle"] = measure_rates(daemons, window_s)
-        result["news"] = measure_news(daemons)
+        result["news"] = measure_gossip(daemons)
         result["detection"] = measure_detection(daemons, kills)
         if variant == PRODUCT:
             result["heal"] = measure_heal(daemons)
-        result["held"] = daemons[0].ask(f"hold {HELD_MEMBERS} {HELD_ITEMS}")
+        result["held"] = daemons[0].run_command(f"hold {STORED_MEMBERS} {STORED_ITEMS}")
         return result
     finally:
         stop_daemons(daemons)
@@ -282,7 +282,7 @@
             results.append(result)
     slopes = find_slopes([result for result in results if result["variant"] == PRODUCT])
     eager = find_slopes([result for result in results if result["variant"] == FLOOD])
-    target = work_out(slopes, eager or slopes) if slopes else {}
+    target = extrapolate(slopes, eager or slopes) if slopes else {}
     print_target(slopes, target)
     options.report.parent.mkdir(exist_ok=True)
     entry = [measure_entry(vms, options.window_s) for vms in options.vms]
--- a/tools/capacity_daemon.py
+++ b/tools/capacity_daemon.py
@@ -59,14 +59,14 @@
         )
         self.learned_ms: dict[str, float] = {}
         self.dead_ms: dict[str, float] = {}
-        self.gossip_state.add_listener("measured/", self._note_news)
-        self.membership.add_listener(self._note_member)
+        self.gossip_state.add_listener("measured/", self._record_item)
+        self.membership.add_listener(self._record_dead_member)
         self.membership.start()
 
-    def _note_news(self, item: GossipItem) -> None:
+    def _record_item(self, item: GossipItem) -> None:
         self.learned_ms[item.key] = time.monotonic() * 1000
 
-    def _note_member(self, member: Member) -> None:
+    def _record_dead_member(self, member: Member) -> None:
         if not member.is_live:
             self.dead_ms.setdefault(member.name, time.monotonic() * 1000)
 
@@ -120,7 +120,7 @@
         }
 
 
-def answer(daemon: MeasuredDaemon, line: str) -> dict:
+def run_command(daemon: MeasuredDaemon, line: str) -> dict:
     """Execute one command."""
     command, *arguments = line.split()
     if command == "report":
@@ -140,7 +140,7 @@
     print(json.dumps({"ready": True, "address": daemon.network.address}), flush=True)
     with FileObjectPosix(sys.stdin, "r", close=False) as commands:
         for line in commands:
-            print(json.dumps(answer(daemon, line)), flush=True)
+            print(json.dumps(run_command(daemon, line)), flush=True)
             gevent.sleep(0)
     os._exit(0)
 
--- a/tools/capacity_entry.py
+++ b/tools/capacity_entry.py
@@ -102,7 +102,7 @@
             cluster.launch_entry(f"entry-{number}", ZONE, platform=platform_link)
         for number in range(CONTROLLERS):
             cluster.launch_controller(f"controller-{number}", ZONE)
-        wait_until(lambda: all_see_all(cluster), "the daemons see one another", 60)
+        wait_until(lambda: have_all_members(cluster), "the daemons see one another", 60)
     except BaseException:
         cluster.close()
         raise
@@ -126,7 +126,7 @@
     }
 
 
-def all_see_all(cluster: Cluster) -> bool:
+def have_all_members(cluster: Cluster) -> bool:
     """Return whether every daemon lists all daemons as members."""
     statuses = [get_json(one.addresses["control"], "/status") for one in cluster.list_daemons()]
     return all(len(status["members"]) == DAEMONS for status in statuses)
--- a/tools/capacity_records.py
+++ b/tools/capacity_records.py
@@ -13,9 +13,9 @@
 def make_share_record(daemons: int, accounts: int) -> ShareRecord:
     """Return the share record of a zone in which every daemon has a share of every account."""
     grants = {f"account-{number}": UNITS for number in range(accounts)}
-    held = Granted(grants, grants, grants)
+    granted = Granted(grants, grants, grants)
     names = [f"entry-{number:04}" for number in range(daemons)]
-    entries = [Entry(name, "0123456789abcdef01234567", 123_456, held) for name in names]
+    entries = [Entry(name, "0123456789abcdef01234567", 123_456, granted) for name in names]
     return ShareRecord({entry.key: entry for entry in entries})
 
 
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -45,15 +45,15 @@
     return members
 
 
-def study_overlay(members: list[Member]) -> dict:
+def measure_overlay(members: list[Member]) -> dict:
     """Return the degrees and the depth of the overlay chosen by `choose_links`."""
     links = {member.name: choose_links(member, members) for member in members}
     probes = [len(link.probed) for link in links.values()]
     neighbours = [len(link.gossip_peers) for link in links.values()]
-    next_to: dict[str, set[str]] = defaultdict(set)
+    adjacent: dict[str, set[str]] = defaultdict(set)
     for name, link in links.items():
-        next_to[name] |= {one.name for one in link.gossip_peers}
-    depths = [count_hops(next_to, member.name) for member in members[:20]]
+        adjacent[name] |= {one.name for one in link.gossip_peers}
+    depths = [count_hops(adjacent, member.name) for member in members[:20]]
     return {
         "probes": {"mean": statistics.mean(probes), "max": max(probes)},
         "neighbours": {"mean": statistics.mean(neighbours), "max": max(neighbours)},
@@ -61,16 +61,16 @@
     }
 
 
-def count_hops(next_to: dict[str, set[str]], origin: str) -> int:
+def count_hops(adjacent: dict[str, set[str]], origin: str) -> int:
     """Return the number of hops after which an item from `origin` has reached all members."""
     reached = {origin}
     frontier = {origin}
     hops = 0
     while frontier:
-        frontier = {name for one in frontier for name in next_to[one]} - reached
+        frontier = {name for one in frontier for name in adjacent[one]} - reached
         reached |= frontier
         hops += bool(frontier)
-    if len(reached) < len(next_to):
+    if len(reached) < len(adjacent):
         raise ValueError("the overlay does not reach everyone")
     return hops
 
@@ -124,13 +124,13 @@
     return slopes
 
 
-def work_out(slopes: dict, eager_slopes: dict, target: Target | None = None) -> dict:
+def extrapolate(slopes: dict, eager_slopes: dict, target: Target | None = None) -> dict:
     """Return the cost of control traffic per daemon at the target size.
 
     `eager_slopes` are those of items sent in full over every link, as small items are.
     """
     target = target or Target()
-    overlay = study_overlay(make_members(target))
+    overlay = measure_overlay(make_members(target))
     slope = {name: value["mean"] for name, value in slopes.items()}
     eager = {name: value["mean"] for name, value in eager_slopes.items()}
     eager_copies = overlay["neighbours"]["mean"] * eager["copies_per_neighbour"]
@@ -139,16 +139,16 @@
     members_s = target.member_changes_a_day / SECONDS_A_DAY
     vms_s = target.vm_changes_a_day / SECONDS_A_DAY * zone_share
     parts = {
-        "heartbeats": work_out_heartbeats(slope, overlay["probes"]["mean"]),
-        "configuration": work_out_flow(slope, changes_s, target.change_bytes),
-        "members": work_out_flow(eager, members_s * eager_copies, MEMBER_BYTES),
-        "vms": work_out_flow(slope, vms_s, VM_BYTES),
-        "feed": work_out_flow(eager, target.feed_items_s * eager_copies, FEED_BYTES),
+        "heartbeats": compute_heartbeat_cost(slope, overlay["probes"]["mean"]),
+        "configuration": compute_flow_cost(slope, changes_s, target.change_bytes),
+        "members": compute_flow_cost(eager, members_s * eager_copies, MEMBER_BYTES),
+        "vms": compute_flow_cost(slope, vms_s, VM_BYTES),
+        "feed": compute_flow_cost(eager, target.feed_items_s * eager_copies, FEED_BYTES),
     }
-    held_members = target.daemons + target.member_changes_a_day / 12
+    stored_members = target.daemons + target.member_changes_a_day / 12
     memory_bytes = (
         slope["bytes_per_stream"] * overlay["neighbours"]["mean"]
-        + slope["member_bytes"] * held_members
+        + slope["member_bytes"] * stored_members
         + slope["item_bytes"] * target.runners * zone_share
     )
     return {
@@ -158,12 +158,12 @@
         "bytes_s": sum(part["bytes_s"] for part in parts.values()),
         "wire_bytes_s": sum(part["wire_bytes_s"] for part in parts.values()),
         "core_percent": sum(part["core_percent"] for part in parts.values()),
-        "busiest_heartbeats": work_out_heartbeats(slope, overlay["probes"]["max"]),
+        "busiest_heartbeats": compute_heartbeat_cost(slope, overlay["probes"]["max"]),
         "memory_bytes": memory_bytes,
     }
 
 
-def work_out_heartbeats(slope: dict, probes: float) -> dict:
+def compute_heartbeat_cost(slope: dict, probes: float) -> dict:
     """Return bytes and processor time per second for heartbeats with `probes` members."""
     bytes_s = slope["bytes_per_probe"] * probes
     headers = slope["segments_per_probe"] * probes * SEGMENT_HEADER_BYTES
@@ -174,7 +174,7 @@
     }
 
 
-def work_out_flow(slope: dict, copies_s: float, size_bytes: float) -> dict:
+def compute_flow_cost(slope: dict, copies_s: float, size_bytes: float) -> dict:
     """Return bytes and processor time per second for a flow of items, incoming and outgoing."""
     bytes_s = 2 * copies_s * (size_bytes + slope["overhead_bytes_per_copy"])
     headers = copies_s * slope["segments_per_copy"] * SEGMENT_HEADER_BYTES
--- a/tools/copies_controller.py
+++ b/tools/copies_controller.py
@@ -11,7 +11,7 @@
 from tools.copies_baselines import find_rule
 
 
-def take_rule(arguments: list[str]) -> str:
+def pop_rule(arguments: list[str]) -> str:
     """Remove ``--rule NAME`` from the arguments and return the name."""
     place = arguments.index("--rule")
     name = arguments[place + 1]
@@ -20,5 +20,5 @@
 
 
 if __name__ == "__main__":
-    controller.Planner = find_rule(take_rule(sys.argv))  # type: ignore[misc]
+    controller.Planner = find_rule(pop_rule(sys.argv))  # type: ignore[misc]
     sys.exit(main())
--- a/tools/measure_claims.py
+++ b/tools/measure_claims.py
@@ -114,9 +114,9 @@
     ]
     if way == "object per key":
         return [ObjectPerKey(f"d{number}", client) for number, client in enumerate(clients)]
-    alone = way == "partitions, one claim a write"
-    claim_writer.MAX_BATCH = 1 if alone else USUAL_BATCH
-    pace = Pace(0, 0, 0) if alone else Pace()
+    is_unbatched = way == "partitions, one claim a write"
+    claim_writer.MAX_BATCH = 1 if is_unbatched else USUAL_BATCH
+    pace = Pace(0, 0, 0) if is_unbatched else Pace()
     networks = [PeerNetwork("measure", f"d{number}") for number in range(DAEMONS)]
     peers: list[ClaimPeer] = []
     if way == "grouped, through a home":
--- a/tools/measure_configuration.py
+++ b/tools/measure_configuration.py
@@ -30,7 +30,7 @@
 DAEMONS_PER_ZONE = 4
 CHANGES = 20
 IDLE_S = 20
-LIMIT_S = 20
+WAIT_TIMEOUT_S = 20
 PAUSE_S = 0.5
 ACCOUNTS = 5
 DRAINING = {"small": 0, "large": 12_000}
@@ -53,11 +53,13 @@
     for number in range(1, 1 + DAEMONS_PER_ZONE):
         for zone in ZONES:
             cluster.launch_entry(f"entry-{zone}-{number}", zone)
-    wait_for(cluster, cluster.revision)
-    wait_until(lambda: all(sees_all(item) for item in cluster.list_daemons()), "one membership")
+    wait_for_revision(cluster, cluster.revision)
+    wait_until(
+        lambda: all(has_all_members(item) for item in cluster.list_daemons()), "one membership"
+    )
 
 
-def sees_all(program: Any) -> bool:
+def has_all_members(program: Any) -> bool:
     """Return whether a daemon lists all daemons as members."""
     status = get_json(program.addresses["control"], "/status")
     return len(status["members"]) >= len(ZONES) * DAEMONS_PER_ZONE
@@ -76,11 +78,13 @@
     return int(float(line.removeprefix(REVISION_METRIC)))
 
 
-def wait_for(cluster: Cluster, number: int) -> None:
+def wait_for_revision(cluster: Cluster, number: int) -> None:
     """Wait until the revision is in force at every daemon."""
     for program in cluster.list_daemons():
         wait_until(
-            lambda item=program: read_number(item) >= number, f"{number} at {program.name}", LIMIT_S
+            lambda item=program: read_number(item) >= number,
+            f"{number} at {program.name}",
+            WAIT_TIMEOUT_S,
         )
 
 
@@ -91,7 +95,7 @@
         number = cluster.apply(make_file(draining, at))
         written_ms[number] = time.time_ns() // 1_000_000
         time.sleep(PAUSE_S)
-        wait_for(cluster, number)
+        wait_for_revision(cluster, number)
     steps = [read_steps(program) for program in cluster.list_daemons()]
     times = sorted(
         max(max(step[number] for step in steps) - at_ms, 0) for number, at_ms in written_ms.items()
@@ -120,8 +124,8 @@
     new = parse_file(json.dumps(make_file(draining, 1)))
     changes = pack_changes(compare_trees(old, new.tree))
     head = Revision.from_checked(new, 2, "apply-" + "0" * 24, 1, 1_800_000_000_000).to_head()
-    news = RevisionItem(head, "127.0.0.1:65535", 1, digest_tree(old), changes).to_item(2)
-    row = [news.key, news.version, news.value, news.tombstone]
+    item = RevisionItem(head, "127.0.0.1:65535", 1, digest_tree(old), changes).to_item(2)
+    row = [item.key, item.version, item.value, item.tombstone]
     return {
         "news_bytes": len(msgpack.packb(row)),
         "difference_bytes": len(encode_message(RevisionReply(head, changes))),
--- a/tools/measure_copies.py
+++ b/tools/measure_copies.py
@@ -31,7 +31,7 @@
 TARGET_MS = 500
 NOTICE_MS = 3_000
 START_MS = 1_500
-REFUSED_S = 8.0
+START_REFUSAL_S = 8.0
 RATES = (3, 3, 4, 5, 6, 8, 10, 12, 14, 16, 18, 18, 16, 13, 10, 8, 7, 8, 10, 13, 15, 13, 9, 5)
 STEP_MS = 4_000
 WAVES = ((27.0, "khalda-hall"), (50.0, "abdoun-hall"), (74.0, "khalda-hall"))
@@ -68,14 +68,14 @@
 
     copy_seconds: Counter[str] = field(default_factory=Counter)
     cost: float = 0.0
-    most: int = 0
+    max_copies: int = 0
 
     def add(self, vms: list[dict[str, Any]], seconds: float) -> None:
         """Add the VMs that ran for `seconds`."""
         for vm in vms:
             self.copy_seconds[vm["machine_class"]] += seconds
             self.cost += vm["price_per_hour"] * seconds / SECONDS_PER_HOUR
-        self.most = max(self.most, len(vms))
+        self.max_copies = max(self.max_copies, len(vms))
 
 
 class Cloud:
@@ -134,10 +134,10 @@
             states = Counter(vm["state"] for vm in vms)
             self.history.append({"at_s": round(now - self._began, 1), **states})
             last = now
-            self._replace_gone({vm["name"]: vm for vm in vms})
+            self._replace_stopped({vm["name"]: vm for vm in vms})
             self._send_wave(now - self._began, vms)
 
-    def _replace_gone(self, listed: dict[str, dict[str, Any]]) -> None:
+    def _replace_stopped(self, listed: dict[str, dict[str, Any]]) -> None:
         for name in set(self._listed) - set(listed):
             vm = self._listed[name]
             self._cluster.get(name).kill()
@@ -156,9 +156,11 @@
         post_json(address, "/standin/reclaim", {"vms": names, "notice_ms": NOTICE_MS})
         faults = {"refuse_starts": -1, "refuse_zones": [zone], "refuse_classes": ["reclaimable"]}
         self._cluster.set_platform_faults(cloud=faults)
-        mend = threading.Timer(REFUSED_S, lambda: self._cluster.set_platform_faults(cloud={}))
-        mend.daemon = True
-        mend.start()
+        reset = threading.Timer(
+            START_REFUSAL_S, lambda: self._cluster.set_platform_faults(cloud={})
+        )
+        reset.daemon = True
+        reset.start()
 
 
 def run_once(rule: str, seed: int) -> dict[str, Any]:
@@ -254,7 +256,7 @@
         "recomputed_tokens": results["totals"].get("recomputed_tokens", 0),
         "copy_hours": sum(bill.copy_seconds.values()) / SECONDS_PER_HOUR,
         "cost": bill.cost,
-        "most_copies": bill.most,
+        "most_copies": bill.max_copies,
         "platform_calls_per_s": calls,
         "copy_seconds": dict(bill.copy_seconds),
     }
--- a/tools/measure_gateway.py
+++ b/tools/measure_gateway.py
@@ -31,7 +31,7 @@
 DURATION_S = 10.0
 READ_BYTES = 65_536
 END = b"\r\n0\r\n\r\n"
-LIMIT_S = 30.0
+STREAM_TIMEOUT_S = 30.0
 
 
 @dataclass
@@ -39,15 +39,15 @@
     """Results of the callers."""
 
     first_event_ms: list[float] = field(default_factory=list)
-    whole: int = 0
-    asked: int = 0
+    complete: int = 0
+    requested: int = 0
 
     def read(self, address: str, request_id: str) -> None:
         """Request one stream and read it to its end."""
-        self.asked += 1
+        self.requested += 1
         host, _, port = address.rpartition(":")
         began_s = time.perf_counter()
-        with socket.create_connection((host, int(port)), timeout=LIMIT_S) as connection:
+        with socket.create_connection((host, int(port)), timeout=STREAM_TIMEOUT_S) as connection:
             connection.sendall(make_request("/draft/x", request_id, **tokens(EVENTS)))
             data = b""
             while END not in data:
@@ -57,7 +57,7 @@
                 if b"id: 1\n" not in data and b"id: 1\n" in data + piece:
                     self.first_event_ms.append((time.perf_counter() - began_s) * 1_000)
                 data += piece
-        self.whole += make_events(request_id, EVENTS)[-20:] in data
+        self.complete += make_events(request_id, EVENTS)[-20:] in data
 
 
 def measure_path(
@@ -73,15 +73,15 @@
         gevent.sleep(1 / requests_per_s)
     gevent.joinall(tasks)
     found = {
-        "asked": streams.asked,
-        "whole": streams.whole,
+        "asked": streams.requested,
+        "whole": streams.complete,
         "first_event_p50_ms": round(statistics.median(streams.first_event_ms), 2),
         "first_event_p95_ms": round(statistics.quantiles(streams.first_event_ms, n=20)[-1], 2),
     }
     if relay is not None:
         cpu_s = read_cpu_s(relay) - before_s
         found["cpu_s"] = round(cpu_s, 2)
-        found["us_per_event"] = round(cpu_s / max(streams.whole * EVENTS, 1) * 1e6, 1)
+        found["us_per_event"] = round(cpu_s / max(streams.complete * EVENTS, 1) * 1e6, 1)
     return found
 
 
--- a/tools/measure_relay.py
+++ b/tools/measure_relay.py
@@ -22,11 +22,15 @@
 LOADS = 4
 TOKEN_MS = 20
 TOKENS = 204
-WANTED_REQUESTS_PER_S = 46.0
-WANTED_TOKENS_PER_S = 9_400
+TARGET_REQUESTS_PER_S = 46.0
+TARGET_TOKENS_PER_S = 9_400
 DURATION_MS = 15_000
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-WIDE = {"requests_per_second": 10_000, "tokens_per_second": 10**7, "concurrent_requests": 10_000}
+HIGH_LIMITS = {
+    "requests_per_second": 10_000,
+    "tokens_per_second": 10**7,
+    "concurrent_requests": 10_000,
+}
 
 
 def read_cpu_s(program: Program) -> float:
@@ -37,7 +41,7 @@
 
 def build(cluster: Cluster) -> None:
     """Start one entry daemon, the engines, and the relay of plain sockets."""
-    file = make_operator_file((ZONE,), client_accounts=[make_account(ACCOUNT, KEY, **WIDE)])
+    file = make_operator_file((ZONE,), client_accounts=[make_account(ACCOUNT, KEY, **HIGH_LIMITS)])
     engine = {"token_ms": TOKEN_MS, "slots": 64}
     cluster.build((ZONE,), entries=1, engines=ENGINES, file=file, engine_settings=engine)
     cluster.launch("bare", ["tools.bare_relay"], {"targets": list_engines(cluster)})
@@ -68,7 +72,7 @@
     return [json.loads(program.output_file.read_text()) for program in programs]
 
 
-def sum_up(results: list[dict[str, Any]]) -> dict[str, Any]:
+def combine_results(results: list[dict[str, Any]]) -> dict[str, Any]:
     """Return the combined results of several load processes, with the means of their percentiles."""
     found: dict[str, Any] = {"tokens": sum(one["totals"]["tokens"] for one in results)}
     found["whole"] = sum(one["verdicts"].get("whole", 0) for one in results)
@@ -87,7 +91,7 @@
 ) -> dict[str, Any]:
     """Return the figures of one path; `relay` is the process whose processor time is measured."""
     before = read_cpu_s(relay) if relay else 0.0
-    found = sum_up(run_load(cluster, addresses, requests_per_s))
+    found = combine_results(run_load(cluster, addresses, requests_per_s))
     if relay is not None:
         cpu_s = read_cpu_s(relay) - before
         found["cpu_s"] = round(cpu_s, 2)
@@ -112,7 +116,7 @@
     added = {
         name: round(relayed[name] - straight[name], 3) for name in straight if name.endswith("_ms")
     }
-    at_target = relayed["us_per_token"] * WANTED_TOKENS_PER_S / 1e6
+    at_target = relayed["us_per_token"] * TARGET_TOKENS_PER_S / 1e6
     return {
         "requests_per_s": requests_per_s,
         "straight": straight,
@@ -142,7 +146,7 @@
 
 def main() -> int:
     """Measure; return 1 if a request did not get a complete answer."""
-    figures = run_measurement(__doc__, WANTED_REQUESTS_PER_S, measure)
+    figures = run_measurement(__doc__, TARGET_REQUESTS_PER_S, measure)
     lost = figures["relayed"]["requests"] - figures["relayed"]["whole"]
     return 1 if lost else 0
 
--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -27,8 +27,8 @@
 ZONES = ("abdoun-hall", "khalda-hall")
 ENTRIES_PER_ZONE = 2
 TARGET_MS = 830
-MOST_COPIES = 6
-AT_ONCE = 3
+MAX_COPIES = 6
+PARALLEL_RUNS = 3
 ENGINE = {"slots": 8, "token_ms": 20, "prefill_tokens_per_s": 6_000, "load_lag_ms": 500}
 
 
@@ -155,7 +155,7 @@
         cluster.launch_engine(name, cache_tokens=trace.cache_tokens, **ENGINE)
     for name, zone in names.items():
         cluster.register(name, zone, MODEL)
-    model = {"name": MODEL, "licensed_copies": MOST_COPIES, "slots_per_copy": ENGINE["slots"]}
+    model = {"name": MODEL, "licensed_copies": MAX_COPIES, "slots_per_copy": ENGINE["slots"]}
     cluster.apply(make_operator_file(ZONES, models=[model], services=[]))
     seeds: list[str] = []
     for number in range(ENTRIES_PER_ZONE):
@@ -167,10 +167,10 @@
             seeds = seeds or [program.addresses["peers"]]
     for program in cluster.list_daemons(ENTRY):
         cluster.wait_until_serving(program)
-        wait_until(lambda one=program: knows_all(cluster, one, copies), "all engines known")
+        wait_until(lambda one=program: uses_all_engines(cluster, one, copies), "all engines known")
 
 
-def knows_all(cluster: Cluster, program: Any, copies: int) -> bool:
+def uses_all_engines(cluster: Cluster, program: Any, copies: int) -> bool:
     """Return whether a daemon uses the engines of all zones."""
     status = get_json(program.addresses["control"], "/status")
     return len(status["backend_servers"]) == copies
@@ -198,12 +198,12 @@
 ) -> Run:
     """Return the figures of one run."""
     first_token = results["first_token"]
-    without = 1 - first_token["count"] / max(results["requests"], 1)
+    unanswered_share = 1 - first_token["count"] / max(results["requests"], 1)
     return Run(
         *labels,
         requests=results["requests"],
-        p50_ms=first_token["p50_ms"] if without < 0.5 else math.inf,
-        p95_ms=first_token["p95_ms"] if without < 0.05 else math.inf,
+        p50_ms=first_token["p50_ms"] if unanswered_share < 0.5 else math.inf,
+        p95_ms=first_token["p95_ms"] if unanswered_share < 0.05 else math.inf,
         computed_tokens=sum(one["prefilled_tokens"] for one in stats),
         prompt_tokens=sum(one["prompt_tokens"] for one in stats),
         refused=sum(results["refusals_retried"].values()) + results["verdicts"].get("failed", 0),
@@ -213,7 +213,7 @@
 def find_copies(name: str, choice: str, seconds: float) -> list[Run]:
     """Return runs with increasing numbers of copies, up to the first that meets the target."""
     runs: list[Run] = []
-    for copies in range(2, MOST_COPIES + 1):
+    for copies in range(2, MAX_COPIES + 1):
         runs.append(run_once(name, choice, copies, 1, seconds))
         if runs[-1].holds:
             break
@@ -226,13 +226,13 @@
     plan = [
         (name, choice, trace.copies, seed) for seed in range(1, seeds + 1) for choice in choices
     ]
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
         runs = list(pool.map(lambda one: run_once(*one, seconds), plan))
         searches = list(pool.map(lambda one: find_copies(name, one, seconds), choices))
     sent = f"{trace.requests_per_s} requests/s for {seconds:g} s, seeds 1 to {seeds}"
     print(f"{name}: {sent}, {trace.copies} copies, target p95 {TARGET_MS} ms", flush=True)
     for choice, search in zip(choices, searches, strict=True):
-        copies = str(search[-1].copies) if search[-1].holds else f"over {MOST_COPIES}"
+        copies = str(search[-1].copies) if search[-1].holds else f"over {MAX_COPIES}"
         print_line([run for run in runs if run.choice == choice], copies)
     return runs + [run for search in searches for run in search]
 
--- a/tools/measure_shares.py
+++ b/tools/measure_shares.py
@@ -102,7 +102,7 @@
     offered: int = 0
     admitted: int = 0
     running: int = 0
-    most_running: int = 0
+    max_running: int = 0
     busy_ms: float = 0.0
     waits: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 10_000_000, 3))
 
@@ -219,7 +219,7 @@
         phase.waits.record_value(max(int((time.monotonic() - began_s) * 1_000_000), 1))
         phase.admitted += 1
         phase.running += 1
-        phase.most_running = max(phase.most_running, phase.running)
+        phase.max_running = max(phase.max_running, phase.running)
         gevent.sleep(HOLD_MS[account] / MS_PER_SECOND)
         phase.busy_ms += HOLD_MS[account]
         phase.running -= 1
@@ -237,7 +237,7 @@
 def summarise(account: str, phase: Phase, seconds: float) -> dict[str, Any]:
     """Return the figures of one account in one phase; percentages are of the limit."""
     limits = LIMITS[account]
-    least = 0.0
+    min_unused = 0.0
     if account == "rate":
         limit = limits["requests_per_second"] * seconds
         burst = limits["requests_per_second"] * BURST_S
@@ -246,16 +246,16 @@
     else:
         slots = limits["concurrent_requests"]
         erlangs = OFFERED_PER_S[account] * HOLD_MS[account] / MS_PER_SECOND
-        least = 1 - erlangs * (1 - find_blocking(erlangs, slots)) / slots
-        over = max(phase.most_running - slots, 0) / slots
+        min_unused = 1 - erlangs * (1 - find_blocking(erlangs, slots)) / slots
+        over = max(phase.max_running - slots, 0) / slots
         unused = max(1 - phase.busy_ms / (slots * seconds * MS_PER_SECOND), 0)
     return {
         "offered": phase.offered,
         "admitted": phase.admitted,
-        "most_running": phase.most_running,
+        "most_running": phase.max_running,
         "over_admission_percent": round(over * 100, 1),
         "unused_percent": round(unused * 100, 1),
-        "least_unused_percent": round(least * 100, 1),
+        "least_unused_percent": round(min_unused * 100, 1),
         "admit_p50_ms": phase.waits.get_value_at_percentile(50) / 1_000,
         "admit_p95_ms": phase.waits.get_value_at_percentile(95) / 1_000,
     }
--- a/tools/measure_subsets.py
+++ b/tools/measure_subsets.py
@@ -35,17 +35,19 @@
 
 def measure_spread() -> dict[str, float]:
     """Return how evenly the subsets are distributed, and how much the removal of a daemon changes."""
-    kept = {name: Subset(name) for name in DAEMONS}
-    chosen = {name: subset.update(DAEMONS, SERVERS) for name, subset in kept.items()}
+    subsets = {name: Subset(name) for name in DAEMONS}
+    chosen = {name: subset.update(DAEMONS, SERVERS) for name, subset in subsets.items()}
     sizes = [len(names) for names in chosen.values()]
     uses = Counter(server for names in chosen.values() for server in names)
     shares: Counter[str] = Counter()
     for names in chosen.values():
         shares.update(dict.fromkeys(names, 1 / len(names)))
     mean_share = len(DAEMONS) / len(SERVERS)
-    left = DAEMONS[1:]
-    took_ms = [time_ms(lambda one=name: kept[one].update(left, SERVERS)) for name in left[:10]]
-    after = {name: kept[name].update(left, SERVERS) for name in left}
+    remaining = DAEMONS[1:]
+    took_ms = [
+        time_ms(lambda one=name: subsets[one].update(remaining, SERVERS)) for name in remaining[:10]
+    ]
+    after = {name: subsets[name].update(remaining, SERVERS) for name in remaining}
     return {
         "subset_smallest": min(sizes),
         "subset_median": median(sizes),
@@ -54,8 +56,8 @@
         "daemons_per_server_largest": max(uses.values()),
         "server_load_smallest": min(shares.values()) / mean_share,
         "server_load_largest": max(shares.values()) / mean_share,
-        "changed_per_daemon_when_one_goes": sum(len(chosen[n] ^ after[n]) for n in left)
-        / len(left),
+        "changed_per_daemon_when_one_goes": sum(len(chosen[n] ^ after[n]) for n in remaining)
+        / len(remaining),
         "first_choice_ms": time_ms(lambda: Subset("entry-1").update(DAEMONS, SERVERS)),
         "one_daemon_gone_ms": median(took_ms),
     }
@@ -73,13 +75,13 @@
     for server in directory.list_servers("m"):
         router.record_dispatch(server.name, needs)
 
-    def choose_often() -> None:
+    def choose_repeatedly() -> None:
         for _ in range(CHOICES):
             router.choose(needs)
 
     return {
         "servers": len(directory.list_servers("m")),
-        "choice_us": time_ms(choose_often) / CHOICES * 1_000,
+        "choice_us": time_ms(choose_repeatedly) / CHOICES * 1_000,
         "hash_blocks_us": time_ms(lambda: hash_blocks(PROMPT)) * 1_000,
     }
 
--- a/tools/routing_entry.py
+++ b/tools/routing_entry.py
@@ -11,7 +11,7 @@
 from tools.routing_baselines import CHOICES
 
 
-def take_choice(arguments: list[str]) -> str:
+def pop_choice(arguments: list[str]) -> str:
     """Remove ``--choice NAME`` from the arguments and return the name."""
     place = arguments.index("--choice")
     name = arguments[place + 1]
@@ -20,5 +20,5 @@
 
 
 if __name__ == "__main__":
-    routing.DEFAULT_CHOICE = CHOICES[take_choice(sys.argv)]
+    routing.DEFAULT_CHOICE = CHOICES[pop_choice(sys.argv)]
     sys.exit(main())
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -15,8 +15,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 REPORTS = ROOT / "reports"
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
-FEATURES_AT_ONCE = 3
+MAX_KNOWN_RED = 3
+PARALLEL_FEATURES = 3
 """Features run in parallel because they mostly wait for time-outs; each has its own processes and ports."""
 
 
@@ -44,8 +44,8 @@
         return []
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
     names = [line.split("|")[0].strip() for line in lines if line and not line.startswith("#")]
-    if len(names) > MOST_KNOWN_RED:
-        sys.exit(f"KNOWN-RED.txt has {len(names)} lines, at most {MOST_KNOWN_RED} may stand")
+    if len(names) > MAX_KNOWN_RED:
+        sys.exit(f"KNOWN-RED.txt has {len(names)} lines, at most {MAX_KNOWN_RED} may stand")
     return names
 
 
@@ -70,7 +70,7 @@
 def run_features() -> int:
     """Run all features, the largest files first, and return the highest exit code."""
     paths = sorted((ROOT / "features").glob("*.feature"), key=lambda path: -path.stat().st_size)
-    with ThreadPoolExecutor(FEATURES_AT_ONCE) as pool:
+    with ThreadPoolExecutor(PARALLEL_FEATURES) as pool:
         return max(pool.map(run_feature, paths), default=0)
 
 
