--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -155,9 +155,9 @@
     reach_ms = []
     missed = 0
     for key, when_ms in published.items():
-        learned = [report["learned_ms"].get(key) for report in after]
-        missed += learned.count(None)
-        reach_ms.append(max(ms for ms in learned if ms is not None) - when_ms)
+        received_ms = [report["learned_ms"].get(key) for report in after]
+        missed += received_ms.count(None)
+        reach_ms.append(max(ms for ms in received_ms if ms is not None) - when_ms)
     copies = [b["items_in"] - a["items_in"] for a, b in zip(before, after, strict=True)]
     grown = {
         name: statistics.mean(b[name] - a[name] for a, b in zip(before, after, strict=True))
@@ -243,7 +243,7 @@
 
 def print_result(result: dict) -> None:
     """Print the figures of one run as a row."""
-    idle, news, heal = result["idle"], result["news"], result.get("heal")
+    idle, gossip, heal = result["idle"], result["news"], result.get("heal")
     healed = (
         f", {heal['frozen']} frozen at once: dead {heal['dead_s']:.1f} s, back {heal['healed_s']:.1f} s"
         if heal
@@ -256,8 +256,8 @@
         f"{idle['processor_ms']['mean'] / 10:5.2f} % core, "
         f"{idle['streams']:5.1f} streams, "
         f"{idle['added_bytes'] / 1e6:5.2f} MB added, "
-        f"news {news['reach_ms']['median']:5.0f} ms (max {news['reach_ms']['max']:.0f}), "
-        f"{news['copies_per_item']:4.1f} copies, {news['missed']} missed, "
+        f"news {gossip['reach_ms']['median']:5.0f} ms (max {gossip['reach_ms']['max']:.0f}), "
+        f"{gossip['copies_per_item']:4.1f} copies, {gossip['missed']} missed, "
         f"detected {result['detection']['median_ms']:.0f} ms "
         f"(max {result['detection']['max_ms']:.0f}){healed}",
         flush=True,
--- a/tools/capacity_daemon.py
+++ b/tools/capacity_daemon.py
@@ -57,14 +57,14 @@
         self.membership = membership_type(
             own, self.gossip_state, self.network, self.gossip, seeds=settings["seeds"]
         )
-        self.learned_ms: dict[str, float] = {}
+        self.received_ms: dict[str, float] = {}
         self.dead_ms: dict[str, float] = {}
         self.gossip_state.add_listener("measured/", self._record_item)
         self.membership.add_listener(self._record_dead_member)
         self.membership.start()
 
     def _record_item(self, item: GossipItem) -> None:
-        self.learned_ms[item.key] = time.monotonic() * 1000
+        self.received_ms[item.key] = time.monotonic() * 1000
 
     def _record_dead_member(self, member: Member) -> None:
         if not member.is_live:
@@ -90,7 +90,7 @@
             "processor_ms": (usage.ru_utime + usage.ru_stime) * 1000,
             "resident_bytes": read_resident_bytes(),
             "bare_bytes": self.bare_bytes,
-            "learned_ms": self.learned_ms,
+            "learned_ms": self.received_ms,
             "dead_ms": self.dead_ms,
         }
 
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -49,14 +49,14 @@
     """Return the degrees and the depth of the overlay chosen by `choose_links`."""
     links = {member.name: choose_links(member, members) for member in members}
     probes = [len(link.probed) for link in links.values()]
-    neighbours = [len(link.gossip_peers) for link in links.values()]
+    gossip_peers = [len(link.gossip_peers) for link in links.values()]
     adjacent: dict[str, set[str]] = defaultdict(set)
     for name, link in links.items():
         adjacent[name] |= {one.name for one in link.gossip_peers}
     depths = [count_hops(adjacent, member.name) for member in members[:20]]
     return {
         "probes": {"mean": statistics.mean(probes), "max": max(probes)},
-        "neighbours": {"mean": statistics.mean(neighbours), "max": max(neighbours)},
+        "neighbours": {"mean": statistics.mean(gossip_peers), "max": max(gossip_peers)},
         "hops": max(depths),
     }
 
@@ -94,25 +94,25 @@
 
 def find_run_slopes(result: dict) -> dict[str, float]:
     """Return the slopes measured in one run."""
-    idle, news = result["idle"], result["news"]
+    idle, gossip = result["idle"], result["news"]
     probes = idle["links"]
-    copies = news["copies_per_item"] * news["items"]
+    copies = gossip["copies_per_item"] * gossip["items"]
 
     def grown(name: str) -> float:
-        quiet = idle[name]["mean"] * news["span_s"]
-        return max(news["grown"][name] - quiet, 0) / copies
+        idle_growth = idle[name]["mean"] * gossip["span_s"]
+        return max(gossip["grown"][name] - idle_growth, 0) / copies
 
     slopes = {
         "messages_per_probe": (idle["messages_out"]["mean"] + idle["messages_in"]["mean"]) / probes,
         "bytes_per_probe": (idle["bytes_out"]["mean"] + idle["bytes_in"]["mean"]) / probes,
         "segments_per_probe": idle["segments"]["mean"] / probes,
         "processor_ms_per_probe": idle["processor_ms"]["mean"] / probes,
-        "copies_per_neighbour": news["copies_per_item"] / idle["neighbours"],
+        "copies_per_neighbour": gossip["copies_per_item"] / idle["neighbours"],
         "overhead_bytes_per_copy": (grown("bytes_out") + grown("bytes_in")) / 2
-        - news["item_bytes"],
+        - gossip["item_bytes"],
         "segments_per_copy": grown("segments"),
         "processor_ms_per_copy": grown("processor_ms"),
-        "reach_ms": news["reach_ms"]["median"],
+        "reach_ms": gossip["reach_ms"]["median"],
         "bytes_per_stream": idle["added_bytes"] / idle["streams"],
         "member_bytes": result["held"]["member_bytes"],
         "item_bytes": result["held"]["item_bytes"],
--- a/tools/capacity_variants.py
+++ b/tools/capacity_variants.py
@@ -24,8 +24,8 @@
     """Every member probes all other members."""
 
     def _find_links(self) -> Links:
-        others = tuple(one for one in self._members.values() if one.is_live and one != self.own)
-        return Links(others, others)
+        peers = tuple(one for one in self._members.values() if one.is_live and one != self.own)
+        return Links(peers, peers)
 
 
 class FloodGossip(Gossip):
@@ -47,9 +47,9 @@
     """Probes one random member per period, and sends items to `FANOUT` random members."""
 
     def _find_links(self) -> Links:
-        others = [one for one in self._members.values() if one.is_live and one != self.own]
-        probed = random.sample(others, min(1, len(others)))
-        return Links(tuple(probed), tuple(random.sample(others, min(FANOUT, len(others)))))
+        peers = [one for one in self._members.values() if one.is_live and one != self.own]
+        probed = random.sample(peers, min(1, len(peers)))
+        return Links(tuple(probed), tuple(random.sample(peers, min(FANOUT, len(peers)))))
 
 
 @register_message("variant-prune")
