--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,7 +1,7 @@
-"""Measure what control costs a daemon at several sizes, and work it out at the target size.
+"""Measure the cost of control traffic per daemon at several sizes, and extrapolate to the target size.
 
-``make capacity`` writes reports/capacity.json and prints the tables that docs/CAPACITY.md and
-docs/explanation/membership.md show. ``--sizes`` and ``--variants`` choose what runs.
+``make capacity`` writes reports/capacity.json and prints the tables of docs/CAPACITY.md and
+docs/explanation/membership.md. ``--sizes`` and ``--variants`` select the runs.
 """
 
 import argparse
@@ -26,12 +26,12 @@
     measure_share_records,
     print_share_records,
 )
-from tools.capacity_target import find_slopes, print_target, work_out  # noqa: E402
+from tools.capacity_target import extrapolate, find_slopes, print_target  # noqa: E402
 
 PRODUCT = "rings"
 FLOOD = "flood"
 REPORT = ROOT / "reports" / "capacity.json"
-START_AT_ONCE = 8
+PARALLEL_STARTS = 8
 DAEMONS_IN_ZONE = 8
 ZONES_IN_REGION = 3
 ANSWER_TIMEOUT_S = 30
@@ -40,20 +40,20 @@
 ITEM_COUNT = 100
 ITEM_GAP_S = 0.05
 ITEM_BYTES = 300
-HELD_MEMBERS = 5_000
-HELD_ITEMS = 5_000
+STORED_MEMBERS = 5_000
+STORED_ITEMS = 5_000
 RATES = ("messages_in", "messages_out", "bytes_in", "bytes_out", "segments", "processor_ms")
 
 
 @dataclass
-class LightDaemon:
-    """A measured process and its pipe."""
+class DaemonProcess:
+    """A measured process and its command pipe."""
 
     name: str
     process: subprocess.Popen
     address: str
 
-    def ask(self, command: str) -> dict:
+    def run_command(self, command: str) -> dict:
         """Send one command and return its answer."""
         assert self.process.stdin is not None
         self.process.stdin.write(command + "\n")
@@ -62,7 +62,7 @@
 
 
 def read_line(process: subprocess.Popen) -> dict:
-    """Return the next JSON line of a process, or raise when none comes."""
+    """Return the next JSON line of a process, or raise `TimeoutError` after `ANSWER_TIMEOUT_S`."""
     assert process.stdout is not None
     ready, _, _ = select.select([process.stdout], [], [], ANSWER_TIMEOUT_S)
     if not ready:
@@ -70,8 +70,8 @@
     return json.loads(process.stdout.readline())
 
 
-def start_daemon(variant: str, number: int, seeds: list[str]) -> LightDaemon:
-    """Start one light process and wait until it listens."""
+def start_daemon(variant: str, number: int, seeds: list[str]) -> DaemonProcess:
+    """Start one measured process and wait until it listens."""
     zone = number // DAEMONS_IN_ZONE
     settings = {
         "name": f"d{number:03}",
@@ -88,32 +88,32 @@
         stderr=subprocess.DEVNULL,
         text=True,
     )
-    return LightDaemon(settings["name"], process, read_line(process)["address"])
+    return DaemonProcess(settings["name"], process, read_line(process)["address"])
 
 
-def start_daemons(variant: str, count: int) -> list[LightDaemon]:
-    """Start `count` daemons that join by the first."""
+def start_daemons(variant: str, count: int) -> list[DaemonProcess]:
+    """Start `count` daemons that join through the first one."""
     first = start_daemon(variant, 0, [])
-    with ThreadPoolExecutor(START_AT_ONCE) as pool:
-        rest = pool.map(lambda n: start_daemon(variant, n, [first.address]), range(1, count))
-        return [first, *rest]
+    with ThreadPoolExecutor(PARALLEL_STARTS) as pool:
+        others = pool.map(lambda n: start_daemon(variant, n, [first.address]), range(1, count))
+        return [first, *others]
 
 
-def stop_daemons(daemons: list[LightDaemon]) -> None:
-    """End the processes that this run started."""
+def stop_daemons(daemons: list[DaemonProcess]) -> None:
+    """Kill the daemons and wait for their exit."""
     for daemon in daemons:
         daemon.process.kill()
     for daemon in daemons:
         daemon.process.wait()
 
 
-def read_reports(daemons: list[LightDaemon]) -> list[dict]:
-    """Return the report of each daemon."""
-    return [daemon.ask("report") for daemon in daemons]
+def read_reports(daemons: list[DaemonProcess]) -> list[dict]:
+    """Request a report from each daemon."""
+    return [daemon.run_command("report") for daemon in daemons]
 
 
-def wait_until_joined(daemons: list[LightDaemon]) -> float:
-    """Wait until every daemon sees every other; return the seconds that it took."""
+def wait_until_joined(daemons: list[DaemonProcess]) -> float:
+    """Wait until every daemon lists all daemons as live; return the seconds elapsed."""
     started = time.monotonic()
     while time.monotonic() - started < JOIN_TIMEOUT_S:
         if all(report["live"] == len(daemons) for report in read_reports(daemons)):
@@ -122,8 +122,8 @@
     raise TimeoutError("the daemons did not all see one another")
 
 
-def measure_rates(daemons: list[LightDaemon], window_s: float) -> dict:
-    """Return what a daemon uses per second over a quiet window: mean and largest."""
+def measure_rates(daemons: list[DaemonProcess], window_s: float) -> dict:
+    """Return the mean and maximum rates per daemon over a window without changes."""
     before = read_reports(daemons)
     started = time.monotonic()
     time.sleep(window_s)
@@ -139,14 +139,14 @@
     return rates
 
 
-def measure_news(daemons: list[LightDaemon]) -> dict:
-    """Publish items at random daemons; return reach time and cost for each item."""
+def measure_gossip(daemons: list[DaemonProcess]) -> dict:
+    """Publish items at random daemons; return the time to reach all daemons and the cost per item."""
     before = read_reports(daemons)
     started = time.monotonic()
     published = {}
     for number in range(ITEM_COUNT):
         origin = random.choice(daemons)
-        answer = origin.ask(f"publish item{number} {ITEM_BYTES}")
+        answer = origin.run_command(f"publish item{number} {ITEM_BYTES}")
         published[f"measured/item{number}"] = answer["published_ms"]
         time.sleep(ITEM_GAP_S)
     time.sleep(3)
@@ -155,9 +155,9 @@
     reach_ms = []
     missed = 0
     for key, when_ms in published.items():
-        learned = [report["learned_ms"].get(key) for report in after]
-        missed += learned.count(None)
-        reach_ms.append(max(ms for ms in learned if ms is not None) - when_ms)
+        received_ms = [report["learned_ms"].get(key) for report in after]
+        missed += received_ms.count(None)
+        reach_ms.append(max(ms for ms in received_ms if ms is not None) - when_ms)
     copies = [b["items_in"] - a["items_in"] for a, b in zip(before, after, strict=True)]
     grown = {
         name: statistics.mean(b[name] - a[name] for a, b in zip(before, after, strict=True))
@@ -174,8 +174,8 @@
     }
 
 
-def measure_detection(daemons: list[LightDaemon], kills: int) -> dict:
-    """Kill daemons one by one; return the times until all others call each dead."""
+def measure_detection(daemons: list[DaemonProcess], kills: int) -> dict:
+    """Kill daemons one by one; return the times until all remaining ones have detected each failure."""
     times_ms = []
     for _ in range(kills):
         victim = daemons.pop(random.randrange(1, len(daemons)))
@@ -186,8 +186,8 @@
     return {"all_ms": times_ms, "median_ms": statistics.median(times_ms), "max_ms": max(times_ms)}
 
 
-def measure_heal(daemons: list[LightDaemon]) -> dict:
-    """Freeze the second half until the first calls it dead, then let it go on."""
+def measure_heal(daemons: list[DaemonProcess]) -> dict:
+    """Freeze half of the daemons until the other half declares them dead, then resume them."""
     half = len(daemons) // 2
     frozen = daemons[half:]
     started = time.monotonic()
@@ -212,8 +212,8 @@
     }
 
 
-def wait_until_dead(daemons: list[LightDaemon], name: str) -> float:
-    """Return when the last daemon learned that `name` is dead."""
+def wait_until_dead(daemons: list[DaemonProcess], name: str) -> float:
+    """Wait until all daemons have declared `name` dead; return the time of the last one."""
     deadline = time.monotonic() + DETECTION_TIMEOUT_S
     while time.monotonic() < deadline:
         when = [report["dead_ms"].get(name) for report in read_reports(daemons)]
@@ -224,26 +224,26 @@
 
 
 def measure(variant: str, count: int, window_s: float, kills: int) -> dict:
-    """Run one variant at one size and return its figures."""
+    """Measure one variant at one size."""
     daemons = start_daemons(variant, count)
     try:
         joined_s = wait_until_joined(daemons)
         time.sleep(3)
         result = {"variant": variant, "daemons": count, "joined_s": joined_s}
         result["idle"] = measure_rates(daemons, window_s)
-        result["news"] = measure_news(daemons)
+        result["news"] = measure_gossip(daemons)
         result["detection"] = measure_detection(daemons, kills)
         if variant == PRODUCT:
             result["heal"] = measure_heal(daemons)
-        result["held"] = daemons[0].ask(f"hold {HELD_MEMBERS} {HELD_ITEMS}")
+        result["held"] = daemons[0].run_command(f"hold {STORED_MEMBERS} {STORED_ITEMS}")
         return result
     finally:
         stop_daemons(daemons)
 
 
 def print_result(result: dict) -> None:
-    """Print one row."""
-    idle, news, heal = result["idle"], result["news"], result.get("heal")
+    """Print the figures of one run as a row."""
+    idle, gossip, heal = result["idle"], result["news"], result.get("heal")
     healed = (
         f", {heal['frozen']} frozen at once: dead {heal['dead_s']:.1f} s, back {heal['healed_s']:.1f} s"
         if heal
@@ -256,8 +256,8 @@
         f"{idle['processor_ms']['mean'] / 10:5.2f} % core, "
         f"{idle['streams']:5.1f} streams, "
         f"{idle['added_bytes'] / 1e6:5.2f} MB added, "
-        f"news {news['reach_ms']['median']:5.0f} ms (max {news['reach_ms']['max']:.0f}), "
-        f"{news['copies_per_item']:4.1f} copies, {news['missed']} missed, "
+        f"news {gossip['reach_ms']['median']:5.0f} ms (max {gossip['reach_ms']['max']:.0f}), "
+        f"{gossip['copies_per_item']:4.1f} copies, {gossip['missed']} missed, "
         f"detected {result['detection']['median_ms']:.0f} ms "
         f"(max {result['detection']['max_ms']:.0f}){healed}",
         flush=True,
@@ -265,7 +265,7 @@
 
 
 def main() -> int:
-    """Run the chosen sizes and variants and write the report."""
+    """Run the selected sizes and variants and write the report."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--sizes", type=int, nargs="*", default=[8, 16, 32])
     parser.add_argument("--variants", nargs="*", default=["rings", "flood"])
@@ -282,7 +282,7 @@
             results.append(result)
     slopes = find_slopes([result for result in results if result["variant"] == PRODUCT])
     eager = find_slopes([result for result in results if result["variant"] == FLOOD])
-    target = work_out(slopes, eager or slopes) if slopes else {}
+    target = extrapolate(slopes, eager or slopes) if slopes else {}
     print_target(slopes, target)
     options.report.parent.mkdir(exist_ok=True)
     entry = [measure_entry(vms, options.window_s) for vms in options.vms]
--- a/tools/capacity_daemon.py
+++ b/tools/capacity_daemon.py
@@ -1,6 +1,6 @@
-"""A light process for measurement: peer network, membership and news, and nothing else.
+"""Minimal daemon for measurements, with only the peer network, membership and gossip.
 
-Commands come on standard input, one a line; each is answered by one JSON line on standard output.
+It reads one command per line from standard input and answers each by one JSON line on standard output.
 """
 
 import json
@@ -21,7 +21,7 @@
 from tools.capacity_variants import VARIANTS
 
 PAGE_BYTES = resource.getpagesize()
-# The fields segs_out and segs_in of Linux's struct tcp_info.
+# The fields segs_out and segs_in of struct tcp_info in Linux.
 SEGMENTS = struct.Struct("136x2I")
 
 
@@ -32,7 +32,7 @@
 
 
 def count_segments(network: PeerNetwork) -> int:
-    """Return the TCP segments that the open streams have sent and received."""
+    """Return the number of TCP segments sent and received by the open streams."""
     total = 0
     for link in network._all_links:
         if link._connection is not None and not link.closed:
@@ -44,7 +44,7 @@
 
 
 class MeasuredDaemon:
-    """One daemon and the times at which it learned things."""
+    """A daemon that records when it received items and detected dead members."""
 
     def __init__(self, settings: dict) -> None:
         membership_type, gossip_type = VARIANTS[settings["variant"]]
@@ -57,21 +57,21 @@
         self.membership = membership_type(
             own, self.gossip_state, self.network, self.gossip, seeds=settings["seeds"]
         )
-        self.learned_ms: dict[str, float] = {}
+        self.received_ms: dict[str, float] = {}
         self.dead_ms: dict[str, float] = {}
-        self.gossip_state.add_listener("measured/", self._note_news)
-        self.membership.add_listener(self._note_member)
+        self.gossip_state.add_listener("measured/", self._record_item)
+        self.membership.add_listener(self._record_dead_member)
         self.membership.start()
 
-    def _note_news(self, item: GossipItem) -> None:
-        self.learned_ms[item.key] = time.monotonic() * 1000
+    def _record_item(self, item: GossipItem) -> None:
+        self.received_ms[item.key] = time.monotonic() * 1000
 
-    def _note_member(self, member: Member) -> None:
+    def _record_dead_member(self, member: Member) -> None:
         if not member.is_live:
             self.dead_ms.setdefault(member.name, time.monotonic() * 1000)
 
     def report(self) -> dict:
-        """Return what has been counted so far."""
+        """Return the counters and times recorded so far."""
         traffic = self.network.traffic
         usage = resource.getrusage(resource.RUSAGE_SELF)
         return {
@@ -90,18 +90,18 @@
             "processor_ms": (usage.ru_utime + usage.ru_stime) * 1000,
             "resident_bytes": read_resident_bytes(),
             "bare_bytes": self.bare_bytes,
-            "learned_ms": self.learned_ms,
+            "learned_ms": self.received_ms,
             "dead_ms": self.dead_ms,
         }
 
     def publish(self, key: str, size_bytes: int) -> dict:
-        """Learn a new item of this size and return when."""
+        """Publish a new item of the given size and return the time."""
         now_ms = time.monotonic() * 1000
         self.gossip_state.record(GossipItem(f"measured/{key}", 1, "x" * size_bytes))
         return {"published_ms": now_ms}
 
     def hold(self, members: int, items: int) -> dict:
-        """Return the memory that further dead members and items take; nothing is sent."""
+        """Return the memory per additional dead member and item; nothing is sent to peers."""
         self.membership._gossip._list_peers = tuple
         before_bytes = read_resident_bytes()
         for number in range(members):
@@ -120,8 +120,8 @@
         }
 
 
-def answer(daemon: MeasuredDaemon, line: str) -> dict:
-    """Run one command."""
+def run_command(daemon: MeasuredDaemon, line: str) -> dict:
+    """Execute one command."""
     command, *arguments = line.split()
     if command == "report":
         return daemon.report()
@@ -133,14 +133,14 @@
 
 
 def main() -> None:
-    """Run until standard input ends."""
+    """Serve commands until standard input is closed."""
     settings = json.loads(sys.argv[1])
     configure_logs(settings["name"], "warning")
     daemon = MeasuredDaemon(settings)
     print(json.dumps({"ready": True, "address": daemon.network.address}), flush=True)
     with FileObjectPosix(sys.stdin, "r", close=False) as commands:
         for line in commands:
-            print(json.dumps(answer(daemon, line)), flush=True)
+            print(json.dumps(run_command(daemon, line)), flush=True)
             gevent.sleep(0)
     os._exit(0)
 
--- a/tools/capacity_target.py
+++ b/tools/capacity_target.py
@@ -1,4 +1,4 @@
-"""From measured slopes to the target size: what control costs a daemon there."""
+"""Extrapolates measured slopes to the cost of control traffic per daemon at the target size."""
 
 import statistics
 from collections import defaultdict
@@ -10,7 +10,7 @@
 SEGMENT_HEADER_BYTES = 52
 SECONDS_A_DAY = 86_400
 MEGABYTE = 1e6
-# The slopes count some 46 bytes of key and frame beside the value of an item.
+# Sizes of item values; the slopes include some 46 bytes of key and frame per item.
 MEMBER_BYTES = 45
 VM_BYTES = 250
 FEED_BYTES = 20
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """The size that the users expect within two years, and their bounds for control."""
+    """The size expected by the users within two years, and their limits for control traffic."""
 
     daemons: int = 1_700
     zones: int = 16
@@ -36,7 +36,7 @@
 
 
 def make_members(target: Target) -> list[Member]:
-    """Return the members of the target, spread evenly over zones."""
+    """Return the members at the target size, distributed evenly over the zones."""
     members = []
     for number in range(target.daemons):
         zone = number % target.zones
@@ -45,38 +45,38 @@
     return members
 
 
-def study_overlay(members: list[Member]) -> dict:
-    """Return the degrees and the depth of the overlay that the product would choose."""
+def measure_overlay(members: list[Member]) -> dict:
+    """Return the degrees and the depth of the overlay chosen by `choose_links`."""
     links = {member.name: choose_links(member, members) for member in members}
     probes = [len(link.probed) for link in links.values()]
-    neighbours = [len(link.gossip_peers) for link in links.values()]
-    next_to: dict[str, set[str]] = defaultdict(set)
+    gossip_peers = [len(link.gossip_peers) for link in links.values()]
+    adjacent: dict[str, set[str]] = defaultdict(set)
     for name, link in links.items():
-        next_to[name] |= {one.name for one in link.gossip_peers}
-    depths = [count_hops(next_to, member.name) for member in members[:20]]
+        adjacent[name] |= {one.name for one in link.gossip_peers}
+    depths = [count_hops(adjacent, member.name) for member in members[:20]]
     return {
         "probes": {"mean": statistics.mean(probes), "max": max(probes)},
-        "neighbours": {"mean": statistics.mean(neighbours), "max": max(neighbours)},
+        "neighbours": {"mean": statistics.mean(gossip_peers), "max": max(gossip_peers)},
         "hops": max(depths),
     }
 
 
-def count_hops(next_to: dict[str, set[str]], origin: str) -> int:
-    """Return after how many hops an item from `origin` has reached everyone."""
+def count_hops(adjacent: dict[str, set[str]], origin: str) -> int:
+    """Return the number of hops after which an item from `origin` has reached all members."""
     reached = {origin}
     frontier = {origin}
     hops = 0
     while frontier:
-        frontier = {name for one in frontier for name in next_to[one]} - reached
+        frontier = {name for one in frontier for name in adjacent[one]} - reached
         reached |= frontier
         hops += bool(frontier)
-    if len(reached) < len(next_to):
+    if len(reached) < len(adjacent):
         raise ValueError("the overlay does not reach everyone")
     return hops
 
 
 def find_slopes(results: list[dict]) -> dict:
-    """Return each slope: its mean over the runs and its spread, half the range over the mean."""
+    """Return the mean of each slope over the runs and its spread (half the range, relative to the mean)."""
     values: dict[str, list[float]] = defaultdict(list)
     for result in results:
         for name, value in find_run_slopes(result).items():
@@ -93,26 +93,26 @@
 
 
 def find_run_slopes(result: dict) -> dict[str, float]:
-    """Return the slopes of one run."""
-    idle, news = result["idle"], result["news"]
+    """Return the slopes measured in one run."""
+    idle, gossip = result["idle"], result["news"]
     probes = idle["links"]
-    copies = news["copies_per_item"] * news["items"]
+    copies = gossip["copies_per_item"] * gossip["items"]
 
     def grown(name: str) -> float:
-        quiet = idle[name]["mean"] * news["span_s"]
-        return max(news["grown"][name] - quiet, 0) / copies
+        idle_growth = idle[name]["mean"] * gossip["span_s"]
+        return max(gossip["grown"][name] - idle_growth, 0) / copies
 
     slopes = {
         "messages_per_probe": (idle["messages_out"]["mean"] + idle["messages_in"]["mean"]) / probes,
         "bytes_per_probe": (idle["bytes_out"]["mean"] + idle["bytes_in"]["mean"]) / probes,
         "segments_per_probe": idle["segments"]["mean"] / probes,
         "processor_ms_per_probe": idle["processor_ms"]["mean"] / probes,
-        "copies_per_neighbour": news["copies_per_item"] / idle["neighbours"],
+        "copies_per_neighbour": gossip["copies_per_item"] / idle["neighbours"],
         "overhead_bytes_per_copy": (grown("bytes_out") + grown("bytes_in")) / 2
-        - news["item_bytes"],
+        - gossip["item_bytes"],
         "segments_per_copy": grown("segments"),
         "processor_ms_per_copy": grown("processor_ms"),
-        "reach_ms": news["reach_ms"]["median"],
+        "reach_ms": gossip["reach_ms"]["median"],
         "bytes_per_stream": idle["added_bytes"] / idle["streams"],
         "member_bytes": result["held"]["member_bytes"],
         "item_bytes": result["held"]["item_bytes"],
@@ -124,13 +124,13 @@
     return slopes
 
 
-def work_out(slopes: dict, eager_slopes: dict, target: Target | None = None) -> dict:
-    """Return what control costs a daemon at the target size.
+def extrapolate(slopes: dict, eager_slopes: dict, target: Target | None = None) -> dict:
+    """Return the cost of control traffic per daemon at the target size.
 
-    `eager_slopes` are those of items that go whole over every link, as small ones do.
+    `eager_slopes` are those of items sent in full over every link, as small items are.
     """
     target = target or Target()
-    overlay = study_overlay(make_members(target))
+    overlay = measure_overlay(make_members(target))
     slope = {name: value["mean"] for name, value in slopes.items()}
     eager = {name: value["mean"] for name, value in eager_slopes.items()}
     eager_copies = overlay["neighbours"]["mean"] * eager["copies_per_neighbour"]
@@ -139,16 +139,16 @@
     members_s = target.member_changes_a_day / SECONDS_A_DAY
     vms_s = target.vm_changes_a_day / SECONDS_A_DAY * zone_share
     parts = {
-        "heartbeats": work_out_heartbeats(slope, overlay["probes"]["mean"]),
-        "configuration": work_out_flow(slope, changes_s, target.change_bytes),
-        "members": work_out_flow(eager, members_s * eager_copies, MEMBER_BYTES),
-        "vms": work_out_flow(slope, vms_s, VM_BYTES),
-        "feed": work_out_flow(eager, target.feed_items_s * eager_copies, FEED_BYTES),
+        "heartbeats": compute_heartbeat_cost(slope, overlay["probes"]["mean"]),
+        "configuration": compute_flow_cost(slope, changes_s, target.change_bytes),
+        "members": compute_flow_cost(eager, members_s * eager_copies, MEMBER_BYTES),
+        "vms": compute_flow_cost(slope, vms_s, VM_BYTES),
+        "feed": compute_flow_cost(eager, target.feed_items_s * eager_copies, FEED_BYTES),
     }
-    held_members = target.daemons + target.member_changes_a_day / 12
+    stored_members = target.daemons + target.member_changes_a_day / 12
     memory_bytes = (
         slope["bytes_per_stream"] * overlay["neighbours"]["mean"]
-        + slope["member_bytes"] * held_members
+        + slope["member_bytes"] * stored_members
         + slope["item_bytes"] * target.runners * zone_share
     )
     return {
@@ -158,13 +158,13 @@
         "bytes_s": sum(part["bytes_s"] for part in parts.values()),
         "wire_bytes_s": sum(part["wire_bytes_s"] for part in parts.values()),
         "core_percent": sum(part["core_percent"] for part in parts.values()),
-        "busiest_heartbeats": work_out_heartbeats(slope, overlay["probes"]["max"]),
+        "busiest_heartbeats": compute_heartbeat_cost(slope, overlay["probes"]["max"]),
         "memory_bytes": memory_bytes,
     }
 
 
-def work_out_heartbeats(slope: dict, probes: float) -> dict:
-    """Return bytes and processor time per second of `probes` linked members."""
+def compute_heartbeat_cost(slope: dict, probes: float) -> dict:
+    """Return bytes and processor time per second for heartbeats with `probes` members."""
     bytes_s = slope["bytes_per_probe"] * probes
     headers = slope["segments_per_probe"] * probes * SEGMENT_HEADER_BYTES
     return {
@@ -174,8 +174,8 @@
     }
 
 
-def work_out_flow(slope: dict, copies_s: float, size_bytes: float) -> dict:
-    """Return bytes and processor time per second of a flow of items, in and out."""
+def compute_flow_cost(slope: dict, copies_s: float, size_bytes: float) -> dict:
+    """Return bytes and processor time per second for a flow of items, incoming and outgoing."""
     bytes_s = 2 * copies_s * (size_bytes + slope["overhead_bytes_per_copy"])
     headers = copies_s * slope["segments_per_copy"] * SEGMENT_HEADER_BYTES
     return {
@@ -186,7 +186,7 @@
 
 
 def print_target(slopes: dict, target: dict) -> None:
-    """Print the slopes and what they come to."""
+    """Print the slopes and the extrapolated cost."""
     for name, value in slopes.items():
         print(f"  {name:26} {value['mean']:10.3f}  spread {value['spread_percent']:.0f} %")
     if not target:
--- a/tools/measure_copies.py
+++ b/tools/measure_copies.py
@@ -1,8 +1,8 @@
-"""Measure the copies planner against a fixed count and a utilisation rule, with real processes.
+"""Compare the copies planner with a fixed count and a utilisation rule, with real processes.
 
-Three zones with an entry daemon and a controller each, stand-in engines as VMs, one seeded trace
-made from the brief's workloads with reclaim waves in it. Every rule meets the same trace. Time is
-compressed by fast engines: a VM starts in 1.5 s, an answer takes about a second.
+There are three zones, each with an entry daemon and a controller, stand-in engines as VMs, and one seeded
+trace of typical workloads with reclaim waves. Every rule runs the same trace. Fast engines compress the
+time: a VM starts in 1.5 s, and an answer takes about a second.
 Run: ``python -m tools.measure_copies [--rules ...] [--seed 1] [--json FILE]``.
 """
 
@@ -31,7 +31,7 @@
 TARGET_MS = 500
 NOTICE_MS = 3_000
 START_MS = 1_500
-REFUSED_S = 8.0
+START_REFUSAL_S = 8.0
 RATES = (3, 3, 4, 5, 6, 8, 10, 12, 14, 16, 18, 18, 16, 13, 10, 8, 7, 8, 10, 13, 15, 13, 9, 5)
 STEP_MS = 4_000
 WAVES = ((27.0, "khalda-hall"), (50.0, "abdoun-hall"), (74.0, "khalda-hall"))
@@ -57,29 +57,29 @@
 
 @dataclass
 class Bill:
-    """What ran and what it cost, from the platform's true list.
+    """Running copies and their cost, from the platform's VM list without its lag.
 
     Parameters
     ==========
 
-    copy_seconds : by machine class.
-    cost : sum of price an hour times hours.
+    copy_seconds : seconds of running copies by machine class.
+    cost : sum of price per hour times hours.
     """
 
     copy_seconds: Counter[str] = field(default_factory=Counter)
     cost: float = 0.0
-    most: int = 0
+    max_copies: int = 0
 
     def add(self, vms: list[dict[str, Any]], seconds: float) -> None:
-        """Add what ran for `seconds`."""
+        """Add the VMs that ran for `seconds`."""
         for vm in vms:
             self.copy_seconds[vm["machine_class"]] += seconds
             self.cost += vm["price_per_hour"] * seconds / SECONDS_PER_HOUR
-        self.most = max(self.most, len(vms))
+        self.max_copies = max(self.max_copies, len(vms))
 
 
 class Cloud:
-    """Plays the cloud: ends stopped VMs' processes, fills the spares, sends the waves."""
+    """Simulates the cloud: kills the processes of stopped VMs, replaces spares, and sends reclaim waves."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.bill = Bill()
@@ -102,7 +102,7 @@
             self._register(name, vm["zone"], vm["machine_class"])
 
     def begin(self) -> None:
-        """Begin to bill and to send waves."""
+        """Start billing and sending waves."""
         self._began = time.monotonic()
         self._thread.start()
 
@@ -134,10 +134,10 @@
             states = Counter(vm["state"] for vm in vms)
             self.history.append({"at_s": round(now - self._began, 1), **states})
             last = now
-            self._replace_gone({vm["name"]: vm for vm in vms})
+            self._replace_stopped({vm["name"]: vm for vm in vms})
             self._send_wave(now - self._began, vms)
 
-    def _replace_gone(self, listed: dict[str, dict[str, Any]]) -> None:
+    def _replace_stopped(self, listed: dict[str, dict[str, Any]]) -> None:
         for name in set(self._listed) - set(listed):
             vm = self._listed[name]
             self._cluster.get(name).kill()
@@ -156,9 +156,11 @@
         post_json(address, "/standin/reclaim", {"vms": names, "notice_ms": NOTICE_MS})
         faults = {"refuse_starts": -1, "refuse_zones": [zone], "refuse_classes": ["reclaimable"]}
         self._cluster.set_platform_faults(cloud=faults)
-        mend = threading.Timer(REFUSED_S, lambda: self._cluster.set_platform_faults(cloud={}))
-        mend.daemon = True
-        mend.start()
+        reset = threading.Timer(
+            START_REFUSAL_S, lambda: self._cluster.set_platform_faults(cloud={})
+        )
+        reset.daemon = True
+        reset.start()
 
 
 def run_once(rule: str, seed: int) -> dict[str, Any]:
@@ -178,7 +180,7 @@
 
 
 def start_cluster(cluster: Cluster, rule: str) -> Cloud:
-    """Start all processes and return when each zone has a leader and one copy serves."""
+    """Start all processes and wait until each zone has a leader and the first copies serve."""
     cluster.launch_platform(start_ms=START_MS)
     cloud = Cloud(cluster)
     cloud.fill()
@@ -208,7 +210,7 @@
 
 
 def send_earlier_waves(cluster: Cluster) -> None:
-    """Reclaim another VM in each zone, so that waves are known to come, as after any hour."""
+    """Reclaim one other VM in each zone, so that the controllers have recorded reclaims before the trace."""
     for zone in ZONES:
         name = f"earlier-{zone}"
         cluster.register(name, zone, "earlier", address="127.0.0.1:1")
@@ -217,7 +219,7 @@
 
 
 def send_trace(cluster: Cluster, seed: int) -> dict[str, Any]:
-    """Send the trace from a process of its own and return its results."""
+    """Send the trace from a separate process and return its results."""
     settings = {
         "entries": [item.addresses["callers"] for item in cluster.list_daemons()],
         "seed": seed,
@@ -254,14 +256,14 @@
         "recomputed_tokens": results["totals"].get("recomputed_tokens", 0),
         "copy_hours": sum(bill.copy_seconds.values()) / SECONDS_PER_HOUR,
         "cost": bill.cost,
-        "most_copies": bill.most,
+        "most_copies": bill.max_copies,
         "platform_calls_per_s": calls,
         "copy_seconds": dict(bill.copy_seconds),
     }
 
 
 def print_run(run: dict[str, Any]) -> None:
-    """Print one line for a run."""
+    """Print the figures of one run as a line."""
     calls = ", ".join(f"{role} {rate:.1f}" for role, rate in run["platform_calls_per_s"].items())
     print(
         f"{run['rule']:12} p50 {run['p50_ms']:5.0f}  p95 {run['p95_ms']:6.0f} ms"
--- a/tools/measure_routing.py
+++ b/tools/measure_routing.py
@@ -1,7 +1,7 @@
-"""Measure the routing choice against others on one seeded trace, with real processes.
+"""Compare the router's choice of servers with baselines on seeded traces, with real processes.
 
-Two zones with two entry daemons each, stand-in engines with a small prefix cache, open-loop
-arrivals made from the brief's workloads. Every choice meets the same arrivals.
+There are two zones with two entry daemons each, stand-in engines with a small prefix cache, and open-loop
+arrivals of typical workloads. Every choice gets the same arrivals.
 Run: ``python -m tools.measure_routing [--seconds 10] [--seeds 3] [--json FILE]``.
 """
 
@@ -27,20 +27,20 @@
 ZONES = ("abdoun-hall", "khalda-hall")
 ENTRIES_PER_ZONE = 2
 TARGET_MS = 830
-MOST_COPIES = 6
-AT_ONCE = 3
+MAX_COPIES = 6
+PARALLEL_RUNS = 3
 ENGINE = {"slots": 8, "token_ms": 20, "prefill_tokens_per_s": 6_000, "load_lag_ms": 500}
 
 
 @dataclass(frozen=True)
 class Trace:
-    """One workload of the brief.
+    """A workload.
 
     Parameters
     ==========
 
     requests_per_s : mean of the open-loop arrivals.
-    copies : engines in the runs that compare times and tokens.
+    copies : number of engines in the runs that compare times and tokens.
     cache_tokens : prefix cache of each engine; less than all prefixes together.
     mix : the kinds of requests, as `hemlock-load` takes them.
     """
@@ -54,7 +54,10 @@
 def make_kind(
     weight: int, prefix: int, prefixes: int, prompt: tuple[int, int], answer: tuple[int, int]
 ) -> dict[str, Any]:
-    """Return one kind of request: words of its prefix, how many such, prompt and answer sizes."""
+    """Return one kind of request.
+
+    `prefix` is the length of a shared prefix in words, `prefixes` the number of different ones; `prompt`
+    and `answer` are ranges of sizes."""
     return {
         "weight": weight,
         "prefix_words": prefix,
@@ -65,8 +68,8 @@
 
 
 TRACES = {
-    # Qafza: confirmation notes by the rules of four halls, group visits by a brochure for each
-    # kind of school, the one popular party package of the week, and now and then something long.
+    # Event halls: confirmation notes with the rules of four halls as prefix, group visits with a brochure
+    # for each kind of school, one popular party package, and a few long requests.
     "qafza": Trace(
         18,
         3,
@@ -78,8 +81,8 @@
             make_kind(1, 768, 40, (800, 1_000), (80, 160)),
         ),
     ),
-    # Driftwood: questions about a job behind its treatment history, a few jobs asked about often,
-    # and condition reports that start from a history seldom seen twice.
+    # Restoration workshop: questions with the treatment history of a job as prefix, a few of these jobs
+    # frequent, and condition reports whose history is rarely repeated.
     "driftwood": Trace(
         10,
         3,
@@ -95,16 +98,16 @@
 
 @dataclass(frozen=True)
 class Run:
-    """One run of one choice.
+    """Results of one run with one choice.
 
     Parameters
     ==========
 
-    p50_ms, p95_ms : first token, from the time a request was due; infinite when more than that
-        share got none.
+    p50_ms, p95_ms : time to the first token, from the time a request was due; infinite if more than
+        50 % or 5 % of the requests got none.
     computed_tokens : prompt tokens that the engines computed.
     prompt_tokens : prompt tokens that the requests had.
-    refused : refusals that callers met and came back from.
+    refused : refusals that callers retried, and failed requests.
     """
 
     trace: str
@@ -120,17 +123,17 @@
 
     @property
     def computed_share(self) -> float:
-        """Share of the prompt tokens that was computed and not found in a cache."""
+        """Share of the prompt tokens that were computed because no cache had them."""
         return self.computed_tokens / max(self.prompt_tokens, 1)
 
     @property
     def holds(self) -> bool:
-        """Whether the first token came in the target's time."""
+        """Whether the 95th percentile of the time to the first token meets the target."""
         return self.p95_ms <= TARGET_MS
 
 
 def run_once(name: str, choice: str, copies: int, seed: int, seconds: float) -> Run:
-    """Start a cluster, send the trace called `name`, and return what was measured."""
+    """Start a cluster, send the trace `name`, and return the results."""
     trace = TRACES[name]
     cluster = Cluster()
     try:
@@ -145,14 +148,14 @@
 
 
 def start_cluster(cluster: Cluster, trace: Trace, choice: str, copies: int) -> None:
-    """Start the processes and return when every daemon has every engine."""
+    """Start the processes and wait until every daemon uses all engines."""
     cluster.launch_platform()
     names = {f"engine-{number}": ZONES[number % len(ZONES)] for number in range(copies)}
     for name in names:
         cluster.launch_engine(name, cache_tokens=trace.cache_tokens, **ENGINE)
     for name, zone in names.items():
         cluster.register(name, zone, MODEL)
-    model = {"name": MODEL, "licensed_copies": MOST_COPIES, "slots_per_copy": ENGINE["slots"]}
+    model = {"name": MODEL, "licensed_copies": MAX_COPIES, "slots_per_copy": ENGINE["slots"]}
     cluster.apply(make_operator_file(ZONES, models=[model], services=[]))
     seeds: list[str] = []
     for number in range(ENTRIES_PER_ZONE):
@@ -164,11 +167,11 @@
             seeds = seeds or [program.addresses["peers"]]
     for program in cluster.list_daemons(ENTRY):
         cluster.wait_until_serving(program)
-        wait_until(lambda one=program: knows_all(cluster, one, copies), "all engines known")
+        wait_until(lambda one=program: uses_all_engines(cluster, one, copies), "all engines known")
 
 
-def knows_all(cluster: Cluster, program: Any, copies: int) -> bool:
-    """Return whether a daemon uses all engines, its own zone's and the others'."""
+def uses_all_engines(cluster: Cluster, program: Any, copies: int) -> bool:
+    """Return whether a daemon uses the engines of all zones."""
     status = get_json(program.addresses["control"], "/status")
     return len(status["backend_servers"]) == copies
 
@@ -195,12 +198,12 @@
 ) -> Run:
     """Return the figures of one run."""
     first_token = results["first_token"]
-    without = 1 - first_token["count"] / max(results["requests"], 1)
+    unanswered_share = 1 - first_token["count"] / max(results["requests"], 1)
     return Run(
         *labels,
         requests=results["requests"],
-        p50_ms=first_token["p50_ms"] if without < 0.5 else math.inf,
-        p95_ms=first_token["p95_ms"] if without < 0.05 else math.inf,
+        p50_ms=first_token["p50_ms"] if unanswered_share < 0.5 else math.inf,
+        p95_ms=first_token["p95_ms"] if unanswered_share < 0.05 else math.inf,
         computed_tokens=sum(one["prefilled_tokens"] for one in stats),
         prompt_tokens=sum(one["prompt_tokens"] for one in stats),
         refused=sum(results["refusals_retried"].values()) + results["verdicts"].get("failed", 0),
@@ -208,9 +211,9 @@
 
 
 def find_copies(name: str, choice: str, seconds: float) -> list[Run]:
-    """Return runs with more and more copies; the last holds the target, or none did."""
+    """Return runs with increasing numbers of copies, up to the first that meets the target."""
     runs: list[Run] = []
-    for copies in range(2, MOST_COPIES + 1):
+    for copies in range(2, MAX_COPIES + 1):
         runs.append(run_once(name, choice, copies, 1, seconds))
         if runs[-1].holds:
             break
@@ -223,19 +226,19 @@
     plan = [
         (name, choice, trace.copies, seed) for seed in range(1, seeds + 1) for choice in choices
     ]
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
         runs = list(pool.map(lambda one: run_once(*one, seconds), plan))
         searches = list(pool.map(lambda one: find_copies(name, one, seconds), choices))
     sent = f"{trace.requests_per_s} requests/s for {seconds:g} s, seeds 1 to {seeds}"
     print(f"{name}: {sent}, {trace.copies} copies, target p95 {TARGET_MS} ms", flush=True)
     for choice, search in zip(choices, searches, strict=True):
-        copies = str(search[-1].copies) if search[-1].holds else f"over {MOST_COPIES}"
+        copies = str(search[-1].copies) if search[-1].holds else f"over {MAX_COPIES}"
         print_line([run for run in runs if run.choice == choice], copies)
     return runs + [run for search in searches for run in search]
 
 
 def print_line(runs: list[Run], copies: str) -> None:
-    """Print the medians over the seeds with their spread."""
+    """Print the medians over the seeds with their ranges."""
     p50s, p95s = [run.p50_ms for run in runs], [run.p95_ms for run in runs]
     shares = [run.computed_share for run in runs]
     print(
