--- a/hemlockswitch/process/metrics.py
+++ b/hemlockswitch/process/metrics.py
@@ -48,16 +48,16 @@
         )
         self.recomputed = Counter(
             "hemlock_recomputed_tokens",
-            "Tokens recomputed by engines, by cause.",
+            "Tokens that engines computed again, by cause.",
             ["cause"],
             registry=self.registry,
         )
         self.relayed = Counter(
-            "hemlock_relayed_tokens", "Tokens relayed to callers.", registry=self.registry
+            "hemlock_relayed_tokens", "Tokens passed on to callers.", registry=self.registry
         )
         self.dropped = Counter(
             "hemlock_dropped_events",
-            "Engine events dropped because they were late or duplicate.",
+            "Engine events dropped because they were late or doubled.",
             registry=self.registry,
         )
         self.attempts = Counter(
@@ -84,7 +84,7 @@
         )
         self.call_seconds = Histogram(
             "hemlock_service_call_seconds",
-            "Duration of calls to plain services.",
+            "Time of a plain service's answer.",
             ["service"],
             buckets=CALL_BUCKETS,
             registry=self.registry,
@@ -93,13 +93,13 @@
     def _build_outcome_counters(self) -> None:
         self.claims = Counter(
             "hemlock_claims",
-            "Calls with an idempotency key, by outcome of their claim.",
+            "Calls with an idempotency key, by what became of their claim.",
             ["outcome"],
             registry=self.registry,
         )
         self.handovers = Counter(
             "hemlock_handovers",
-            "Generations that moved between daemons, by outcome.",
+            "Generations that changed their daemon, by what became of them.",
             ["outcome"],
             registry=self.registry,
         )
@@ -115,7 +115,7 @@
         )
         self.revision = Gauge(
             "hemlock_revision_number",
-            "Number of the configuration revision in force.",
+            "The configuration in force.",
             registry=self.registry,
         )
 
--- a/hemlockswitch/process/peer_metrics.py
+++ b/hemlockswitch/process/peer_metrics.py
@@ -39,14 +39,12 @@
         streams = len(self._cluster_state.network.list_streams())
         yield GaugeMetricFamily("hemlock_peer_streams", "Open peer streams.", streams)
         repairs = self._cluster_state.gossip.repairs
-        yield CounterMetricFamily(
-            "hemlock_news_repairs", "Repairs of gossip items with a peer.", repairs
-        )
+        yield CounterMetricFamily("hemlock_news_repairs", "Comparisons of boards.", repairs)
 
     def _collect_members(self) -> Metric:
         family = GaugeMetricFamily(
             "hemlock_members",
-            "Daemons in this daemon's membership, by zone and state.",
+            "Daemons that this one knows, by zone and state.",
             labels=("zone", "state"),
         )
         membership = self._cluster_state.membership
--- a/hemlockswitch/process/quarantine/metrics.py
+++ b/hemlockswitch/process/quarantine/metrics.py
@@ -27,16 +27,16 @@
 
         yield CounterMetricFamily(
             "hemlock_requests_on_ended_servers",
-            "Requests in progress on a backend server that crashed.",
+            "Requests in progress on a backend server that ended.",
             value=self._counts.ends,
         )
         yield CounterMetricFamily(
             "hemlock_quarantine_trials",
-            "Quarantined requests sent as a trial.",
+            "Held-back requests sent as a trial.",
             value=self._counts.trials,
         )
         yield GaugeMetricFamily(
             "hemlock_quarantined_contents",
-            "Contents that are quarantined.",
+            "Contents that are held back.",
             value=self._counts.held,
         )
--- a/hemlockswitch/process/status/fleet_view.py
+++ b/hemlockswitch/process/status/fleet_view.py
@@ -56,9 +56,9 @@
 
 def _find_limit(target: Model | Service, live: int, held: int) -> str:
     if held > target.licensed_copies:
-        return "the licence, which is exceeded"
+        return "over the licence"
     if held == target.licensed_copies:
-        return "the licence: every licensed copy is in use"
+        return "the licence: every copy is held"
     if live < target.min_copies:
         return "copies missing: starts are pending or refused"
     return ""
@@ -72,7 +72,7 @@
 def format_copies(count: CopyCount) -> str:
     """Return a human-readable line for a count."""
     held = count.live + count.starting + count.leaving
-    line = f"{count.name}: {held} of {count.licensed} licensed copies in use"
+    line = f"{count.name}: {held} of {count.licensed} licensed copies held"
     line += f" ({count.live} live, {count.starting} starting, {count.leaving} leaving;"
     line += f" at least {count.min_copies})"
     return f"{line}; limited by {count.limited_by}" if count.limited_by else line
--- a/hemlockswitch/request/forward_admission.py
+++ b/hemlockswitch/request/forward_admission.py
@@ -75,10 +75,10 @@
     RequestError : the request is refused; nothing was sent.
     """
     if table is None:
-        raise RequestError(ErrorKind.NOT_READY, "no configuration has been loaded yet")
+        raise RequestError(ErrorKind.NOT_READY, "no configuration is known here yet")
     route = table.find_route(facts.host, request.path)
     if route is None:
-        raise RequestError(ErrorKind.UNKNOWN_ROUTE, "no route matches the request's host and path")
+        raise RequestError(ErrorKind.UNKNOWN_ROUTE, "no route has this host and path")
     account = _find_account(table, route, facts)
     _check_limit(limiter, account, facts)
     service = route.choose_service(facts.request_id)
@@ -115,7 +115,7 @@
         return None
     account = table.accounts_by_key.get(facts.key) if facts.key is not None else None
     if account is None and not route.is_public:
-        raise RequestError(ErrorKind.UNAUTHORIZED, "no client account has this API key")
+        raise RequestError(ErrorKind.UNAUTHORIZED, "no account has this key")
     return None if route.is_public else account
 
 
@@ -127,7 +127,7 @@
     wait_ms = limiter.take(account, measure_cost(account, facts))
     if wait_ms is not None:
         kind = ErrorKind.TOKEN_LIMIT if account.counts_tokens else ErrorKind.REQUEST_LIMIT
-        detail = f"client account {account.name} has exceeded its limit"
+        detail = f"account {account.name} is over its limit"
         raise RequestError(kind, detail, retry_after_ms=round(wait_ms))
 
 
